--- a/crates/guard/src/ballot.rs
+++ b/crates/guard/src/ballot.rs
@@ -1,25 +1,25 @@
-//! Ballots: how the seats of one generation choose exactly one next generation.
+//! Ballots, by which the seats of one generation choose exactly one next generation.
 //!
-//! Single-decree Paxos whose acceptors are the seats of the present generation and whose quorum is
-//! their majority. An acceptor is one life of one node, so that a replacement that forgot its
-//! promises is nobody's acceptor.
+//! The protocol is single-decree Paxos. The acceptors are the seats of the current generation, and
+//! a quorum is a majority of them. An acceptor is an instance, not a node, so a restarted node that
+//! has lost its promises is not an acceptor.
 
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::InstanceId;
 
-/// Number of a ballot, unique by its proposer.
+/// Ballot number. The proposer makes equal rounds of different nodes distinct.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RangeBallot {
-    /// Counts tries.
+    /// Counter of proposals, higher in each new ballot.
     pub round: u32,
-    /// The proposer.
+    /// Instance that started the ballot.
     pub proposer: InstanceId,
 }
 
-/// An accepted value with its ballot.
+/// Seats accepted by an acceptor and the ballot of that acceptance, if any.
 pub(crate) type AcceptedSeats = Option<(RangeBallot, Vec<InstanceId>)>;
 
-/// What one seat promised and accepted for the generation after the present one.
+/// Paxos acceptor state of one seat for the next generation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BallotAcceptor {
     pub(crate) promised: Option<RangeBallot>,
@@ -27,7 +27,7 @@
 }
 
 impl BallotAcceptor {
-    /// Promises to take part in no lower ballot. False when a higher one was promised.
+    /// Promises to ignore lower ballots. Returns false if a higher ballot was promised before.
     pub(crate) fn promise(&mut self, ballot: RangeBallot) -> bool {
         if self.promised.is_some_and(|promised| promised > ballot) {
             return false;
@@ -36,7 +36,7 @@
         true
     }
 
-    /// Accepts the seats unless a higher ballot was promised.
+    /// Accepts the seats, or returns false if a higher ballot was promised before.
     pub(crate) fn accept(&mut self, ballot: RangeBallot, seats: Vec<InstanceId>) -> bool {
         if !self.promise(ballot) {
             return false;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Seats that make a majority.
+/// Returns the size of a majority of `seats`.
 pub(crate) const fn majority(seats: usize) -> usize {
     seats / 2 + 1
 }
--- a/crates/guard/src/change.rs
+++ b/crates/guard/src/change.rs
@@ -1,18 +1,20 @@
-//! Choosing the next generation of a range: who proposes what, and the ballots.
+//! Choice of the next generation of a range: the wanted seats and the proposer's side of ballots.
 //!
 //! Safety rests on four rules:
 //!
-//! 1. A majority of the seats accepts the same seats for the next generation, so there is one.
-//! 2. At most one seat leaves at a time, and another stays. A seat that takes part in the next
-//!    generation grants under the earlier one no more, and no dispatch is complete without its
-//!    grant. So no two generations can complete dispatches at the same time, and the seat that
-//!    stays knows every dispatch of both.
-//! 3. Only a seat that holds the memory proposes, so the memory is in the next generation.
-//! 4. A new seat serves only after it copied the memory from a node that takes part in, or left
-//!    for, the new generation (see [`crate::custody`]).
+//! 1. A majority of the seats accepts the same seats for the next generation, so there
+//!    is only one.
+//! 2. At most one seat leaves at a time, and at least one stays. A seat that has adopted the next
+//!    generation no longer grants under the previous one, and a dispatch needs the grants of all
+//!    seats. Therefore no two generations can complete dispatches at the same time, and the seat
+//!    that stays has a record of every dispatch of both.
+//! 3. Only a seat that holds the records proposes, so a seat of the next generation holds them.
+//! 4. A new seat serves only after it copied the records from a node that has adopted the new
+//!    generation, as a seat of it or as a retired seat of the previous one (see
+//!    [`crate::custody`]).
 //!
-//! No clock and no log take part. A ballot that stops half-way stops nothing: the range goes on
-//! under the present generation until a seat adopts the next one.
+//! Neither clocks nor the log are involved. An incomplete ballot blocks nothing: the range
+//! continues under the current generation until a seat adopts the next one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,43 +28,43 @@
 use crate::seat::RangeSeat;
 use crate::turn::{GuardTurn, millis};
 
-/// Sends of one proposal before it is given up.
+/// Number of sends of one phase of a proposal before the proposer backs off.
 const PROPOSAL_TRIES: u32 = 6;
 
-/// Waits of `resend_after` between the proposals of two seats.
+/// Delay between the proposals of two seats, as a multiple of `resend_after`.
 const PROPOSAL_WAITS: u64 = 4;
 
-/// Doublings of the wait before another try, by objections.
+/// Maximum number of times that objections double the delay before the next proposal.
 const DECLINE_DOUBLINGS: u32 = 5;
 
-/// How long a member is left alone after an objection: not struck, or not given a seat.
+/// Time after an objection during which the member is neither replaced nor given a seat.
 const AVOID_FOR: Duration = Duration::from_secs(3);
 
-/// Why a change is wanted.
+/// Reason for a change of the seats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeCause {
     /// A seat is lost.
     Strike,
-    /// A seat leaves, or the range has fewer seats than it should. Waits until all seats hold the
-    /// memory.
+    /// A seat drains, or the range has too few seats. The change waits until all seats hold the
+    /// records.
     Planned,
 }
 
-/// A wanted change.
+/// Change that this seat wants to propose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct WantedChange {
     cause: ChangeCause,
     seats: Vec<InstanceId>,
 }
 
-/// A ballot under way at its proposer.
+/// State of a ballot at its proposer.
 #[derive(Debug)]
 pub(crate) struct SeatProposal {
     pub(crate) ballot: RangeBallot,
     cause: ChangeCause,
     wanted: Vec<InstanceId>,
     pub(crate) promises: BTreeMap<InstanceId, (AcceptedSeats, bool)>,
-    /// The value of the second phase.
+    /// Seats proposed in the second phase; `None` during the first phase.
     pub(crate) value: Option<Vec<InstanceId>>,
     pub(crate) accepts: BTreeSet<InstanceId>,
     objectors: BTreeSet<InstanceId>,
@@ -71,7 +73,7 @@
 }
 
 impl RangeSeat {
-    /// Starts or goes on with a change. Returns the entry once it is chosen.
+    /// Starts or continues a change of the seats. Returns the next entry once it is chosen.
     pub(crate) fn pulse_change(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
         if turn
             .view
@@ -97,8 +99,8 @@
         self.propose(turn, wanted)
     }
 
-    /// What should change, as this seat sees it: first seats that have ended for certain, which the
-    /// others will not dispute, then suspected ones.
+    /// Determines the wanted change. Seats that have certainly ended are replaced before suspected
+    /// ones, because the other seats do not object to their replacement.
     fn wanted_change(&self, turn: &GuardTurn<'_>) -> Option<WantedChange> {
         let members = &turn.view.members;
         let limit = turn.view.settings.strike_after;
@@ -127,7 +129,8 @@
         }
     }
 
-    /// The seats without one, and with a new one when there is a candidate.
+    /// Returns the seats without `leaver`, with a new seat in its place if there is a candidate.
+    /// Returns `None` if no seat would stay, or if all candidates are avoided for now.
     fn replace(&self, turn: &GuardTurn<'_>, leaver: InstanceId) -> Option<Vec<InstanceId>> {
         let stays = |seat: &InstanceId| *seat != leaver;
         let kept: Vec<InstanceId> = self.entry.seats.iter().copied().filter(stays).collect();
@@ -147,7 +150,7 @@
         (seats.len() > kept.len()).then_some(seats)
     }
 
-    /// Whether another seat declined this member a short time ago.
+    /// Returns whether another seat recently objected to a change of this member.
     fn is_avoided(&self, now: Duration, member: InstanceId) -> bool {
         self.avoided.get(&member).is_some_and(|until| now < *until)
     }
@@ -163,7 +166,8 @@
         (seats.len() > present.len()).then_some(seats)
     }
 
-    /// Seats propose one after the other, the first in order at once, so that ballots seldom meet.
+    /// Schedules the proposal by this seat's position among the seats that are up, so that ballots
+    /// seldom collide. The first one proposes at once.
     fn schedule(&mut self, turn: &mut GuardTurn<'_>) -> Duration {
         let me = turn.me();
         let members = &turn.view.members;
@@ -196,7 +200,7 @@
         self.advance_proposal(turn)
     }
 
-    /// Sends the present phase again to those that have not answered.
+    /// Sends the current phase again to the seats that have not answered.
     fn resend_proposal(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
         let proposal = self.proposal.as_mut()?;
         if turn.now < proposal.send_at {
@@ -237,7 +241,7 @@
         proposal.tries += 1;
     }
 
-    /// Gives the ballot up and tries again after a random wait.
+    /// Abandons the ballot and schedules another one after a random delay.
     pub(crate) fn retreat(&mut self, turn: &mut GuardTurn<'_>) {
         let proposal = self.proposal.take();
         let objected = proposal.is_some_and(|it| !it.objectors.is_empty());
@@ -248,12 +252,11 @@
         self.propose_at = Some(turn.now + Duration::from_millis(wait));
     }
 
-    /// Another seat objects to the wanted change.
+    /// Handles another seat's objection to the wanted change.
     ///
-    /// Failure: a link is cut one way, or the roster disagrees, so that one seat takes another for
-    /// lost that the rest sees well. Symptom without the objection: seats that disagree strike and
-    /// reinstate each other without end, and bookings start anew with each generation. Why it
-    /// suffices: a change needs a majority that agrees on who goes and who comes.
+    /// If a link is cut one way or rosters differ, one seat may suspect another that the rest sees
+    /// as up. Without objections, such seats would replace each other endlessly, and requests would
+    /// restart their claims with each generation. A change needs a majority that does not object.
     pub(crate) fn decline(&mut self, turn: &mut GuardTurn<'_>, from: InstanceId, seat: InstanceId) {
         self.avoided.insert(seat, turn.now + AVOID_FOR);
         let all = self.entry.seats.len();
@@ -267,7 +270,8 @@
         }
     }
 
-    /// The first thing wrong with a wanted change, as this seat sees it.
+    /// Returns a member to which this seat objects: one that would lose its seat although it is up,
+    /// or one that would get a seat although it is down.
     pub(crate) fn objection(
         &self,
         turn: &GuardTurn<'_>,
@@ -283,7 +287,8 @@
         kept.or_else(|| wanted.iter().find(comes)).copied()
     }
 
-    /// Moves on when a majority answered. Returns the entry once it is chosen.
+    /// Starts the next phase once a majority has answered. Returns the next entry once it is
+    /// chosen.
     pub(crate) fn advance_proposal(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
         let quorum = majority(self.entry.seats.len());
         let all = self.entry.seats.len();
@@ -320,8 +325,9 @@
 }
 
 impl SeatProposal {
-    /// The seats of the second phase: what was accepted under the highest ballot, or what this
-    /// proposer wants. A planned change waits for every seat's promise and memory.
+    /// Returns the seats to propose in the second phase: the value accepted under the highest
+    /// ballot, or else the seats that this proposer wants. A planned change waits until every seat
+    /// has promised and holds the records.
     fn choose_value(&self, all: usize) -> Option<Vec<InstanceId>> {
         let accepted = self.promises.values().filter_map(|(it, _)| it.as_ref());
         if let Some((_, seats)) = accepted.max_by_key(|(ballot, _)| *ballot) {
--- a/crates/guard/src/client.rs
+++ b/crates/guard/src/client.rs
@@ -1,14 +1,14 @@
-//! Ingress side: collects the grants of all seats for a request, and answers it.
+//! Ingress side: collects the grants of all seats for each request, and answers its caller.
 //!
 //! ```text
-//! Admit -> Claiming --all granted--> Dispatched --Settled--> over
+//! Admit -> Claiming --all granted--> Dispatched --Settled--> done
 //!             |  ^                     |  ^   \--Lost--> Resolving --fenced--> Reoffered
 //!        rival|  |rival dead   Redirect|  |                                      |
 //!             v  |                     v  |                                 Redirect
 //!           Joining                  Claiming <----------------------------------+
 //! ```
 //!
-//! The rival part, when two sends of one key meet, is in [`crate::contest`].
+//! The handling of concurrent sends of the same key (rivals) is in [`crate::contest`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,10 +23,10 @@
 use crate::request::{ClientRequest, RequestPhase, RequestStep};
 use crate::turn::GuardTurn;
 
-/// How long a dispatched request is remembered after its deadline when nobody settles it.
+/// How long a dispatched request is kept after its deadline if the engine does not settle it.
 const LINGER: Duration = Duration::from_mins(1);
 
-/// All requests of this ingress that are not over.
+/// Unfinished requests of this ingress.
 #[derive(Debug, Default)]
 pub(crate) struct KeyClient {
     requests: BTreeMap<RequestId, ClientRequest>,
@@ -37,7 +37,7 @@
     pub(crate) unknown: u64,
 }
 
-/// A request as admitted.
+/// Parameters of an admitted request.
 #[derive(Debug)]
 pub(crate) struct AdmitRequest {
     pub(crate) request: RequestId,
@@ -161,7 +161,7 @@
         self.granted += u64::from(granted);
     }
 
-    /// Collects anew where the range's seats changed.
+    /// Restarts the claims of all requests in a range whose seats have changed.
     pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
         let claims = |request: &&ClientRequest| {
             matches!(request.phase, RequestPhase::Claiming(_))
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Sends again what is due, and answers what has reached its deadline.
+    /// Resends due messages, and answers requests whose deadline has passed.
     pub(crate) fn tick(&mut self, turn: &mut GuardTurn<'_>) {
         while let Some((wake, id)) = self.wakes.first().copied() {
             if wake > turn.now {
@@ -198,13 +198,13 @@
         self.requests.get(&id)
     }
 
-    /// Requests of a key.
+    /// Returns the unfinished requests of a key.
     pub(crate) fn of_key(&self, key: KeyId) -> Vec<RequestId> {
         let ids = self.by_key.get(&key);
         ids.into_iter().flatten().copied().collect()
     }
 
-    /// Lets a request take one step and carries out what follows from it.
+    /// Applies a state transition to a request and carries out its result.
     pub(crate) fn step<F>(&mut self, turn: &mut GuardTurn<'_>, id: RequestId, act: F)
     where
         F: FnOnce(&mut ClientRequest, &mut GuardTurn<'_>) -> RequestStep,
@@ -254,7 +254,7 @@
         Some(request)
     }
 
-    /// Sets the request's timer: the next try, or its deadline when that is sooner.
+    /// Sets the timer of a request to the next resend or the deadline, whichever is earlier.
     fn arm(&mut self, turn: &mut GuardTurn<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/guard/src/command.rs
+++ b/crates/guard/src/command.rs
@@ -1,4 +1,4 @@
-//! What the guard asks its surroundings to do.
+//! Commands from the guard to the engine that embeds it.
 
 use std::sync::Arc;
 
@@ -9,35 +9,36 @@
 use crate::map::{FoundingRecord, RangeGeneration};
 use crate::message::{AttemptHolder, GuardMessage};
 
-/// Permission to run one attempt at one executor. It travels with the dispatch.
+/// Permission to run one attempt at one executor, sent along with the dispatch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatchTicket {
-    /// The key.
+    /// Idempotency key of the request.
     pub key: KeyId,
-    /// Route and body.
+    /// Hash of method, target and body of the request.
     pub fingerprint: KeyFingerprint,
-    /// The attempt all seats granted.
+    /// Attempt that all seats granted.
     pub attempt: AttemptId,
-    /// The node that asked.
+    /// Instance that claimed the key.
     pub ingress: InstanceId,
-    /// The only node that may run it.
+    /// Only instance that may run the attempt.
     pub executor: InstanceId,
-    /// The key's range.
+    /// Range of the key.
     pub range: RangeId,
-    /// The generation whose seats granted it.
+    /// Generation whose seats granted the attempt.
     pub generation: RangeGeneration,
-    /// Those seats.
+    /// Seats of that generation.
     pub seats: Vec<InstanceId>,
-    /// Time of the key, or of the claim of a key without time, in milliseconds since the Unix
+    /// Time of the key, or of the claim for a key without a time, in milliseconds since the Unix
     /// epoch.
     pub stamp_ms: u64,
-    /// When the caller gives up, by the ingress's clock, in milliseconds since the Unix epoch. An
-    /// executor that was paused past it refuses, so that nothing runs long after an "unknown".
+    /// Deadline of the caller by the clock of the ingress, in milliseconds since the Unix epoch. An
+    /// executor that was paused refuses expired tickets, so that no attempt runs long after the
+    /// caller got the answer "unknown".
     pub expires_ms: u64,
 }
 
 impl DispatchTicket {
-    /// The attempt with its places.
+    /// Returns the attempt with its ingress and executor.
     #[must_use]
     pub const fn holder(&self) -> AttemptHolder {
         AttemptHolder {
@@ -49,17 +50,17 @@
     }
 }
 
-/// The final answer to a request.
+/// Final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerVerdict {
-    /// An earlier send of the same request ran; this is its reply.
+    /// An earlier send of the same request ran, and its reply is stored.
     ReplyKept {
-        /// The reply as the executor encoded it.
+        /// Reply in the encoding of the executor's engine.
         reply: Arc<[u8]>,
     },
-    /// An earlier send of the same request ran to its end, but its reply is no longer kept.
+    /// An earlier send of the same request ran to completion, but its reply is no longer stored.
     ReplyGone,
-    /// No reply. "Not run" is said only where no send of this key has run; see
+    /// Refusal without a reply. The state is "not run" only if no send of this key has run; see
     /// [`sycamorelink_core::RunState`].
     Refuse(RequestRefusal),
 }
@@ -67,116 +68,119 @@
 /// Why an executor must not run an offered attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkRefusal {
-    /// Certainly not run, now and later: the attempt was fenced, is too old, or the node is full.
+    /// The attempt is fenced or its ticket expired. It has not run and never will.
     NotRun,
-    /// The ticket names another life of this node or another node. Certainly not run here.
+    /// The ticket names another instance. The attempt has not run here.
     WrongInstance,
-    /// The same attempt was offered before; it is running or has run. Not to be reported as "not
-    /// run": the ingress settles with `Lost`.
+    /// The attempt was offered before, or may have been: it is running or may have run. The ingress
+    /// must not report "not run" and settles the request as `Lost`.
     Repeated,
 }
 
-/// One command.
+/// Command that the embedding engine has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardCommand {
     /// Dispatch the request to `ticket.executor` with the ticket, then report `Settled` or
     /// `Redirect`.
     Grant {
-        /// The request.
+        /// Request that may be dispatched.
         request: RequestId,
-        /// The ticket.
+        /// Ticket to send with the dispatch.
         ticket: DispatchTicket,
     },
-    /// Answer the caller; the request is over.
+    /// Answer the caller. The guard drops the request.
     Answer {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
-        /// The answer.
+        /// Answer for the caller.
         verdict: AnswerVerdict,
     },
-    /// The attempt of a request settled as `Lost` turned out to be fenced: it never ran and never
-    /// will. Send `Redirect`, or `Settled` with `NotRun`.
+    /// The attempt of a request settled as `Lost` is fenced: it never ran and never will. Report
+    /// `Redirect`, or `Settled` with `NotRun`.
     Reoffer {
-        /// The request.
+        /// Request whose attempt is fenced.
         request: RequestId,
     },
-    /// Send a message. Delivery is not relied upon.
+    /// Send a message. The guard tolerates the loss of any message.
     Send {
-        /// The receiver. The transport must not deliver to another life of the node.
+        /// Receiver. The transport must not deliver the message to another instance of the node.
         to: InstanceId,
-        /// The message.
+        /// Message to send.
         message: GuardMessage,
     },
-    /// Append the records to the guard's stream in the log, as one entry. Repeated until read back.
+    /// Append the records to the guard's stream in the log as one entry. The guard repeats the
+    /// command until it reads the records back.
     AppendFounding {
-        /// The records.
+        /// Founding records of one or more ranges.
         records: Vec<FoundingRecord>,
     },
-    /// Hand the attempt to the backend server, once; report `WorkEnded`.
+    /// Send the request to the backend server exactly once, then report `WorkEnded`.
     RunWork {
-        /// The ticket.
+        /// Ticket of the attempt.
         ticket: DispatchTicket,
     },
-    /// Do not hand the attempt to the backend server.
+    /// Refuse the attempt without contacting the backend server.
     RefuseWork {
-        /// The attempt.
+        /// Refused attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason for the refusal.
         refusal: WorkRefusal,
     },
-    /// Every seat of this node was handed over after `DrainRequested`.
+    /// All seats of this node were handed over and all outcomes recorded after `DrainRequested`.
     Drained,
-    /// Something worth a line in the event log.
+    /// Write an entry to the event log.
     Note(GuardNote),
 }
 
-/// Something worth a line in the event log.
+/// Entry for the event log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardNote {
-    /// A request got the answer "unknown".
+    /// A request was answered with "unknown".
     AnsweredUnknown {
-        /// The request.
+        /// Request that was answered.
         request: RequestId,
-        /// Its key.
+        /// Key of the request.
         key: KeyId,
     },
-    /// A key was closed for good: its executor ended while the attempt may have been running.
+    /// A key was closed permanently because its attempt may have run and the outcome is lost.
     KeyClosed {
-        /// The key.
+        /// Closed key.
         key: KeyId,
-        /// The attempt.
+        /// Attempt that may have run.
         attempt: AttemptId,
     },
     /// A range has a new generation.
     GenerationChanged {
-        /// The range.
+        /// Range that changed.
         range: RangeId,
-        /// The new generation.
+        /// New generation.
         generation: RangeGeneration,
-        /// Its seats.
+        /// Seats of the new generation.
         seats: Vec<InstanceId>,
     },
-    /// This node took up a seat and serves it.
+    /// This node began to serve a seat.
     SeatServing {
-        /// The range.
+        /// Range of the seat.
         range: RangeId,
-        /// The generation.
+        /// Generation of the seat.
         generation: RangeGeneration,
-        /// Keys that came with custody.
+        /// Number of keys in the seat's store.
         keys: usize,
     },
-    /// Too many seats of a range are lost: the log has to decide, and cannot yet.
+    /// Too many seats of a range are lost. The range stays closed until it is founded again through
+    /// the log.
     RangeClosed {
-        /// The range.
+        /// Closed range.
         range: RangeId,
-        /// The last known generation.
+        /// Last known generation of the range.
         generation: RangeGeneration,
     },
-    /// Memory was full: keys older than this are refused from now on.
+    /// The store was full, and the seat dropped its oldest keys. Keys older than the watermark are
+    /// refused from now on.
     WatermarkRaised {
-        /// The range.
+        /// Range whose store was full.
         range: RangeId,
-        /// Milliseconds since the Unix epoch.
+        /// New watermark, in milliseconds since the Unix epoch.
         watermark_ms: u64,
     },
 }
--- a/crates/guard/src/contest.rs
+++ b/crates/guard/src/contest.rs
@@ -1,16 +1,16 @@
-//! Two sends of one key meet: who goes on, who waits, and what became of the other.
+//! Resolution of contests between concurrent sends of the same key.
 //!
-//! Order between two attempts that both hold some grants: the lower id goes on, the other
-//! withdraws and joins it. Only the ingress of an attempt can withdraw it, and only before it
-//! dispatched it, so the question goes there first. When that ingress is silent, the executor named
-//! in the grant decides: it fences an attempt it has never seen, for good, or tells what became of
-//! it.
+//! If two attempts both hold some grants, the one with the lower id continues, and the other one is
+//! withdrawn and its request waits. Only the ingress of an attempt can withdraw it, and only before
+//! the dispatch, so the querying node asks that ingress first. If the ingress does not answer, the
+//! executor named in the grant decides: it fences an attempt that it has never seen, permanently,
+//! or returns the state of the attempt.
 //!
 //! ```text
-//! asker (attempt 7)            ingress of attempt 9        executor of attempt 9
+//! ingress of attempt 7         ingress of attempt 9        executor of attempt 9
 //!   |-- Contest(9, mine 7) -------->|  not dispatched: withdraws
 //!   |<-- Withdrawn(9) --------------|
-//!   |-- Contest(9, mine 7) ----x        silent
+//!   |-- Contest(9, mine 7) ----x        no answer
 //!   |-- Inquire(9, fence) --------------------------------->|  never seen: fenced
 //!   |<-- Fenced ---------------------------------------------|
 //! ```
@@ -25,11 +25,11 @@
 use crate::store::is_dead;
 use crate::turn::GuardTurn;
 
-/// Questions to a silent ingress before the executor is asked to fence its attempt.
+/// Number of unanswered queries to an ingress before the executor is asked to fence the attempt.
 const SILENT_LIMIT: u32 = 2;
 
 impl KeyClient {
-    /// Another ingress asks about an attempt of this one.
+    /// Answers the query of another ingress about an attempt of this one.
     pub(crate) fn contest(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -89,7 +89,7 @@
 }
 
 impl ClientRequest {
-    /// A seat named another attempt.
+    /// Starts to query a rival that a seat reported.
     pub(crate) fn meet_rival(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -108,7 +108,7 @@
         self.ask_rival(turn)
     }
 
-    /// Asks about the rival: its ingress, or its executor when the ingress cannot tell.
+    /// Queries the ingress of the rival, its executor, or both if the ingress does not answer.
     pub(crate) fn ask_rival(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
         let me = turn.me();
         let own = self.holder(me);
@@ -142,7 +142,8 @@
         RequestStep::Keep
     }
 
-    /// Answers another ingress that met an attempt of this request.
+    /// Returns the state of this request for another ingress. Withdraws the current attempt if the
+    /// attempt of the other ingress has a lower id.
     fn answer_contest(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -168,14 +169,14 @@
         }
     }
 
-    /// Withdraws the present attempt and waits for another.
+    /// Withdraws the current attempt and waits for the rival.
     fn join(&mut self, turn: &mut GuardTurn<'_>, winner: AttemptHolder) {
         self.bury(turn);
         self.phase = RequestPhase::Joining(RivalState::new(winner));
         self.tries = 0;
     }
 
-    /// Takes in that an attempt never runs, and claims where it stood in the way.
+    /// Notes that an attempt never runs, and continues the claim that it blocked.
     fn outlive(&mut self, turn: &mut GuardTurn<'_>, dead: AttemptId) {
         if !is_dead(dead, &self.dead) {
             self.dead.push(dead);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The attempt this request waits for.
+    /// Returns the attempt that this request waits for.
     const fn awaited(&self) -> Option<AttemptHolder> {
         match &self.phase {
             RequestPhase::Claiming(round) => match &round.rival {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The rival is still collecting: the higher id withdraws.
+    /// Handles a rival that still collects grants: the attempt with the higher id withdraws.
     fn give_way(&mut self, turn: &mut GuardTurn<'_>, holder: AttemptHolder) {
         let lower = self.attempt() < holder.attempt;
         match &mut self.phase {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The rival was dispatched: wait for its executor's answer.
+    /// Waits for a dispatched rival and queries its executor.
     fn follow(&mut self, turn: &mut GuardTurn<'_>, holder: AttemptHolder) -> RequestStep {
         if matches!(self.phase, RequestPhase::Claiming(_)) {
             self.join(turn, holder);
@@ -299,7 +300,7 @@
         }
     }
 
-    /// The executor's answer about this request's own dispatch.
+    /// Handles the executor's answer about the request's own dispatch.
     fn take_resolution(&mut self, turn: &mut GuardTurn<'_>, state: &WorkState) -> RequestStep {
         match state {
             WorkState::Fenced if turn.now >= self.deadline => {
@@ -317,7 +318,8 @@
         }
     }
 
-    /// Asks the executor what became of the dispatch, and fences it when it never arrived.
+    /// Queries the executor for the outcome of the dispatch, and fences the attempt if the dispatch
+    /// never arrived.
     pub(crate) fn resolve(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
         let RequestPhase::Resolving(ticket) = &self.phase else {
             return RequestStep::Keep;
@@ -335,7 +337,7 @@
     }
 }
 
-/// Nobody will ever know whether the attempt ran: answers so and has the seats remember it.
+/// Closes a key on all seats and answers "unknown", because the outcome of its attempt is lost.
 fn close_key(turn: &mut GuardTurn<'_>, key: KeyId, attempt: AttemptId) -> RequestStep {
     turn.note(GuardNote::KeyClosed { key, attempt });
     let seats = turn.entry_of(key).map(|entry| entry.seats);
--- a/crates/guard/src/custody.rs
+++ b/crates/guard/src/custody.rs
@@ -1,12 +1,12 @@
-//! Custody: a new seat copies the range's memory before it serves.
+//! Custody transfer: a new seat copies the key records of the range before it serves.
 //!
-//! The request carries the new generation. Its receiver adopts it first and so has stopped granting
-//! under the generation before; only then it answers. A dispatch under the earlier generation
-//! needed its grant, so its memory holds every key ever dispatched.
+//! The request carries the new generation. The receiver adopts this generation before it answers,
+//! and thereby stops granting under the previous one. Every dispatch under the previous generation
+//! needed the receiver's grant, so its store holds every key that was ever dispatched.
 //!
 //! ```text
-//! new seat                        seat of the generation before (or of the same one)
-//!   |-- CustodyRequest(entry, after none) -->|  adopts the entry, has stopped
+//! new seat                             seat of the previous (or of the same) generation
+//!   |-- CustodyRequest(entry, after none) -->|  adopts the entry, grants no longer
 //!   |<-- Custody(records .. k, watermark) ---|
 //!   |-- CustodyRequest(entry, after k) ----->|
 //!   |<-- Custody(rest, done) ----------------|
@@ -25,22 +25,22 @@
 use crate::store::{KeyRecord, KeyStore};
 use crate::turn::GuardTurn;
 
-/// Most records in one part.
+/// Maximum number of records in one chunk.
 const PART_RECORDS: usize = 512;
-/// About the most reply bytes in one part.
+/// Soft limit on the reply bytes in one chunk. The last record may exceed it.
 const PART_BYTES: usize = 64 * 1024;
 
-/// Progress of a copy.
+/// Progress of a custody transfer at the new seat.
 #[derive(Debug, Default)]
 pub(crate) struct CustodyFetch {
     after: Option<KeyId>,
     tries: u32,
     ask_at: Duration,
-    /// Nodes that answered that they do not hold the memory.
+    /// Nodes that answered that they do not hold the records.
     refused: BTreeSet<InstanceId>,
 }
 
-/// One part of a range's memory.
+/// Chunk of the records of a range.
 #[derive(Debug)]
 pub(crate) struct CustodyPart {
     pub(crate) range: RangeId,
@@ -52,14 +52,14 @@
 }
 
 impl RangeSeat {
-    /// Forgets what an incomplete copy or an earlier generation left.
+    /// Drops the records of an incomplete transfer or of an earlier generation.
     pub(crate) fn drop_memory(&mut self) {
         self.store = KeyStore::default();
         self.store.raise_floor(self.entry.watermark_ms);
         self.ready_at = None;
     }
 
-    /// Asks the next possible source for the next part, when it is time.
+    /// Requests the next chunk from the next possible source, if a request is due.
     pub(crate) fn fetch_custody(&mut self, turn: &mut GuardTurn<'_>) {
         if turn.now < self.fetch.ask_at {
             return;
@@ -85,12 +85,12 @@
         turn.send_try(self.fetch.tries / 4, source, request);
     }
 
-    /// Whether nobody is left from whom the memory could be copied.
+    /// Returns whether no instance is left from which the records could be copied.
     ///
-    /// Failure: the only seat with the memory ends before the new ones copied it. Symptom without
-    /// this check: the others wait for it for ever, and too few have ended for the range to count as
-    /// lost. Why it suffices: founding anew polls every member and fences first, so a copy still
-    /// under way is found by the poll or serves no more.
+    /// If the only seat with the records ends before the new seats copied them, the majority of the
+    /// seats is still alive, but without this check they would wait forever. A false positive is
+    /// safe: the founder polls and fences every member first, so a transfer in progress shows up in
+    /// the poll or can no longer serve.
     pub(crate) fn is_orphaned(&self, turn: &GuardTurn<'_>) -> bool {
         let me = turn.me();
         let sources = self.entry.prior.iter().chain(&self.entry.seats);
@@ -101,17 +101,18 @@
         self.retired.is_none() && !self.is_ready() && others.all(silent)
     }
 
-    /// Whether this seat's memory covers everything dispatched before a generation.
+    /// Returns whether the records of this seat include everything dispatched before a generation.
     ///
-    /// It does when it was complete in that generation, or in the one before and this node has
-    /// stopped granting under it.
+    /// This is the case if the records were complete in that generation, or if they were complete
+    /// in the previous one and this node has stopped granting under it.
     fn covers(&self, generation: RangeGeneration) -> bool {
         let left = self.retired.is_some() && self.entry.generation == generation;
         self.ready_at == Some(generation)
             || (left && self.ready_at.map(RangeGeneration::next) == Some(generation))
     }
 
-    /// Asks the successors whether they hold the memory. True when it is no longer needed here.
+    /// Asks the successors whether they hold the records. Returns true once this node can drop
+    /// them.
     pub(crate) fn pulse_retired(&mut self, turn: &mut GuardTurn<'_>) -> bool {
         let complete = self.ready_at.is_some();
         let Some(retired) = &mut self.retired else {
@@ -134,7 +135,7 @@
 }
 
 impl SeatTable {
-    /// Hands over one part. The entry was adopted before.
+    /// Sends one chunk of records. The caller has adopted the entry before.
     pub(crate) fn give_custody(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -166,7 +167,7 @@
         turn.send(from, part);
     }
 
-    /// A node does not hold the memory.
+    /// Notes that a source does not hold the records.
     pub(crate) fn custody_none(
         &mut self,
         from: InstanceId,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Takes in one part.
+    /// Stores one chunk and requests the next one. The seat serves after the last chunk.
     pub(crate) fn take_custody(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -209,7 +210,7 @@
         seat.ask_custody(turn, from);
     }
 
-    /// A retired seat asks whether this one holds the memory.
+    /// Tells a retired seat whether this one holds the records.
     pub(crate) fn ready_ask(
         &mut self,
         turn: &mut GuardTurn<'_>,
--- a/crates/guard/src/event.rs
+++ b/crates/guard/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node's part in the guard.
+//! Events that the embedding engine reports to the guard.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,129 +11,131 @@
 use crate::map::FoundingRecord;
 use crate::message::GuardMessage;
 
-/// How a dispatch ended, as the ingress saw it.
+/// Outcome of a dispatch as observed by the ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchOutcome {
     /// The executor answered that it did not run the attempt and never will, or the ingress never
     /// sent the ticket.
     NotRun,
-    /// The whole reply arrived.
+    /// The complete reply arrived.
     Ran,
-    /// The executor answered that it cannot tell.
+    /// The executor answered that it does not know whether the attempt ran.
     Unknown,
-    /// The connection broke or timed out. The guard asks the executor and ends the request with
+    /// The connection broke or timed out. The guard queries the executor and continues with
     /// `Answer` or `Reoffer`.
     Lost,
 }
 
-/// How work ended, as the executor saw it.
+/// Outcome of an attempt as observed by the executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkOutcome {
-    /// The backend server surely never started it (refused by its queue, connection refused).
+    /// The backend server certainly never started the request, for example because its queue or the
+    /// connection was refused.
     NotRun,
-    /// It ran to its end. The reply is encoded by the caller of this crate (status, headers, body)
-    /// and None when it is not worth keeping.
+    /// The request ran to completion. The engine encodes the reply (status, headers, body), or
+    /// passes `None` if the reply should not be stored.
     Ran(Option<Arc<[u8]>>),
-    /// The backend server crashed or went silent after the request was sent.
+    /// The backend server crashed or stopped responding after the request was sent.
     Unknown,
 }
 
-/// One event.
+/// Event for the guard. The first word of each description names the role concerned, if any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardEvent {
     /// Ingress: a caller's non-idempotent request arrived. It is answered by `Grant` or `Answer`
     /// before the deadline.
     Admit {
-        /// Fresh id of this send.
+        /// New id of this send.
         request: RequestId,
-        /// Its key.
+        /// Idempotency key of the request.
         key: KeyId,
-        /// Route and body.
+        /// Hash of method, target and body of the request.
         fingerprint: KeyFingerprint,
-        /// The node chosen to run it.
+        /// Instance chosen to run the request.
         executor: InstanceId,
-        /// When the caller gives up, in this node's time.
+        /// Deadline of the caller, in this node's monotonic time.
         deadline: Duration,
     },
-    /// Ingress: the present attempt surely did not run (as `DispatchOutcome::NotRun`); try
-    /// another executor. Also the reply to `Reoffer`. Answered like `Admit`.
+    /// Ingress: the current attempt certainly did not run (as in `DispatchOutcome::NotRun`), and
+    /// the request is to run at another executor. Also a possible reply to `Reoffer`. The guard
+    /// answers as for `Admit`.
     Redirect {
-        /// The request.
+        /// Request to redirect.
         request: RequestId,
-        /// The next node to run it.
+        /// Instance chosen to run the request next.
         executor: InstanceId,
     },
-    /// Ingress: the dispatch after `Grant` ended. With `NotRun` the grants are released, so that a
-    /// later resend can run. Also allowed after `Reoffer` (`NotRun`: give up).
+    /// Ingress: the dispatch after `Grant` ended. With `NotRun` the guard releases the grants, so
+    /// that a later resend can run. Also allowed after `Reoffer`, with `NotRun`, to stop retrying.
     Settled {
-        /// The request.
+        /// Request whose dispatch ended.
         request: RequestId,
-        /// How.
+        /// Outcome of the dispatch.
         outcome: DispatchOutcome,
     },
-    /// Ingress: the caller went away before `Grant`. No answer follows.
+    /// Ingress: the caller disconnected before `Grant`. No answer follows.
     Abandoned {
-        /// The request.
+        /// Request of the disconnected caller.
         request: RequestId,
     },
-    /// Executor: a dispatch arrived. Answered by `RunWork` or `RefuseWork` at once.
+    /// Executor: a dispatch arrived. The guard answers with `RunWork` or `RefuseWork` immediately.
     Offered {
-        /// The ticket that came with it.
+        /// Ticket received with the dispatch.
         ticket: DispatchTicket,
     },
-    /// Executor: work started by `RunWork` ended.
+    /// Executor: an attempt started by `RunWork` ended.
     WorkEnded {
-        /// The attempt.
+        /// Attempt that ended.
         attempt: AttemptId,
-        /// How.
+        /// Outcome of the attempt.
         outcome: WorkOutcome,
     },
-    /// A message from another node.
+    /// A message arrived from another node.
     Message {
-        /// The sender, as authenticated by the transport.
+        /// Sender, authenticated by the transport.
         from: InstanceId,
-        /// The message.
+        /// Received message.
         message: GuardMessage,
     },
-    /// The roster lists this life of a node as alive. A greater incarnation of a known node proves
-    /// that the earlier one has ended: it no longer receives messages at its address.
+    /// The roster lists an instance as alive. A higher incarnation of a known node proves that the
+    /// earlier one has ended: it no longer receives messages at its address.
     MemberUp {
-        /// The node.
+        /// Instance that is alive.
         instance: InstanceId,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         domain: DomainName,
     },
-    /// The roster suspects a node. It may come back.
+    /// The roster suspects an instance. `MemberUp` may follow.
     MemberDown {
-        /// The node.
+        /// Suspected instance.
         instance: InstanceId,
     },
-    /// An operator affirms that a node was ended, or it said goodbye after its drain. It never
-    /// comes back.
+    /// An operator confirmed that an instance has ended, or the instance announced its end after a
+    /// drain. The instance never returns.
     MemberGone {
-        /// The node.
+        /// Instance that has ended.
         instance: InstanceId,
     },
-    /// A member announced that it drains; it gets no new seats.
+    /// A member announced that it drains. The member gets no new seats.
     MemberDraining {
-        /// The node.
+        /// Draining instance.
         instance: InstanceId,
     },
-    /// Founding records read from the log, in log order.
+    /// Founding records were read from the log. Events arrive in log order.
     LogFounding {
-        /// The records of one append.
+        /// Records of one append.
         records: Vec<FoundingRecord>,
     },
-    /// The log was read up to its present end.
+    /// The log was read up to its current end.
     LogCurrent {
-        /// Whether reading began at the very first record ever written, so that a missing founding
-        /// record proves that the fleet is new.
+        /// Whether reading began at the first record ever written, so that the absence of founding
+        /// records proves that the fleet is new.
         whole: bool,
     },
-    /// The log can no longer be reached.
+    /// The log became unreachable.
     LogLost,
-    /// This node leaves: hand over its seats. `Drained` follows when all are handed over.
+    /// This node drains and has to hand over its seats. `Drained` follows when it is done.
     DrainRequested,
-    /// Time passed; see `GuardNode::next_wake`.
+    /// Time has passed; see `GuardNode::next_wake`.
     Tick,
 }
--- a/crates/guard/src/exchange.rs
+++ b/crates/guard/src/exchange.rs
@@ -1,15 +1,16 @@
-//! Spreading the range map: hashes to one random peer at a time, entries only where maps differ.
+//! Anti-entropy exchange of the range map. A node sends hashes of its map to one random peer at a
+//! time, and the two nodes exchange entries only for buckets that differ.
 //!
 //! ```text
 //! node                                   peer
 //!   |-- Exchange(hash of each bucket) ---->|
 //!   |<-- Generations(differing buckets) ---|
-//!   |-- Map(what the peer lacks) --------->|
-//!   |-- Generations(own, if it lacks) ---->|
-//!   |<-- Map(what the node lacks) ---------|
+//!   |-- Map(entries newer at the node) --->|
+//!   |-- Generations(same buckets) -------->|  only if some are newer at the peer
+//!   |<-- Map(entries newer at the peer) ---|
 //! ```
 //!
-//! A node that starts while the log is down gets the map this way too.
+//! A node that starts while the log is unavailable also gets the map this way.
 
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
 use crate::message::GuardMessage;
 use crate::turn::GuardTurn;
 
-/// When to ask the next peer.
+/// Timer of the map exchange.
 #[derive(Debug, Default)]
 pub(crate) struct MapExchange {
     at: Duration,
@@ -43,7 +44,8 @@
     }
 }
 
-/// A peer's hashes arrived.
+/// Compares the hashes of a peer with the own map, and replies with the generations of the buckets
+/// that differ.
 pub(crate) fn compare(turn: &mut GuardTurn<'_>, from: InstanceId, theirs: &[u64]) {
     let own = digests(turn);
     let differs = |bucket: &u16| {
@@ -58,7 +60,7 @@
     }
 }
 
-/// A peer's generations arrived: sends what it lacks, and asks for what this node lacks.
+/// Sends the entries that are newer here than at the peer, and requests those that are newer there.
 pub(crate) fn reconcile(
     turn: &mut GuardTurn<'_>,
     from: InstanceId,
--- a/crates/guard/src/founding.rs
+++ b/crates/guard/src/founding.rs
@@ -1,25 +1,25 @@
-//! Foundings: what the seats cannot decide by themselves goes through the log.
+//! Founding of epochs through the log, for decisions that the seats cannot make by ballot.
 //!
-//! The log decides twice: who the first seats are when the fleet is new, and who follows when a
-//! majority of a generation's seats has ended, so that its ballots can never complete. The first
-//! record of a range and epoch wins.
+//! The log decides in two cases: it selects the first seats of a new fleet, and the next seats
+//! after a majority of a generation's seats has ended, so that its ballots can never complete. The
+//! first record of a range and epoch wins.
 //!
-//! A range is founded anew only under three conditions, because seats that are merely cut off may
-//! have chosen a later generation and may go on under it:
+//! Seats that are merely cut off may have chosen a later generation and may still serve under it.
+//! A range is therefore founded again only under three conditions:
 //!
-//! 1. A majority of the newest known seats has certainly ended (a later life was met, or an
-//!    operator affirmed it), or all nodes that may hold the memory have. Suspicion is not enough:
-//!    the range stays closed meanwhile.
-//! 2. Every other member, suspected or not, answered a poll that it knows nothing newer and does
-//!    not hold the memory.
-//! 3. Then every other member promised to take no part in the old epoch any more.
+//! 1. A majority of the newest known seats has certainly ended (a later instance of the node was
+//!    listed, or an operator confirmed the end), or all nodes that may hold the records have.
+//!    Suspicion is not enough; until then the range stays closed.
+//! 2. Every other member, suspected or not, has answered a poll that it knows no newer generation
+//!    and does not hold the records.
+//! 3. After that, every other member has promised not to take part in the old epoch any longer.
 //!
-//! When a seat with the memory survives, it founds the epoch and the others copy from it, so that
-//! resends still get their replies. But nobody can rule out that the lost seats chose a later
-//! generation without it, used it, and ended with everybody who knew. So keys nobody knows are
-//! never run when they are older than the record's watermark: the founder's clock plus what keys
-//! may be ahead and clocks may differ. For the same reason keys that are granted but not known to
-//! have ended are closed.
+//! If a seat with the records survives, it founds the epoch and the other seats copy from it, so
+//! that resends still get their replies. However, the lost seats may have chosen a later generation
+//! without the survivor, served under it, and ended together with every node that knew about it.
+//! Keys without a record are therefore never run if they are older than the watermark of the
+//! founding record: the founder's clock plus `ahead_limit` and `clock_skew`. For the same reason,
+//! keys that are granted but not known to have ended are closed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -34,12 +34,12 @@
 use crate::seat::{RangeSeat, SeatTable};
 use crate::turn::{GuardTurn, millis};
 
-/// Wait before an append that was not read back is repeated.
+/// Delay before an append is repeated if it was not read back.
 const REPEAT_APPEND: Duration = Duration::from_secs(2);
-/// Wait between two looks at the map for lost ranges.
+/// Interval between two scans of the map for lost ranges.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// Asking all members about one range.
+/// Poll of all members about one lost range.
 #[derive(Debug)]
 struct PollRound {
     generation: RangeGeneration,
@@ -63,12 +63,12 @@
     }
 }
 
-/// What the log said, and what this node has to write to it.
+/// Founding records read from the log, and the founding of ranges by this node.
 #[derive(Debug, Default)]
 pub(crate) struct FoundingBook {
-    /// The winning record of the newest epoch of each range.
+    /// Winning record of the newest epoch of each range.
     records: BTreeMap<RangeId, FoundingRecord>,
-    /// Since when the log is read to its end.
+    /// Time since which this node has read the log up to its end; `None` if it has not.
     current_since: Option<Duration>,
     whole: bool,
     rounds: BTreeMap<RangeId, PollRound>,
@@ -79,7 +79,7 @@
 }
 
 impl FoundingBook {
-    /// Takes in records in log order. Returns the entries to adopt.
+    /// Processes records in log order. Returns the entries to adopt.
     pub(crate) fn read(&mut self, records: Vec<FoundingRecord>) -> Vec<RangeEntry> {
         let current = self.current_since.is_some();
         let mut entries = Vec::new();
@@ -95,8 +95,9 @@
         entries
     }
 
-    /// Whether a record replaces the known one. While the log is being read, a copy does: it was
-    /// written by a node that had read the first record, which may be gone from the log by now.
+    /// Returns whether a record replaces the known one. During the initial read of the log, a copy
+    /// replaces a record of the same epoch: the writer of the copy had read the winning record,
+    /// which the log may have trimmed since.
     fn wins(&self, record: &FoundingRecord) -> bool {
         let Some(known) = self.records.get(&record.range) else {
             return true;
@@ -105,7 +106,7 @@
         record.epoch > known.epoch || (record.epoch == known.epoch && copy)
     }
 
-    /// The log was read to its end. Returns the entries to adopt.
+    /// Marks the log as read to its end. Returns the entries to adopt.
     pub(crate) fn current(&mut self, turn: &GuardTurn<'_>, whole: bool) -> Vec<RangeEntry> {
         self.whole = whole;
         self.current_since.get_or_insert(turn.now);
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Founds the fleet's first seats. Members try one after the other, and the log picks.
+    /// Founds the first seats of a new fleet. Members append one after another by rank, and the
+    /// first record in the log wins.
     fn found_first(&mut self, turn: &mut GuardTurn<'_>, since: Duration) {
         let settle = since + turn.view.settings.strike_after + REPEAT_APPEND * place(turn);
         if !self.whole || turn.now < settle.max(self.found_at) || turn.view.draining {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Finds ranges whose ballots can never complete again, or whose memory nobody holds.
+    /// Finds ranges whose ballots can never complete, or whose records no seat holds.
     fn look_for_lost(&mut self, turn: &mut GuardTurn<'_>, seats: &SeatTable) {
         let members = &turn.view.members;
         let lost = |entry: &&RangeEntry| {
@@ -188,11 +190,10 @@
         self.closed = lost;
     }
 
-    /// Founds lost ranges anew, all that are ready in one append.
+    /// Founds all lost ranges that are ready again, in a single append.
     ///
-    /// Failure: a node that held seats of many ranges is gone for good, and with an append for each
-    /// range, repeated until it is read back, the log's budget of two a second keeps the last ones
-    /// closed for half a minute.
+    /// The log accepts two appends per second from a node. After the loss of a node with seats of
+    /// many ranges, one append per range would keep the last ranges closed for half a minute.
     fn found_lost(&mut self, turn: &mut GuardTurn<'_>, seats: &SeatTable) {
         let mut records = Vec::new();
         let ranges: Vec<RangeId> = self.closed.keys().copied().collect();
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Polls, then fences, then founds with the record that it returns.
+    /// Polls all members, then fences them, and then returns the founding record to append.
     fn poll(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Repeats the winning records before the log's retention drops them.
+    /// Appends copies of the winning records before the log trims the originals.
     fn refresh(&mut self, turn: &mut GuardTurn<'_>) {
         if turn.now < self.refresh_at {
             return;
@@ -291,14 +292,15 @@
     }
 }
 
-/// This node's place among the members that are up.
+/// Returns the position of this node among the members that are up, starting at zero.
 fn place(turn: &GuardTurn<'_>) -> u32 {
     let me = turn.me();
     let before = turn.view.members.up_members().take_while(|it| *it != me);
     u32::try_from(before.count()).unwrap_or(u32::MAX)
 }
 
-/// The first seat that has not ended founds; when all have ended, the first member that is up.
+/// Returns whether this node founds a lost range. The founder is the first seat that has not ended,
+/// or the first member that is up if all seats have ended.
 fn is_founder(turn: &GuardTurn<'_>, entry: &RangeEntry) -> bool {
     let members = &turn.view.members;
     let survivor = entry.seats.iter().find(|seat| !members.is_gone(**seat));
--- a/crates/guard/src/key.rs
+++ b/crates/guard/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys: the identity of one booking over all its sends.
+//! Idempotency keys, which identify a request across all of its resends.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -6,31 +6,33 @@
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::{CustomerName, stable_hash};
 
-/// When a key was made.
+/// Creation time of a key, or the validity window of a key without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyTime {
-    /// The key is a `UUIDv7`. Its time, in milliseconds since the Unix epoch, is part of the key
-    /// and so equal in every resend.
+    /// Time embedded in a `UUIDv7` key, in milliseconds since the Unix epoch. The time is part of
+    /// the key and therefore the same in every resend.
     Timed(u64),
-    /// The key carries no time. Resends are recognised for this many milliseconds after the first
-    /// send, half of [`keep_for`](crate::GuardSettings::keep_for) at most; the guarantee then rests
-    /// on the clocks of the nodes (a contract option).
+    /// Window of a key without a time, in milliseconds. Resends are recognised for this long after
+    /// the first send, at most half of [`keep_for`](crate::GuardSettings::keep_for). The guarantee
+    /// for such keys depends on the clocks of the nodes; a contract has to opt in.
     Window(u64),
 }
 
-/// A customer's idempotency key. Keys are equal when their hashes are: the time follows from the
-/// key, or from a contract that may be amended between two sends.
+/// Hashed idempotency key of a customer.
+///
+/// Equality and order use only the hash: the time is derived from the key, or from a contract that
+/// may be amended between two sends.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct KeyId {
     /// Stable hash of customer and key.
     pub hash: u128,
-    /// When the key was made.
+    /// Creation time or window of the key.
     pub time: KeyTime,
 }
 
 impl KeyId {
-    /// The id of a customer's key. The same text from another customer is another key.
+    /// Hashes a customer's key. The same text from another customer gives a different key.
     #[must_use]
     pub fn of(customer: &CustomerName, key: &str, time: KeyTime) -> Self {
         let parts = [customer.as_str().as_bytes(), key.as_bytes()];
@@ -38,9 +40,9 @@
         Self { hash, time }
     }
 
-    /// The time in a `UUIDv7`, in milliseconds since the Unix epoch.
+    /// Returns the time in a `UUIDv7`, in milliseconds since the Unix epoch.
     ///
-    /// None when the text is not a `UUIDv7` in its hyphenated or plain form.
+    /// Returns `None` if the text is not a `UUIDv7` in its hyphenated or plain form.
     #[must_use]
     pub fn uuid_time(key: &str) -> Option<u64> {
         let plain: String = key.chars().filter(|letter| *letter != '-').collect();
@@ -56,7 +58,7 @@
         u64::try_from(value >> 80).ok()
     }
 
-    /// The range the key falls into, of `ranges` equal ones.
+    /// Returns the range of the key when the hash space is split into `ranges` equal ranges.
     #[must_use]
     pub fn range(&self, ranges: u16) -> RangeId {
         let top = (self.hash >> 112) * u128::from(ranges.max(1));
@@ -90,24 +92,25 @@
     }
 }
 
-/// Digits of a UUID without hyphens.
+/// Number of digits of a UUID without hyphens.
 const UUID_DIGITS: usize = 32;
-/// Letters of a UUID with hyphens.
+/// Number of characters of a UUID with hyphens.
 const UUID_HYPHENATED: usize = 36;
 
-/// Stable hash of route and body: tells a resend from another request under the same key.
+/// Stable hash of method, target and body, which distinguishes a resend from another request that
+/// reuses the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyFingerprint(pub u128);
 
 impl KeyFingerprint {
-    /// The fingerprint of a request with this method, target and body.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(method: &str, target: &str, body: &[u8]) -> Self {
         Self(wide_hash(&[method.as_bytes(), target.as_bytes(), body]))
     }
 }
 
-/// Part of the key space with guards of its own.
+/// Index of a key range. Each range has its own seats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RangeId(pub u16);
@@ -118,7 +121,7 @@
     }
 }
 
-/// Two stable hashes with different prefixes, put together.
+/// Concatenates two 64-bit stable hashes with different prefixes to a 128-bit hash.
 fn wide_hash(parts: &[&[u8]]) -> u128 {
     let mut high = vec![b"high".as_slice()];
     let mut low = vec![b"low".as_slice()];
--- a/crates/guard/src/ledger.rs
+++ b/crates/guard/src/ledger.rs
@@ -1,12 +1,12 @@
-//! Executor side: the last fence before the backend server.
+//! Executor side: the ledger of attempts, checked before each request to the backend server.
 //!
 //! ```text
-//! never seen --Offered--> running --WorkEnded--> ran | unknown | fenced (surely not run)
+//! never seen --Offered--> running --WorkEnded--> ran | unknown | fenced (certainly not run)
 //!      \-----Inquire(fence)--> fenced
 //! ```
 //!
-//! An attempt is run only from "never seen", and a fenced one never is. So the answer "fenced" is
-//! the proof that lets another attempt of the key take its place.
+//! An attempt runs only from the state "never seen", so a fenced attempt never runs. The answer
+//! "fenced" is therefore proof that another attempt of the key may replace this one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,12 +22,12 @@
 use crate::store::RecordedOutcome;
 use crate::turn::{GuardTurn, millis};
 
-/// Most nodes told at once when a running attempt ends; the others ask again.
+/// Maximum number of nodes notified when a running attempt ends. Other nodes repeat their query.
 const MAX_WAITERS: usize = 8;
-/// Doublings of the wait between two sends of a record.
+/// Maximum number of times that the delay between two sends of a record doubles.
 const RECORD_DOUBLINGS: u32 = 8;
 
-/// One attempt at this executor.
+/// State of one attempt at this executor.
 #[derive(Debug)]
 struct WorkEntry {
     stamp_ms: u64,
@@ -36,26 +36,26 @@
     waiters: Vec<InstanceId>,
 }
 
-/// The end of one attempt on its way to the seats.
+/// Outcome of one attempt that not all seats have acknowledged yet.
 #[derive(Debug)]
 struct RecordSend {
     ticket: DispatchTicket,
     outcome: RecordedOutcome,
-    /// Seats of the present generation that remember it.
+    /// Seats of the current generation that have acknowledged the record.
     acked: BTreeSet<InstanceId>,
     tries: u32,
     wake: Duration,
 }
 
-/// What became of every attempt offered to or fenced by this executor.
+/// States of all attempts offered to or fenced by this executor.
 #[derive(Debug, Default)]
 pub(crate) struct WorkLedger {
     works: BTreeMap<AttemptId, WorkEntry>,
     ages: BTreeSet<(u64, AttemptId)>,
-    /// The attempts with a kept reply, by age.
+    /// Attempts with a stored reply, by age.
     replied: BTreeSet<(u64, AttemptId)>,
-    /// Attempts with an older stamp may have been forgotten: they are neither run nor called "not
-    /// run".
+    /// Attempts with an older stamp may have been dropped, so the executor neither runs them nor
+    /// reports them as "not run".
     watermark_ms: u64,
     reply_bytes: usize,
     records: BTreeMap<AttemptId, RecordSend>,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Forgets the oldest attempt that is not running, and all claims to know about its age.
+    /// Drops the oldest attempt that is not running, and raises the watermark above its stamp.
     fn forget_oldest(&mut self, newest: AttemptId) {
         let over = |(_, attempt): &&(u64, AttemptId)| {
             let work = self.works.get(attempt);
@@ -296,7 +296,7 @@
         }
     }
 
-    /// The seats changed: every record not complete goes to all of them.
+    /// Restarts every unfinished record of a range whose seats have changed.
     pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
         let of_range = |send: &&RecordSend| turn.range_of(send.ticket.key) == range;
         let sends = self.records.values().filter(of_range);
@@ -324,13 +324,13 @@
         self.wakes.first().map(|(wake, _)| *wake)
     }
 
-    /// Whether the seats know the end of every attempt that ended here.
+    /// Returns whether the seats have acknowledged the outcome of every attempt that ended here.
     pub(crate) fn recorded(&self) -> bool {
         self.records.is_empty()
     }
 }
 
-/// Whether the caller has given up for certain, whatever the clocks.
+/// Returns whether the deadline of the caller has passed even if the clocks differ by `clock_skew`.
 fn is_late(turn: &GuardTurn<'_>, ticket: &DispatchTicket) -> bool {
     turn.wall_ms() > ticket.expires_ms + millis(turn.view.settings.clock_skew)
 }
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,8 +1,9 @@
-//! At-most-once execution of non-idempotent requests, with no store and no clock agreement.
+//! At-most-once execution of non-idempotent requests, without a database or synchronized clocks.
 //!
-//! Every key belongs to a range, and every range has a *generation*: a few seats, each held by one
-//! life of one node. A request is dispatched only after **every** seat of the current generation
-//! granted its attempt, so every surviving seat knows every key that may ever have run:
+//! Every idempotency key belongs to a range. A *generation* of a range is a numbered set of
+//! replicas, called *seats*; each seat is held by one instance, that is, one run of a node's
+//! process. The ingress dispatches a request only after **every** seat of the current generation
+//! has granted its attempt, so every surviving seat has a record of every key that may have run:
 //!
 //! ```text
 //! caller -> ingress (KeyClient)      seats (KeySeat) x3            executor (WorkLedger)
@@ -13,15 +14,18 @@
 //!             |                          |<-- Record(ran, reply) ----------|
 //! ```
 //!
-//! A resend finds the earlier attempt at any seat. It gets the kept reply, joins the running
-//! attempt, or replaces an attempt that is *dead*: withdrawn by its ingress, or fenced by its
-//! executor. Dead attempts never run. Where nobody can say, the answer is "unknown", the key is
-//! never run again, and the case is counted.
+//! Any seat can point a resend to the earlier attempt. The resend then gets the stored reply, waits
+//! for the running attempt, or replaces an attempt that is *dead*: withdrawn by its ingress, or
+//! fenced by its executor. Dead attempts never run. If the outcome of an attempt cannot be
+//! determined, the ingress answers "unknown", increments a counter, and the key never runs again.
 //!
-//! A lost or leaving seat is replaced by the next generation, which the seats of the present one
-//! choose by ballots (module `change`); the log service decides only when too many seats are
-//! lost. The logic is pure: [`GuardNode::handle`] takes an event and the time and returns
-//! commands.
+//! To replace a lost or leaving seat, the seats of the current generation elect the next one by
+//! ballot (module `change`), and the new seat copies the records of an earlier one (module
+//! `custody`). Only when too many seats are lost does the range need the log service, in which a
+//! *founding record* starts a new epoch of the range (module `founding`).
+//!
+//! The crate performs no I/O: [`GuardNode::handle`] takes an event and the current time, and
+//! appends the resulting commands.
 
 pub mod ballot;
 mod change;
--- a/crates/guard/src/map.rs
+++ b/crates/guard/src/map.rs
@@ -1,4 +1,4 @@
-//! Ranges, their generations and their seats.
+//! Map from ranges to their generations and seats, and the placement of seats.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,17 +8,17 @@
 
 use crate::key::RangeId;
 
-/// Version of a range's set of seats. Later ones replace earlier ones.
+/// Version of the seats of a range. A later generation replaces earlier ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RangeGeneration {
-    /// Counts foundings through the log.
+    /// Number of times the range was founded again through the log.
     pub epoch: u32,
-    /// Counts changes since the founding, chosen by the seats themselves.
+    /// Number of changes that the seats have chosen by ballot since the founding.
     pub number: u32,
 }
 
 impl RangeGeneration {
-    /// The generation that the seats of this one may choose.
+    /// Returns the generation that the seats of this one may choose by ballot.
     #[must_use]
     pub const fn next(self) -> Self {
         Self {
@@ -34,25 +34,25 @@
     }
 }
 
-/// A range's seats in one generation. Only chosen or founded generations are written as entries.
+/// Seats of a range in one generation. Entries exist only for chosen or founded generations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeEntry {
-    /// The range.
+    /// Range that the seats serve.
     pub range: RangeId,
-    /// The generation.
+    /// Version of this entry.
     pub generation: RangeGeneration,
-    /// The seats, in order.
+    /// Instances that hold the seats, in the order in which they act as proposers and founders.
     pub seats: Vec<InstanceId>,
-    /// Where a new seat finds the memory: the seats of the generation before, or the survivor named
-    /// in the founding record. Empty when there is nothing to take over.
+    /// Instances from which a new seat copies the records: the seats of the previous generation, or
+    /// the survivor named in the founding record. Empty if there are no records to copy.
     pub prior: Vec<InstanceId>,
-    /// Keys older than this that no seat knows are never run, in milliseconds since the Unix epoch.
-    /// From the founding.
+    /// Time from the founding record, in milliseconds since the Unix epoch. Older keys without a
+    /// record are never run.
     pub watermark_ms: u64,
 }
 
 impl RangeEntry {
-    /// The entry of the generation that follows with these seats.
+    /// Returns the entry of the next generation with these seats.
     #[must_use]
     pub fn successor(&self, seats: Vec<InstanceId>) -> Self {
         Self {
@@ -65,28 +65,29 @@
     }
 }
 
-/// Founds an epoch of a range in the log. The first record of a range and epoch wins.
+/// Log record that starts an epoch of a range. The first record of a range and epoch wins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FoundingRecord {
-    /// The range.
+    /// Range that is founded.
     pub range: RangeId,
-    /// The epoch it founds.
+    /// Epoch that this record starts.
     pub epoch: u32,
-    /// The seats of its generation 0.
+    /// Seats of generation 0 of the epoch.
     pub seats: Vec<InstanceId>,
-    /// The surviving seat of the epoch before, whose memory the others copy; None when nothing
-    /// survived.
+    /// Surviving seat of the previous epoch, from which the other seats copy the records. `None` if
+    /// no seat with records survived.
     pub source: Option<InstanceId>,
-    /// Keys older than this that no seat knows may have run before and are never run, in
-    /// milliseconds since the Unix epoch.
+    /// Time in milliseconds since the Unix epoch. Older keys without a record may have run in an
+    /// earlier epoch and are never run.
     pub watermark_ms: u64,
-    /// Whether a node that read the winning record wrote this copy, to outlive the log's retention.
-    /// A copy wins over other first records when the log's beginning is gone.
+    /// Whether this is a copy of the winning record, written to outlast the retention of the log. A
+    /// node that reads the log prefers a copy to an earlier record of the same epoch, because the
+    /// log may no longer hold the winning record itself.
     pub copy: bool,
 }
 
 impl FoundingRecord {
-    /// Generation 0 of the epoch.
+    /// Returns the entry of generation 0 of the epoch.
     #[must_use]
     pub fn entry(&self) -> RangeEntry {
         RangeEntry {
@@ -102,20 +103,21 @@
     }
 }
 
-/// The newest known generation of every range.
+/// Newest known entry of every range.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeMap {
     entries: BTreeMap<RangeId, RangeEntry>,
 }
 
 impl RangeMap {
-    /// The newest known entry of a range.
+    /// Returns the newest known entry of a range, or `None` if the range is not known to be
+    /// founded.
     #[must_use]
     pub fn get(&self, range: RangeId) -> Option<&RangeEntry> {
         self.entries.get(&range)
     }
 
-    /// Takes an entry in when it is newer than the known one. Tells whether it was.
+    /// Stores an entry if it is newer than the known one. Returns whether the entry was stored.
     pub fn adopt(&mut self, entry: RangeEntry) -> bool {
         let known = self.entries.get(&entry.range);
         if known.is_some_and(|known| known.generation >= entry.generation) {
@@ -125,13 +127,13 @@
         true
     }
 
-    /// All entries in the order of their ranges.
+    /// Iterates over all entries in the order of their ranges.
     pub fn iter(&self) -> std::collections::btree_map::Values<'_, RangeId, RangeEntry> {
         self.entries.values()
     }
 
-    /// One hash over ranges and generations for each [`BUCKET_RANGES`] ranges: equal maps have equal
-    /// hashes, and maps that differ in few ranges differ in few hashes.
+    /// Returns one hash of ranges and generations per bucket of [`BUCKET_RANGES`] ranges. Maps that
+    /// differ in few ranges differ in few hashes.
     #[must_use]
     pub fn digests(&self, ranges: u16) -> Vec<u64> {
         let buckets = bucket_of(RangeId(ranges.saturating_sub(1))) + 1;
@@ -148,10 +150,10 @@
     }
 }
 
-/// Ranges that share one hash when two nodes compare their maps.
+/// Number of ranges that share one hash when two nodes compare their maps.
 pub const BUCKET_RANGES: u16 = 64;
 
-/// The bucket of a range.
+/// Returns the index of the bucket that holds a range.
 #[must_use]
 pub fn bucket_of(range: RangeId) -> usize {
     usize::from(range.0 / BUCKET_RANGES)
@@ -166,11 +168,11 @@
     }
 }
 
-/// Picks seats for a range by rendezvous hashing: those already taken stay, new ones come from
-/// failure domains that have none yet as far as possible.
+/// Selects the seats of a range by rendezvous hashing. The `kept` seats stay, and new seats are
+/// placed in the failure domains that hold the fewest seats of the range.
 ///
-/// Every node computes the same choice from the same candidates, and a node that joins or leaves
-/// moves only the seats it gains or loses.
+/// Every node computes the same placement from the same candidates. A node that joins or leaves
+/// moves only the seats that it gains or loses.
 #[must_use]
 pub fn place_seats(
     range: RangeId,
@@ -204,8 +206,8 @@
         .map(|(instance, _)| *instance)
 }
 
-/// Rendezvous rank of a node for a range: the node, not its life, so that a replacement on the
-/// same node is placed alike.
+/// Returns the rendezvous rank of an instance for a range. The rank depends on the node and not on
+/// its incarnation, so a restarted node gets the same placement.
 fn rank(range: RangeId, instance: InstanceId) -> u64 {
     stable_hash(&[&range.0.to_le_bytes(), &instance.node.0.to_le_bytes()])
 }
--- a/crates/guard/src/members.rs
+++ b/crates/guard/src/members.rs
@@ -1,20 +1,20 @@
-//! The members of the fleet as the roster tells.
+//! Members of the fleet, as reported by the roster.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use sycamorelink_core::{DomainName, InstanceId, NodeId, NodeIncarnation};
 
-/// One life of one node, as the roster tells.
+/// State of one instance, as reported by the roster.
 #[derive(Clone, Debug)]
 struct MemberState {
     domain: DomainName,
-    /// Since when it is suspected.
+    /// Start of the current suspicion; `None` while the member is up.
     down_since: Option<Duration>,
     draining: bool,
 }
 
-/// All known members.
+/// All known members, and the instances known to have ended.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<InstanceId, MemberState>,
@@ -23,7 +23,7 @@
 }
 
 impl MemberTable {
-    /// Lists a member as alive. Earlier lives of the node have ended.
+    /// Lists a member as alive. Earlier instances of the node have ended.
     pub(crate) fn up(&mut self, instance: InstanceId, domain: DomainName) {
         if self.is_gone(instance) {
             return;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether this life has certainly ended: a later life of the node was met, or an operator or
-    /// its own goodbye said so. Suspicion is never enough.
+    /// Returns whether this instance has certainly ended: a later instance of the node was listed,
+    /// an operator confirmed the end, or the instance announced it. Suspicion is never enough.
     pub(crate) fn is_gone(&self, instance: InstanceId) -> bool {
         let newest = self.newest.get(&instance.node);
         newest.is_some_and(|newest| *newest > instance.incarnation)
@@ -73,28 +73,28 @@
             .is_some_and(|member| member.draining)
     }
 
-    /// Whether the member is listed and not suspected.
+    /// Returns whether the member is listed and not suspected.
     pub(crate) fn is_up(&self, instance: InstanceId) -> bool {
         self.members
             .get(&instance)
             .is_some_and(|member| member.down_since.is_none())
     }
 
-    /// Whether the member has ended or is suspected.
+    /// Returns whether the member has ended or is suspected.
     pub(crate) fn is_down(&self, instance: InstanceId) -> bool {
         let member = self.members.get(&instance);
         self.is_gone(instance) || member.is_some_and(|member| member.down_since.is_some())
     }
 
-    /// Whether the member has ended, or was suspected for at least `wait`.
+    /// Returns whether the member has ended, or has been suspected for at least `wait`.
     ///
-    /// A seat never heard of counts as present: it may be one the roster has not told of yet.
+    /// An unknown member counts as present, because the roster may not have reported it yet.
     pub(crate) fn is_lost(&self, now: Duration, instance: InstanceId, wait: Duration) -> bool {
         let since = self.members.get(&instance).and_then(|it| it.down_since);
         self.is_gone(instance) || since.is_some_and(|since| now >= since + wait)
     }
 
-    /// Members that are up, in order.
+    /// Iterates over the members that are up, in order.
     pub(crate) fn up_members(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.members
             .iter()
@@ -102,12 +102,12 @@
             .map(|(instance, _)| *instance)
     }
 
-    /// Every member not known to have ended, in order.
+    /// Iterates over all members that are not known to have ended, in order.
     pub(crate) fn all(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.members.keys().copied()
     }
 
-    /// Members that may take a new seat.
+    /// Returns the members that may take a new seat, with their failure domains.
     pub(crate) fn candidates(&self) -> BTreeMap<InstanceId, DomainName> {
         self.members
             .iter()
--- a/crates/guard/src/message.rs
+++ b/crates/guard/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between the guards of different nodes.
 //!
-//! Every message may be lost, late, repeated or overtaken. Requests are sent again until answered,
-//! answers name the request they belong to, and handling a message twice changes nothing.
+//! Messages may be lost, delayed, duplicated or reordered. Senders repeat requests until they are
+//! answered, replies name the request they belong to, and all handlers are idempotent.
 
 use std::sync::Arc;
 
@@ -13,318 +13,319 @@
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::store::{KeyRecord, RecordedOutcome};
 
-/// An attempt and where it can be asked about.
+/// Attempt with its ingress and executor, which know its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptHolder {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The node that asked for it.
+    /// Instance that claimed the key.
     pub ingress: InstanceId,
-    /// The only node that may run it.
+    /// Only instance that may run the attempt.
     pub executor: InstanceId,
-    /// Time of the key, or of the first claim of a key without time, in milliseconds since the
+    /// Time of the key, or of the first claim for a key without a time, in milliseconds since the
     /// Unix epoch.
     pub stamp_ms: u64,
 }
 
-/// Asks a seat for its grant.
+/// Request for the grant of a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The key.
+    /// Key to be granted.
     pub key: KeyId,
-    /// Route and body.
+    /// Hash of method, target and body of the request.
     pub fingerprint: KeyFingerprint,
-    /// The generation whose grants are collected.
+    /// Generation whose grants the ingress collects.
     pub generation: RangeGeneration,
-    /// Who asks for what.
+    /// Attempt that claims the key.
     pub holder: AttemptHolder,
-    /// Attempts that certainly never run: each stands for itself and the lower numbers of its
-    /// request.
+    /// Attempts that certainly never run. Each entry also covers the lower numbers of its request.
     pub dead: Vec<AttemptId>,
 }
 
-/// A seat's answer to a claim.
+/// Answer of a seat to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SeatVerdict {
-    /// The key is this attempt's; no other attempt gets this seat's grant while it lives.
+    /// The attempt holds the key. The seat grants no other attempt unless this one is dead.
     Granted,
-    /// Another attempt has the grant.
+    /// Another attempt holds the key.
     Held(AttemptHolder),
-    /// An attempt ran.
+    /// An attempt ran. The reply is `None` if it is not stored.
     Ran(Option<Arc<[u8]>>),
-    /// An attempt may have run; nobody will ever know.
+    /// An attempt may have run, and its outcome is lost.
     Closed,
     /// The key was used with another fingerprint.
     Reused,
-    /// The key is older than the seat's memory.
+    /// The key is so old that its record may have been dropped.
     Expired,
-    /// The key's time is too far ahead, and the seat does not know the key.
+    /// The seat has no record of the key, and the key's time is too far in the future.
     Ahead,
-    /// The seat does not serve this generation (yet, or any more).
+    /// The seat does not serve this generation, either not yet or no longer.
     NotServing,
 }
 
-/// What an ingress says about an attempt of its own.
+/// State of an attempt according to its ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ContestState {
     /// This attempt and the lower numbers of its request never run.
     Withdrawn(AttemptId),
-    /// The request keeps collecting grants; the asker has to withdraw.
+    /// The request continues to collect grants with this attempt.
     Claiming(AttemptHolder),
     /// The attempt was dispatched.
     Dispatched(AttemptHolder),
-    /// The request is over here; ask the executor.
+    /// The ingress does not hold the request any longer. Only the executor knows the state.
     Unheard,
 }
 
-/// What an executor says about an attempt.
+/// State of an attempt according to its executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkState {
-    /// It never ran and never will.
+    /// The attempt never ran and never will.
     Fenced,
-    /// It was not offered yet (the asker did not ask for a fence).
+    /// The attempt was not offered yet, and the inquiry did not request a fence.
     NeverSeen,
-    /// It is running.
+    /// The attempt is running.
     Running,
-    /// It ran.
+    /// The attempt ran. The reply is `None` if it is not stored.
     Ran(Option<Arc<[u8]>>),
-    /// It may have run, or was forgotten.
+    /// The attempt may have run, or the executor has dropped its state.
     Unknown,
 }
 
-/// One message.
+/// Message between two guards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardMessage {
-    /// Ingress to seat.
+    /// Ingress to seat: requests a grant.
     Claim(ClaimRequest),
-    /// Seat to ingress.
+    /// Seat to ingress: answers `Claim`.
     ClaimReply {
-        /// The key.
+        /// Claimed key.
         key: KeyId,
-        /// The attempt that claimed.
+        /// Attempt that claimed the key.
         attempt: AttemptId,
-        /// The generation named in the claim.
+        /// Generation named in the claim.
         generation: RangeGeneration,
-        /// The answer.
+        /// Decision of the seat.
         verdict: SeatVerdict,
     },
-    /// Ingress to seat: the attempt is dead, its grant is void.
+    /// Ingress to seat: the attempt is dead, and its grant is void.
     Release {
-        /// The key.
+        /// Key held by the attempt.
         key: KeyId,
-        /// The attempt; stands for the lower numbers of its request too.
+        /// Dead attempt. Also covers the lower numbers of its request.
         attempt: AttemptId,
     },
-    /// Ingress to seat: the executor of the attempt has ended, nobody will know whether it ran.
+    /// Ingress to seat: the attempt may have run, and its outcome is lost.
     Close {
-        /// The key.
+        /// Key to close.
         key: KeyId,
-        /// The attempt.
+        /// Attempt that may have run.
         attempt: AttemptId,
     },
-    /// Ingress to ingress: what about this attempt of yours?
+    /// Ingress to ingress: queries the state of an attempt.
     Contest {
-        /// The key.
+        /// Key that both ingresses claim.
         key: KeyId,
-        /// The attempt asked about.
+        /// Attempt of the receiver.
         theirs: AttemptId,
-        /// The asker's own claim, when it has one.
+        /// Claim of the sender; `None` if it only waits.
         mine: Option<AttemptHolder>,
     },
     /// Answer to `Contest`.
     ContestReply {
-        /// The key.
+        /// Key that both ingresses claim.
         key: KeyId,
-        /// The attempt asked about.
+        /// Attempt named in the query.
         theirs: AttemptId,
-        /// The answer.
+        /// State of that attempt.
         state: ContestState,
     },
-    /// Ingress to executor: what became of this attempt?
+    /// Ingress to executor: queries the state of an attempt.
     Inquire {
-        /// The key.
+        /// Key of the attempt.
         key: KeyId,
-        /// The attempt asked about.
+        /// Attempt in question.
         holder: AttemptHolder,
-        /// Whether an attempt never offered has to be fenced.
+        /// Whether the executor has to fence the attempt if it was never offered.
         fence: bool,
     },
     /// Answer to `Inquire`.
     InquireReply {
-        /// The key.
+        /// Key of the attempt.
         key: KeyId,
-        /// The attempt asked about.
+        /// Attempt in question.
         attempt: AttemptId,
-        /// The answer.
+        /// State of the attempt.
         state: WorkState,
     },
-    /// Executor to seat: how an attempt ended.
+    /// Executor to seat: reports the outcome of an attempt.
     Record {
-        /// The key.
+        /// Key of the attempt.
         key: KeyId,
-        /// The attempt's record, without grants.
+        /// Hash of method, target and body of the request.
         fingerprint: KeyFingerprint,
-        /// The attempt.
+        /// Attempt that ended.
         holder: AttemptHolder,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: RecordedOutcome,
     },
-    /// Seat to executor: recorded in this generation.
+    /// Seat to executor: acknowledges `Record`.
     RecordAck {
-        /// The attempt.
+        /// Attempt whose outcome is stored.
         attempt: AttemptId,
-        /// The generation the seat serves.
+        /// Generation that the seat serves.
         generation: RangeGeneration,
     },
-    /// Seat to seat: first phase of choosing the next generation.
+    /// Seat to seat: first phase of the ballot for the next generation.
     Prepare {
-        /// The present generation.
+        /// Current generation.
         entry: RangeEntry,
-        /// The proposer's ballot.
+        /// Ballot of the proposer.
         ballot: RangeBallot,
-        /// The seats the proposer wants, unless others were accepted before.
+        /// Seats that the proposer wants, unless others were accepted before.
         wanted: Vec<InstanceId>,
     },
-    /// Answer to `Prepare`: as this seat sees it, a seat that is to go is well, or one that is to
-    /// come is not.
+    /// Answer to `Prepare`: the sender sees a seat as up that would be removed, or a member as down
+    /// that would be added.
     Declined {
-        /// The range.
+        /// Range of the ballot.
         range: RangeId,
-        /// The present generation.
+        /// Current generation.
         generation: RangeGeneration,
-        /// The ballot declined.
+        /// Declined ballot.
         ballot: RangeBallot,
-        /// The seat in question.
+        /// Member that the objection concerns.
         seat: InstanceId,
     },
-    /// Answer to `Prepare`.
+    /// Answer to `Prepare`: the sender ignores lower ballots from now on.
     Promise {
-        /// The range.
+        /// Range of the ballot.
         range: RangeId,
-        /// The present generation.
+        /// Current generation.
         generation: RangeGeneration,
-        /// The ballot promised.
+        /// Promised ballot.
         ballot: RangeBallot,
-        /// The seats accepted before under the highest ballot.
+        /// Seats accepted before, with the highest ballot in which they were accepted.
         accepted: Option<(RangeBallot, Vec<InstanceId>)>,
-        /// Whether the seat holds the range's memory.
+        /// Whether the sender holds the records of the range.
         ready: bool,
     },
-    /// Second phase: accept these seats and stop granting.
+    /// Seat to seat: second phase of the ballot, asks to accept the seats.
     Accept {
-        /// The present generation.
+        /// Current generation.
         entry: RangeEntry,
-        /// The proposer's ballot.
+        /// Ballot of the proposer.
         ballot: RangeBallot,
-        /// The seats of the next generation.
+        /// Seats of the next generation.
         seats: Vec<InstanceId>,
     },
-    /// Answer to `Accept`.
+    /// Answer to `Accept`: the sender accepted the seats.
     Accepted {
-        /// The range.
+        /// Range of the ballot.
         range: RangeId,
-        /// The present generation.
+        /// Current generation.
         generation: RangeGeneration,
-        /// The ballot accepted.
+        /// Accepted ballot.
         ballot: RangeBallot,
     },
-    /// Answer to `Prepare` or `Accept`: a higher ballot was promised.
+    /// Answer to `Prepare` or `Accept`: the sender promised a higher ballot.
     Outbid {
-        /// The range.
+        /// Range of the ballot.
         range: RangeId,
-        /// The present generation.
+        /// Current generation.
         generation: RangeGeneration,
-        /// The ballot promised.
+        /// Higher ballot that was promised.
         promised: RangeBallot,
     },
-    /// Newest known generations.
+    /// Newest known entries of some ranges.
     Map {
-        /// The entries.
+        /// Entries for the receiver to adopt.
         entries: Vec<RangeEntry>,
     },
-    /// New seat to earlier seat: hand over the range's memory, from this key on.
+    /// New seat to earlier seat: requests the next records of the range.
     CustodyRequest {
-        /// The generation of the new seat. The receiver adopts it first, and so stops granting
-        /// under the one before.
+        /// Generation of the new seat. The receiver adopts it before it answers, and thereby stops
+        /// granting under the previous one.
         entry: RangeEntry,
-        /// The last key received.
+        /// Last key received; `None` for the first request.
         after: Option<KeyId>,
     },
-    /// One part of the range's memory.
+    /// Answer to `CustodyRequest`: a chunk of the records of the range.
     Custody {
-        /// The range.
+        /// Range of the records.
         range: RangeId,
-        /// The generation of the new seat.
+        /// Generation of the new seat.
         generation: RangeGeneration,
-        /// The last key received, as in the request.
+        /// Last key received, as in the request.
         after: Option<KeyId>,
-        /// The sender's watermark at this moment, in milliseconds since the Unix epoch.
+        /// Current watermark of the sender, in milliseconds since the Unix epoch.
         watermark_ms: u64,
-        /// The records, in the order of their keys.
+        /// Records in the order of their keys.
         records: Vec<(KeyId, KeyRecord)>,
-        /// Whether no more follow.
+        /// Whether this is the last chunk.
         done: bool,
     },
-    /// Answer to `CustodyRequest` by a node that does not hold the range's memory.
+    /// Answer to `CustodyRequest` by a node that does not hold the records of the range.
     CustodyNone {
-        /// The range.
+        /// Requested range.
         range: RangeId,
-        /// The generation of the new seat.
+        /// Generation of the new seat.
         generation: RangeGeneration,
     },
-    /// Leaving seat to its successors: are you ready?
+    /// Retired seat to its successors: asks whether they hold the records.
     ReadyAsk {
-        /// The generation of the successors.
+        /// Generation of the successors.
         entry: RangeEntry,
     },
     /// Answer to `ReadyAsk`.
     ReadyReply {
-        /// The range.
+        /// Range in question.
         range: RangeId,
-        /// The generation asked about.
+        /// Generation in question.
         generation: RangeGeneration,
-        /// Whether the seat holds the range's memory.
+        /// Whether the seat holds the records of the range.
         ready: bool,
     },
-    /// Founder to every member: do you know anything newer of this range?
+    /// Founder to every member: asks for newer generations of a lost range.
     Poll {
-        /// The newest generation the founder knows.
+        /// Newest generation that the founder knows.
         entry: RangeEntry,
-        /// Whether the receiver has to promise to take no part in this epoch any more.
+        /// Whether the receiver has to promise not to take part in this epoch any longer.
         fence: bool,
     },
-    /// Answer to `Poll` by a member that knows nothing newer.
+    /// Answer to `Poll` by a member that knows no newer generation.
     PollReply {
-        /// The range.
+        /// Range in question.
         range: RangeId,
-        /// The generation asked about.
+        /// Generation in question.
         generation: RangeGeneration,
-        /// Whether the member promised.
+        /// Whether the member made the promise.
         fenced: bool,
-        /// Whether the member is a seat that holds the range's memory.
+        /// Whether the member is a seat that holds the records of the range.
         ready: bool,
     },
-    /// To a random peer: hashes of the sender's map.
+    /// Node to a random peer: offers hashes of the map for comparison.
     Exchange {
-        /// The hash of each bucket of ranges.
+        /// Hash of each bucket of ranges.
         digests: Vec<u64>,
     },
-    /// The maps differ: the sender's generations.
+    /// Answer to `Exchange` if the maps differ: the generations known to the sender.
     Generations {
-        /// The buckets that differ.
+        /// Buckets that differ.
         buckets: Vec<u16>,
-        /// Range and newest generation, in the order of the ranges.
+        /// Ranges with their newest generations, in the order of the ranges.
         known: Vec<(RangeId, RangeGeneration)>,
-        /// Whether the receiver has to send its own list when it lacks something.
+        /// Whether the receiver has to reply with its own list if one of these generations is newer
+        /// than its own.
         answer: bool,
     },
-    /// A message that takes a way around a cut connection. The answer goes back the same way.
+    /// Message sent through a third node, because the direct link may be cut. Replies take the same
+    /// path back.
     Relay {
-        /// Who sent it.
+        /// Instance that sent the message.
         origin: InstanceId,
-        /// Who is to handle it.
+        /// Instance that has to handle the message.
         target: InstanceId,
-        /// The message.
+        /// Relayed message.
         message: Box<GuardMessage>,
     },
 }
--- a/crates/guard/src/node.rs
+++ b/crates/guard/src/node.rs
@@ -1,4 +1,4 @@
-//! One node's part in the guard: client, seats, ledger and foundings put together.
+//! Guard of one node: combines the client, seats, ledger, founding and map exchange.
 
 use std::time::Duration;
 
@@ -15,23 +15,24 @@
 /// Counters for metrics and status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GuardCounts {
-    /// Requests admitted.
+    /// Requests admitted since the start.
     pub admitted: u64,
-    /// Tickets granted.
+    /// Tickets granted since the start.
     pub granted: u64,
-    /// Answers "unknown".
+    /// Requests answered "unknown" since the start.
     pub unknown: u64,
-    /// Keys remembered as a seat.
+    /// Keys currently stored as a seat.
     pub keys: usize,
-    /// Reply bytes kept as a seat.
+    /// Size of the replies currently stored as a seat, in bytes.
     pub reply_bytes: usize,
-    /// Seats held and serving.
+    /// Seats that this node currently serves.
     pub seats: usize,
-    /// Ranges whose seats cannot go on without the log, as far as this node knows.
+    /// Ranges that cannot serve until they are founded again through the log, as far as this node
+    /// knows.
     pub closed_ranges: usize,
 }
 
-/// One node's part in the guard.
+/// Guard state machine of one node.
 #[derive(Debug)]
 pub struct GuardNode {
     view: NodeView,
@@ -41,7 +42,7 @@
 }
 
 impl GuardNode {
-    /// Starts with nothing remembered.
+    /// Creates a guard without any records. The seed initialises the random number generator.
     #[must_use]
     pub fn new(identity: GuardIdentity, settings: GuardSettings, seed: u64) -> Self {
         Self {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Handles one event at `now`, in this node's time, and appends the commands that follow. Does
-    /// what is due as well, whatever the event.
+    /// Handles one event at `now`, in this node's monotonic time, and appends the resulting
+    /// commands. Every event also runs the timers that are due.
     pub fn handle(&mut self, now: Duration, event: GuardEvent, out: &mut Vec<GuardCommand>) {
         let mut turn = GuardTurn {
             now,
@@ -74,7 +75,7 @@
         self.check_drained(out);
     }
 
-    /// When `Tick` is due, in this node's time.
+    /// Returns the time at which the next `Tick` is due, in this node's monotonic time.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
         let client = self.parts.client.next_wake();
@@ -83,25 +84,25 @@
         Some(wakes.fold(self.pulse_at, Duration::min))
     }
 
-    /// Who this node is.
+    /// Returns the identity given at creation.
     #[must_use]
     pub fn identity(&self) -> &GuardIdentity {
         &self.view.identity
     }
 
-    /// The settings.
+    /// Returns the settings given at creation.
     #[must_use]
     pub fn settings(&self) -> &GuardSettings {
         &self.view.settings
     }
 
-    /// The newest known generations.
+    /// Returns the newest known generations of all ranges.
     #[must_use]
     pub fn map(&self) -> &RangeMap {
         &self.view.map
     }
 
-    /// Counters for metrics and status.
+    /// Returns the counters for metrics and status.
     #[must_use]
     pub fn counts(&self) -> GuardCounts {
         let seats = self.parts.seats.seats.values();
--- a/crates/guard/src/parts.rs
+++ b/crates/guard/src/parts.rs
@@ -1,4 +1,4 @@
-//! Routes events and messages to the parts of a node.
+//! Dispatch of events and messages to the components of a node.
 
 use sycamorelink_core::InstanceId;
 
@@ -15,7 +15,7 @@
 use crate::turn::GuardTurn;
 use crate::vote::{DeclineVote, PromiseVote};
 
-/// The parts of a node.
+/// Components of a node.
 #[derive(Debug, Default)]
 pub(crate) struct NodeParts {
     pub(crate) client: KeyClient,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Messages between ingress, seats and executor.
+    /// Handles messages between ingress, seats and executor, and passes others on.
     pub(crate) fn take_message(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Messages about generations.
+    /// Handles the messages of ballots, and passes others on.
     fn take_range_message(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Messages that spread the map, hand over memory, or poll.
+    /// Handles messages of the map exchange, custody transfers and polls.
     fn take_map_message(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Passes a message on, or handles it and sends the answers back the same way.
+    /// Forwards a relayed message, or handles it and sends the replies back through the relay.
     fn relay(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -317,7 +317,7 @@
         }
     }
 
-    /// A member polls about a range; see [`crate::founding`].
+    /// Answers a founder's poll about a range; see [`crate::founding`].
     fn answer_poll(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -345,7 +345,8 @@
         turn.send(from, reply);
     }
 
-    /// Takes in a generation that this node's proposal completed, and tells those concerned.
+    /// Adopts a generation that this node's proposal completed, and sends the entry to its previous
+    /// and new seats.
     pub(crate) fn choose(&mut self, turn: &mut GuardTurn<'_>, chosen: Option<RangeEntry>) {
         let Some(entry) = chosen else {
             return;
@@ -370,7 +371,7 @@
         }
     }
 
-    /// Takes in a generation when it is newer than the known one.
+    /// Adopts an entry if it is newer than the known one. Returns whether it was adopted.
     fn adopt(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) -> bool {
         if !turn.view.map.adopt(entry.clone()) {
             return false;
@@ -389,7 +390,7 @@
         true
     }
 
-    /// Periodic work.
+    /// Runs the periodic work of seats, map exchange and founding.
     pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>) {
         let chosen = self.seats.pulse(turn);
         for entry in chosen {
--- a/crates/guard/src/request.rs
+++ b/crates/guard/src/request.rs
@@ -1,6 +1,6 @@
-//! One request at its ingress: what it is at, and how each message moves it.
+//! State machine of one request at its ingress.
 //!
-//! The rival part, when two sends of one key meet, is in [`crate::contest`].
+//! The transitions for two concurrent sends of the same key are in [`crate::contest`].
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use crate::message::{AttemptHolder, ClaimRequest, GuardMessage, SeatVerdict};
 use crate::turn::{GuardTurn, millis};
 
-/// Another send of the same key that a seat named.
+/// Another send of the same key, reported by a seat.
 #[derive(Clone, Debug)]
 pub(crate) struct RivalState {
     pub(crate) holder: AttemptHolder,
-    /// Questions to its ingress without an answer.
+    /// Number of queries that were not answered.
     pub(crate) silent: u32,
-    /// Its ingress answered that the request is over there.
+    /// Whether its ingress answered that it no longer holds the request.
     pub(crate) unheard: bool,
 }
 
@@ -35,25 +35,25 @@
     }
 }
 
-/// Collecting grants.
+/// Progress of collecting the grants for one attempt.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimRound {
-    /// The generation asked; None while the range's seats are unknown.
+    /// Generation whose seats are asked; `None` while the seats of the range are unknown.
     pub(crate) entry: Option<RangeEntry>,
     /// Seats that granted.
     pub(crate) granted: BTreeSet<InstanceId>,
-    /// Seats that found the key's time too far ahead.
+    /// Seats that rejected the key because its time is too far in the future.
     pub(crate) ahead: BTreeSet<InstanceId>,
     pub(crate) rival: Option<RivalState>,
 }
 
 impl ClaimRound {
-    /// Whether it is certain that no attempt of this key ran.
+    /// Returns whether certainly no attempt of this key has run.
     ///
-    /// A majority of one generation found the key empty, or held by dead attempts only. The next
-    /// generation keeps one of these seats, which now guards the key for this request; an earlier
-    /// generation is complete in the memory of each. One seat alone would not do: it may have been
-    /// replaced without knowing.
+    /// A majority of one generation must have found the key unused, or held only by dead attempts.
+    /// The next generation keeps at least one of these seats, which now holds the key for this
+    /// request, and each of them has all records of earlier generations. A single seat is not
+    /// enough, because it may have been replaced without its knowledge.
     fn is_clean(&self) -> bool {
         let clean = self.granted.len() + self.ahead.len();
         let seats = self.entry.as_ref().map(|entry| entry.seats.len());
@@ -61,23 +61,23 @@
     }
 }
 
-/// What a request is at.
+/// Phase of a request.
 #[derive(Debug)]
 pub(crate) enum RequestPhase {
-    /// Collecting grants for the present attempt.
+    /// The ingress collects grants for the current attempt.
     Claiming(ClaimRound),
-    /// Waiting for another send of the same key. The present attempt is not claimed yet, the lower
-    /// numbers are dead.
+    /// The request waits for another send of the same key. The current attempt is not claimed yet,
+    /// and those with lower numbers are dead.
     Joining(RivalState),
-    /// The ticket is out.
+    /// The engine has the ticket and dispatches the request.
     Dispatched(DispatchTicket),
-    /// The dispatch's outcome was lost; asking the executor.
+    /// The outcome of the dispatch was lost, and the ingress queries the executor.
     Resolving(DispatchTicket),
-    /// The attempt is fenced; waiting for `Redirect` or `Settled`.
+    /// The attempt is fenced, and the ingress waits for `Redirect` or `Settled`.
     Reoffered,
 }
 
-/// One request.
+/// Request that the ingress has admitted and not finished.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) request: RequestId,
@@ -94,7 +94,7 @@
 }
 
 impl ClientRequest {
-    /// The present attempt.
+    /// Returns the id of the current attempt.
     pub(crate) const fn attempt(&self) -> AttemptId {
         AttemptId {
             request: self.request,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Declares the present attempt dead: it was not dispatched, or its executor surely did not run
-    /// it, and it will never be dispatched again. Its grants are void.
+    /// Declares the current attempt dead and releases its grants. The caller ensures that the
+    /// attempt has not run and will not be dispatched again.
     pub(crate) fn bury(&mut self, turn: &mut GuardTurn<'_>) {
         let attempt = self.attempt();
         self.dead.push(attempt);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Starts to collect grants for the present attempt.
+    /// Starts to collect grants for the current attempt.
     pub(crate) fn claim(&mut self, turn: &mut GuardTurn<'_>) {
         let round = ClaimRound {
             entry: turn.entry_of(self.key),
@@ -135,7 +135,7 @@
         self.send_claims(turn);
     }
 
-    /// Asks every seat that has not granted yet.
+    /// Sends a claim to every seat that has not granted yet.
     pub(crate) fn send_claims(&mut self, turn: &mut GuardTurn<'_>) {
         let RequestPhase::Claiming(round) = &self.phase else {
             return;
@@ -173,14 +173,14 @@
     }
 }
 
-/// What handling a message did to a request.
+/// Result of an event for a request.
 #[derive(Debug)]
 pub(crate) enum RequestStep {
-    /// It goes on.
+    /// Keep the request.
     Keep,
-    /// It is answered and over.
+    /// Answer the caller and remove the request.
     Answer(AnswerVerdict),
-    /// It is over without an answer.
+    /// Remove the request without an answer.
     Drop,
 }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The truth at the deadline.
+    /// Determines the answer when the deadline has passed.
     fn expire(&self) -> RequestStep {
         match &self.phase {
             RequestPhase::Claiming(round) if round.is_clean() => {
--- a/crates/guard/src/seat.rs
+++ b/crates/guard/src/seat.rs
@@ -1,14 +1,14 @@
-//! Seats: the memory of a range at one node, and whether it may be used.
+//! Seats: the key records of a range at one node, and whether the node may grant claims with them.
 //!
 //! ```text
-//! founded without memory --------------------------> serving <-------------+
-//! named in a new generation -> waiting for custody --^    |                 | next generation,
-//!                                                         |                 | still a seat
-//!                                                         +-----------------+
-//!                                                         | next generation, no seat any more
-//!                                                         v
-//!                                                      retired -> dropped when the successors
-//!                                                                 hold the memory
+//! founded without records -----------------------------> serving <-------------+
+//! added by a new generation -> waiting for the records --^    |                 | next generation,
+//!                                                             |                 | still a seat
+//!                                                             +-----------------+
+//!                                                             | next generation, no longer a seat
+//!                                                             v
+//!                                                          retired -> dropped when the successors
+//!                                                                     hold the records
 //! ```
 
 use std::collections::BTreeMap;
@@ -26,31 +26,32 @@
 use crate::store::{KeyLimits, KeyRecord, KeyState, KeyStore, RecordedOutcome};
 use crate::turn::{GuardTurn, millis};
 
-/// One range at one node.
+/// State of one range at one node.
 #[derive(Debug)]
 pub(crate) struct RangeSeat {
-    /// The generation this node takes part in, or the one that replaced it.
+    /// Generation this node is a seat of, or the generation that replaced this seat.
     pub(crate) entry: RangeEntry,
-    /// The generation in which the memory was last complete.
+    /// Latest generation in which the records were complete.
     pub(crate) ready_at: Option<RangeGeneration>,
-    /// Not a seat any more; the memory is kept for the successors.
+    /// Set when the node is no longer a seat and keeps the records only for the successors.
     pub(crate) retired: Option<RetiredSeat>,
     pub(crate) store: KeyStore,
     pub(crate) acceptor: BallotAcceptor,
     pub(crate) proposal: Option<SeatProposal>,
     pub(crate) fetch: CustodyFetch,
-    /// When the next proposal may start.
+    /// Earliest start of the next proposal.
     pub(crate) propose_at: Option<Duration>,
-    /// Objections of other seats in this generation.
+    /// Number of proposals in this generation that other seats objected to.
     pub(crate) declines: u32,
-    /// Members about which other seats objected, and until when they are left alone.
+    /// Members that other seats objected to, with the time until which proposals leave them as they
+    /// are.
     pub(crate) avoided: BTreeMap<InstanceId, Duration>,
 }
 
-/// What a retired seat waits for.
+/// Progress of the handover from a retired seat to its successors.
 #[derive(Debug, Default)]
 pub(crate) struct RetiredSeat {
-    /// Successors that hold the memory.
+    /// Successors that hold the records.
     pub(crate) ready: std::collections::BTreeSet<InstanceId>,
     pub(crate) ask_at: Duration,
 }
@@ -71,16 +72,15 @@
         }
     }
 
-    /// Whether the seat holds the memory of its present generation, and so grants under it.
+    /// Returns whether the seat holds all records of its generation and may grant claims under it.
     ///
-    /// Failure: a new seat serves before it copied the memory. Symptom without the check: it finds
-    /// a key empty that ran under an earlier generation, and once the seats that knew are replaced
-    /// the key runs again. Why it suffices: see [`crate::custody`].
+    /// A new seat that granted before it copied the records would treat a key that ran under an
+    /// earlier generation as unused, so that the key could run again; see [`crate::custody`].
     pub(crate) fn is_ready(&self) -> bool {
         self.retired.is_none() && self.ready_at == Some(self.entry.generation)
     }
 
-    /// Moves to a newer generation.
+    /// Switches the seat to a newer generation.
     fn advance(&mut self, me: InstanceId, entry: RangeEntry) {
         let was = self.entry.generation;
         let complete = self.retired.is_none() && self.ready_at == Some(was);
@@ -106,14 +106,14 @@
     }
 }
 
-/// All seats of this node.
+/// All seats of this node, by range.
 #[derive(Debug, Default)]
 pub(crate) struct SeatTable {
     pub(crate) seats: BTreeMap<RangeId, RangeSeat>,
 }
 
 impl SeatTable {
-    /// Takes in a newer generation of a range.
+    /// Applies a newer generation of a range.
     pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) {
         let me = turn.me();
         let member = entry.seats.contains(&me);
@@ -155,10 +155,9 @@
             window_ms: millis(turn.view.settings.keep_for / 2),
         };
         let fenced = turn.view.is_fenced(range, claim.generation.epoch);
-        // Failure: two processes run under one name, and this one is the older. Others take it for
-        // ended and may found its ranges anew, while open connections still bring it claims.
-        // Symptom without this check: both sides grant. It stops when it hears of its successor,
-        // which is when the others may hear of it too; names have to be unique all the same.
+        // If a newer process runs under the same node name, other members consider this one ended
+        // and may found its ranges again, while claims still arrive over open connections. Without
+        // this check both sides would grant. Node names must be unique all the same.
         let superseded = turn.view.members.is_gone(turn.me());
         let seat = self.seats.get_mut(&range);
         let serving = |seat: &&mut RangeSeat| {
@@ -189,8 +188,10 @@
         }
     }
 
-    /// Remembers how an attempt ended. Acknowledged only by a serving seat: what a retired one
-    /// takes in may be missing from the memory it handed over.
+    /// Stores how an attempt ended.
+    ///
+    /// Only a serving seat acknowledges: a record that arrives at a retired seat may be missing
+    /// from the records it handed over.
     pub(crate) fn record(
         &mut self,
         turn: &mut GuardTurn<'_>,
@@ -233,8 +234,8 @@
         self.bound_memory(turn, range);
     }
 
-    /// Keeps the memory within its bounds: forgets keys past their time, drops old replies, and as
-    /// the last means raises the watermark.
+    /// Keeps the store within its limits: drops expired keys and the oldest replies, and raises the
+    /// watermark if there are still too many keys.
     fn bound_memory(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
         let settings = &turn.view.settings;
         let held = self.seats.len().max(1);
@@ -259,7 +260,8 @@
         }
     }
 
-    /// Drives changes, custody and retirement.
+    /// Advances generation changes, custody transfers and the handover of retired seats. Returns
+    /// the newly chosen generations.
     pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>) -> Vec<RangeEntry> {
         let mut chosen = Vec::new();
         let mut dropped = Vec::new();
@@ -285,7 +287,7 @@
     }
 }
 
-/// Tells the event log that the seat serves.
+/// Notes in the event log that the seat serves.
 pub(crate) fn note_serving(turn: &mut GuardTurn<'_>, seat: &RangeSeat) {
     turn.out.push(GuardCommand::Note(GuardNote::SeatServing {
         range: seat.entry.range,
--- a/crates/guard/src/settings.rs
+++ b/crates/guard/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node's part in the guard.
+//! Settings of the guard on one node.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use sycamorelink_core::{DomainName, InstanceId};
 
-/// Who this node is.
+/// Identity of this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GuardIdentity {
-    /// This life of this node.
+    /// This run of the node's process.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: DomainName,
-    /// Wall-clock time since the Unix epoch at which the node's own time was zero.
+    /// Wall-clock time since the Unix epoch at zero of the node's monotonic time.
     pub wall_at_start: Duration,
 }
 
@@ -26,21 +26,21 @@
 pub struct GuardSettings {
     /// Number of key ranges.
     pub ranges: u16,
-    /// Seats of a range, as far as there are nodes.
+    /// Number of seats per range; fewer if the fleet has fewer nodes.
     pub seats: usize,
     /// Wait before an unanswered message is sent again, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "resend_ms")]
     pub resend_after: Duration,
-    /// How long a seat may be silent before the others replace it, in milliseconds.
+    /// How long a seat may be suspected before the other seats replace it, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "strike_ms")]
     pub strike_after: Duration,
-    /// Pause between exchanges of range maps with a peer, in milliseconds.
+    /// Interval between exchanges of range maps with a peer, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "exchange_ms")]
     pub exchange_every: Duration,
-    /// How long a key is remembered, in milliseconds. Older keys are never run.
+    /// How long a seat keeps a key, in milliseconds. Older keys are never run.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "keep_ms")]
     pub keep_for: Duration,
@@ -49,22 +49,22 @@
     #[serde(rename = "ahead_ms")]
     pub ahead_limit: Duration,
     /// How far the clocks of two nodes may differ, in milliseconds. Used when a range is founded
-    /// anew, and to refuse tickets that expired while the executor was paused.
+    /// again after a loss, and to refuse tickets that expired while the executor was paused.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "skew_ms")]
     pub clock_skew: Duration,
-    /// Pause between repetitions of the founding records in the log, in milliseconds. Must be well
-    /// under the log's retention.
+    /// Interval at which the founding records are written to the log again, in milliseconds. Must
+    /// be well below the retention of the log.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "refresh_ms")]
     pub refresh_every: Duration,
-    /// Most keys a node remembers as a seat, over all its ranges.
+    /// Maximum number of keys that a node stores as a seat, over all its ranges.
     pub max_keys: usize,
-    /// Largest reply that is kept, in bytes.
+    /// Maximum size of a stored reply, in bytes. Larger replies are not stored.
     pub reply_limit: usize,
-    /// Most reply bytes a node keeps, over all its ranges.
+    /// Maximum size of all replies that a node stores, in bytes, over all its ranges.
     pub reply_budget: usize,
-    /// Most attempts an executor remembers.
+    /// Maximum number of attempts in the ledger of an executor.
     pub max_attempts: usize,
 }
 
--- a/crates/guard/src/store.rs
+++ b/crates/guard/src/store.rs
@@ -1,4 +1,4 @@
-//! The keys that one seat remembers for one range.
+//! Key records of one range at one seat.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,63 +9,65 @@
 use crate::key::{KeyFingerprint, KeyId, KeyTime};
 use crate::message::{AttemptHolder, ClaimRequest, SeatVerdict};
 
-/// How an attempt ended.
+/// Outcome of an attempt as recorded at the seats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedOutcome {
-    /// It ran; the reply when it is small enough to keep.
+    /// The attempt ran. The reply is `None` if it is not stored.
     Ran(Option<Arc<[u8]>>),
-    /// It may have run.
+    /// The attempt may have run.
     Unknown,
 }
 
-/// State of one key at one seat. A key without a record is empty.
+/// State of one key at one seat. A key without a record is unused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyState {
     /// An attempt has this seat's grant.
     Granted,
-    /// The attempt ran.
+    /// The attempt ran. The reply is `None` if it is not stored.
     Ran(Option<Arc<[u8]>>),
-    /// The attempt may have run. Final, but for the executor's own late record.
+    /// The attempt may have run. Only a late record from the executor changes this state.
     Closed,
 }
 
-/// What a seat remembers of one key.
+/// Record of one key at a seat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// Route and body.
+    /// Hash of method, target and body of the request.
     pub fingerprint: KeyFingerprint,
-    /// The attempt.
+    /// Attempt that holds the key.
     pub holder: AttemptHolder,
-    /// Its state.
+    /// State of that attempt.
     pub state: KeyState,
 }
 
-/// Whether an attempt is among the dead: each dead one stands for the lower numbers of its request.
+/// Returns whether an attempt is dead. Each entry of `dead` also covers the lower numbers of its
+/// request.
 pub(crate) fn is_dead(attempt: AttemptId, dead: &[AttemptId]) -> bool {
     dead.iter()
         .any(|other| other.request == attempt.request && other.number >= attempt.number)
 }
 
-/// Bounds on the age of a key at the moment of a claim.
+/// Limits on the age of a key at the time of a claim.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeyLimits {
-    /// Newest key time taken, in milliseconds since the Unix epoch.
+    /// Latest accepted key time, in milliseconds since the Unix epoch.
     pub(crate) latest_ms: u64,
-    /// How long a key without time is recognised at most, in milliseconds.
+    /// Maximum window of a key without a time, in milliseconds.
     pub(crate) window_ms: u64,
 }
 
-/// The keys of one range, ordered by key and by age.
+/// Key records of one range, ordered by key and by age.
 #[derive(Debug, Default)]
 pub(crate) struct KeyStore {
     records: BTreeMap<KeyId, KeyRecord>,
     ages: BTreeSet<(u64, KeyId)>,
-    /// The keys with a kept reply, by age.
+    /// Keys with a stored reply, by age.
     replied: BTreeSet<(u64, KeyId)>,
     reply_bytes: usize,
-    /// Keys older than this were dropped.
+    /// Time below which keys were dropped, in milliseconds since the Unix epoch.
     watermark_ms: u64,
-    /// Unknown keys older than this may have run under a generation whose memory was lost.
+    /// Time in milliseconds since the Unix epoch. Older keys without a record may have run under a
+    /// generation whose records were lost.
     floor_ms: u64,
 }
 
@@ -82,12 +84,12 @@
         self.watermark_ms
     }
 
-    /// Age of the oldest remembered key.
+    /// Returns the stamp of the oldest key, in milliseconds since the Unix epoch.
     pub(crate) fn oldest(&self) -> Option<u64> {
         self.ages.first().map(|(stamp_ms, _)| *stamp_ms)
     }
 
-    /// Decides a claim. Only an empty key or one whose attempt is dead is granted.
+    /// Decides a claim. Grants it only if the key is unused or its attempt is dead.
     pub(crate) fn claim(&mut self, claim: &ClaimRequest, limits: KeyLimits) -> SeatVerdict {
         let attempt = claim.holder.attempt;
         if let Some(record) = self.records.get(&claim.key) {
@@ -110,12 +112,11 @@
         SeatVerdict::Granted
     }
 
-    /// Whether an unknown key may have been known and forgotten.
+    /// Returns whether a key without a record may have had one that was dropped or lost.
     ///
-    /// Failure: a resend arrives after its key was dropped from full memory. Symptom without this:
-    /// the key looks fresh and the booking runs again. Why it suffices: only keys below the
-    /// watermark are ever dropped, the watermark never falls, and it travels with custody. The floor
-    /// does the same for keys whose memory was lost; it is part of the range's entry.
+    /// Without this check, a resend whose key was dropped from a full store would run again. Only
+    /// keys below the watermark are dropped, the watermark never decreases, and custody transfers
+    /// include it. The floor covers records that were lost and is part of the range's entry.
     fn forgot(&self, claim: &ClaimRequest, limits: KeyLimits) -> bool {
         let oldest_ms = match claim.key.time {
             KeyTime::Timed(key_ms) => key_ms,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Takes in how an attempt ended. A record of a run overrides all but an earlier one.
+    /// Stores the outcome of an attempt, unless the key is already recorded as run.
     pub(crate) fn record(&mut self, key: KeyId, record: KeyRecord) {
         if record.holder.stamp_ms < self.watermark_ms {
             return;
@@ -160,14 +161,15 @@
         self.insert(key, record);
     }
 
-    /// Takes in one record of another seat's memory.
+    /// Stores a record copied from another seat, unless the key already has one.
     pub(crate) fn merge(&mut self, key: KeyId, record: KeyRecord) {
         if !self.records.contains_key(&key) {
             self.insert(key, record);
         }
     }
 
-    /// Records after a key, in order, up to the given number and about the given bytes.
+    /// Returns the records after a key, in order, and whether no more follow. Stops at `count`
+    /// records or once the replies reach `bytes`.
     pub(crate) fn part(
         &self,
         after: Option<KeyId>,
@@ -189,17 +191,17 @@
         (part, done)
     }
 
-    /// Raises the bar for unknown keys. Known ones stay.
+    /// Raises the floor for keys without a record. Existing records stay.
     pub(crate) fn raise_floor(&mut self, floor_ms: u64) {
         self.floor_ms = self.floor_ms.max(floor_ms);
     }
 
     /// Closes every key that is granted but not known to have ended.
     ///
-    /// Failure: a range is founded from a seat that missed a later generation, all memory of which
-    /// was lost. There, another attempt may have taken the place of one this seat still remembers,
-    /// and have run. Symptom without this: that one turns out dead, and the key runs again. Why it
-    /// suffices: a closed key never runs, and the executor's late record still tells its end.
+    /// A range may be founded from a seat that missed a later generation whose records were all
+    /// lost. In that generation, another attempt may have replaced the recorded one and run. If the
+    /// recorded attempt then turned out to be dead, the key would run again. A closed key never
+    /// runs, and a late record from the executor still stores the outcome.
     pub(crate) fn close_granted(&mut self) {
         for record in self.records.values_mut() {
             if record.state == KeyState::Granted {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Raises the watermark and forgets the keys below it. A lower one changes nothing.
+    /// Raises the watermark and drops the keys below it. A lower value has no effect.
     pub(crate) fn raise_watermark(&mut self, watermark_ms: u64) {
         self.watermark_ms = self.watermark_ms.max(watermark_ms);
         while let Some((stamp_ms, key)) = self.ages.first().copied() {
@@ -219,7 +221,8 @@
         }
     }
 
-    /// Drops the replies of the oldest keys until at most `bytes` are kept. That they ran stays.
+    /// Drops the replies of the oldest keys until at most `bytes` remain. The keys stay recorded as
+    /// run.
     pub(crate) fn trim_replies(&mut self, bytes: usize) {
         while self.reply_bytes > bytes {
             let Some((_, key)) = self.replied.pop_first() else {
--- a/crates/guard/src/turn.rs
+++ b/crates/guard/src/turn.rs
@@ -1,4 +1,4 @@
-//! What every part of a node sees while it handles one event.
+//! State shared by the components of a node, and the context in which they handle one event.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use crate::message::GuardMessage;
 use crate::settings::{GuardIdentity, GuardSettings};
 
-/// State that the parts share.
+/// State that the components share.
 #[derive(Debug)]
 pub(crate) struct NodeView {
     pub(crate) identity: GuardIdentity,
     pub(crate) settings: GuardSettings,
     pub(crate) members: MemberTable,
     pub(crate) map: RangeMap,
-    /// Epochs this node promised to take no part in any more, by range; see [`crate::founding`].
+    /// Highest fenced epoch of each range. This node promised not to take part in it any longer;
+    /// see [`crate::founding`].
     pub(crate) fenced: BTreeMap<RangeId, u32>,
     pub(crate) draining: bool,
     pub(crate) rng: SmallRng,
-    /// Messages of this node to itself.
+    /// Messages from this node to itself.
     pub(crate) inbox: VecDeque<GuardMessage>,
 }
 
@@ -46,23 +47,24 @@
         }
     }
 
-    /// Whether this node promised to take no part in an epoch of a range any more. It still learns
-    /// of later generations of that epoch: a founder that did not would poll for ever about one
-    /// that the others know to be past.
+    /// Returns whether this node promised not to take part in an epoch of a range any longer.
+    ///
+    /// The node still adopts later generations of that epoch. Otherwise a founder would poll
+    /// forever about a generation that the other members know to be replaced.
     pub(crate) fn is_fenced(&self, range: RangeId, epoch: u32) -> bool {
         self.fenced
             .get(&range)
             .is_some_and(|fenced| *fenced >= epoch)
     }
 
-    /// Promises to take no part in an epoch of a range any more.
+    /// Promises not to take part in an epoch of a range any longer.
     pub(crate) fn fence(&mut self, range: RangeId, epoch: u32) {
         let fenced = self.fenced.entry(range).or_insert(epoch);
         *fenced = epoch.max(*fenced);
     }
 }
 
-/// One event being handled.
+/// Context of handling one event.
 #[derive(Debug)]
 pub(crate) struct GuardTurn<'a> {
     pub(crate) now: Duration,
@@ -71,22 +73,22 @@
 }
 
 impl GuardTurn<'_> {
-    /// This life of this node.
+    /// Returns the instance of this node.
     pub(crate) const fn me(&self) -> InstanceId {
         self.view.identity.instance
     }
 
-    /// Wall-clock time by this node's clock, in milliseconds since the Unix epoch.
+    /// Returns the wall-clock time of this node, in milliseconds since the Unix epoch.
     pub(crate) fn wall_ms(&self) -> u64 {
         millis(self.view.identity.wall_at_start + self.now)
     }
 
-    /// The range of a key.
+    /// Returns the range of a key.
     pub(crate) fn range_of(&self, key: KeyId) -> RangeId {
         key.range(self.view.settings.ranges)
     }
 
-    /// The newest known entry for a key.
+    /// Returns the newest known entry for the range of a key.
     pub(crate) fn entry_of(&self, key: KeyId) -> Option<RangeEntry> {
         self.view.map.get(self.range_of(key)).cloned()
     }
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Sends through another member, so that a cut between the two nodes is no obstacle.
+    /// Sends a message through a random third member, in case the direct link is cut. Sends
+    /// directly if no third member is up.
     pub(crate) fn send_around(&mut self, to: InstanceId, message: GuardMessage) {
         let me = self.me();
         let others = self.view.members.up_members();
@@ -118,7 +121,7 @@
         self.send(way, message);
     }
 
-    /// Sends the first time directly, then by turns around and directly.
+    /// Sends a message directly on even `tries` and through a relay on odd ones.
     pub(crate) fn send_try(&mut self, tries: u32, to: InstanceId, message: GuardMessage) {
         if tries % 2 == 1 {
             self.send_around(to, message);
@@ -131,8 +134,9 @@
         self.out.push(GuardCommand::Note(note));
     }
 
-    /// When to send again after so many tries: doubling up to eight times the first wait, with up
-    /// to a quarter of random delay, so that two nodes do not stay in step.
+    /// Returns the time of the next send after `tries` sends. The delay doubles up to eight times
+    /// `resend_after`, plus a random jitter of up to a quarter, so that two nodes do not keep
+    /// sending in lockstep.
     pub(crate) fn next_try(&mut self, tries: u32) -> Duration {
         let wait = self.view.settings.resend_after * (1 << tries.min(MAX_DOUBLINGS));
         let spread = self.view.rng.random_range(0..=millis(wait) / 4);
@@ -140,10 +144,10 @@
     }
 }
 
-/// Doublings of the wait between two tries.
+/// Maximum number of times that the delay between two sends doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/guard/src/vote.rs
+++ b/crates/guard/src/vote.rs
@@ -1,4 +1,4 @@
-//! The seats' side of a ballot: promises, acceptances, and what the proposer makes of them.
+//! Message handlers of a ballot: the acceptors' replies, and their evaluation by the proposer.
 
 use sycamorelink_core::InstanceId;
 
@@ -11,7 +11,8 @@
 use crate::turn::GuardTurn;
 
 impl SeatTable {
-    /// The seat taking part in a generation, when it is the present one.
+    /// Returns the seat of a range if it may vote: the generation is its current one, and neither
+    /// is the seat retired nor the epoch fenced.
     fn voter(
         &mut self,
         turn: &GuardTurn<'_>,
@@ -164,7 +165,7 @@
     }
 }
 
-/// An objection to `Prepare`.
+/// Objection of another seat to a `Prepare`.
 #[derive(Debug)]
 pub(crate) struct DeclineVote {
     pub(crate) range: RangeId,
@@ -173,7 +174,7 @@
     pub(crate) seat: InstanceId,
 }
 
-/// One answer to `Prepare`.
+/// Promise of another seat in reply to a `Prepare`.
 #[derive(Debug)]
 pub(crate) struct PromiseVote {
     pub(crate) range: RangeId,
@@ -183,7 +184,7 @@
     pub(crate) ready: bool,
 }
 
-/// Tells a proposer of a past generation about the present one.
+/// Sends the current entry to a proposer of an earlier generation. Returns whether it was sent.
 fn tell_newer(turn: &mut GuardTurn<'_>, from: InstanceId, entry: &RangeEntry) -> bool {
     let known = turn.view.map.get(entry.range);
     let Some(newer) = known.filter(|it| it.generation > entry.generation) else {
--- a/crates/guard/tests/testsuite/brief.rs
+++ b/crates/guard/tests/testsuite/brief.rs
@@ -1,4 +1,4 @@
-//! Short texts for golden sessions.
+//! Short texts for events and commands in the trace of a session.
 
 use sycamorelink_core::{AttemptId, InstanceId};
 use sycamorelink_guard::message::{ContestState, SeatVerdict, WorkState};
--- a/crates/guard/tests/testsuite/engine.rs
+++ b/crates/guard/tests/testsuite/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine does around the guard: dispatches, runs work, redirects and settles.
+//! Engine of the simulated fleet: dispatches requests, runs work, redirects and settles.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 
 use crate::fleet::{CallerSend, FakeFleet, FleetEvent, FleetPacket, IngressState, WorkResult, ms};
 
-/// How long an ingress waits for an executor.
+/// How long an ingress waits for the executor's result.
 const DISPATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Redirects of one request.
+/// Maximum number of redirects of one request.
 const MAX_REDIRECTS: u32 = 2;
 
 impl FakeFleet {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Tries another executor, or gives up as not run.
+    /// Redirects a request to another executor, or settles it as not run after [`MAX_REDIRECTS`].
     pub fn redirect(&mut self, life: usize, request: RequestId) {
         let Some(state) = self.lives[life].requests.get_mut(&request) else {
             return;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// An executor as a balancer would pick it: one that looks alive.
+    /// Selects a random executor that is alive and not frozen, as a load balancer would.
     pub fn any_executor(&mut self) -> InstanceId {
         for _ in 0..8 {
             let node = self.rng.random_range(0..self.address.len());
@@ -124,7 +124,7 @@
         self.instance(0)
     }
 
-    /// Sends a caller's request to a node. None when nobody listens there.
+    /// Sends a caller's request to a node. Returns false if no process accepts it there.
     pub fn send(&mut self, node: usize, send: &CallerSend) -> bool {
         let life = self.address[node];
         if !self.lives[life].alive || self.lives[life].frozen {
--- a/crates/guard/tests/testsuite/faults.rs
+++ b/crates/guard/tests/testsuite/faults.rs
@@ -1,4 +1,4 @@
-//! What befalls nodes: killed, replaced, paused, drained; and the log.
+//! Fault injection: joins, kills, replaces, freezes and drains nodes, and stops the log.
 
 use rand::Rng;
 use sycamorelink_guard::GuardEvent;
@@ -6,14 +6,14 @@
 use crate::fleet::{FakeFleet, FleetEvent, ms};
 
 impl FakeFleet {
-    /// Starts a daemon on a new instance.
+    /// Starts a daemon on a new node.
     pub fn join(&mut self) {
         let index = self.address.len();
         self.address.push(0);
         self.start_life(index, 1);
     }
 
-    /// Ends a node's present life. Nothing it kept survives.
+    /// Ends the current process of a node. Its state is lost.
     pub fn kill(&mut self, node: usize) {
         let life = self.address[node];
         self.note(&format!("kill {}", self.lives[life].instance_name()));
@@ -22,7 +22,7 @@
         self.tell_all_down(life);
     }
 
-    /// Starts another life of a node at its address, with nothing kept.
+    /// Starts a new process of a node at the same address, without state.
     pub fn replace(&mut self, node: usize) {
         let old = self.address[node];
         let incarnation = self.lives[old].instance.incarnation.0 + 1;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Asks a node to leave; `replace` it once it is drained.
+    /// Starts the drain of a node. The caller replaces the node once it is drained.
     pub fn drain(&mut self, node: usize) {
         let life = self.address[node];
         self.note(&format!("drain {}", self.lives[life].instance_name()));
--- a/crates/guard/tests/testsuite/fleet.rs
+++ b/crates/guard/tests/testsuite/fleet.rs
@@ -1,4 +1,5 @@
-//! A few guard nodes over a fake network, log, roster and backend server, in virtual time.
+//! Simulated fleet of guard nodes with a fake network, log, roster and backend servers, in virtual
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,16 +14,16 @@
 
 use crate::truth::FleetTruth;
 
-/// Wall-clock time at virtual zero.
+/// Wall-clock time at virtual time zero.
 pub const EPOCH: Duration = Duration::from_secs(1_000_000);
-/// Pause between two looks of a node at the log.
+/// Interval at which a node polls the log.
 const LOG_POLL: Duration = Duration::from_millis(100);
 
 pub const fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
-/// What an executor answers to an ingress.
+/// Result that an executor returns to the ingress.
 #[derive(Clone, Debug)]
 pub enum WorkResult {
     NotRun,
@@ -31,7 +32,7 @@
     Repeated,
 }
 
-/// What travels between two nodes.
+/// Packet between two nodes.
 #[derive(Clone, Debug)]
 pub enum FleetPacket {
     Guard(GuardMessage),
@@ -51,7 +52,7 @@
     Deadline(RequestId),
 }
 
-/// Faults of every link.
+/// Fault probabilities and the range of delays (ms) of every link.
 #[derive(Clone, Debug)]
 pub struct LinkFaults {
     pub drop: f64,
@@ -69,7 +70,7 @@
     }
 }
 
-/// What the backend servers do.
+/// Behaviour of the backend servers: range of service times (ms), fault probabilities, reply size.
 #[derive(Clone, Debug)]
 pub struct BackendBehaviour {
     pub service: (u64, u64),
@@ -89,21 +90,21 @@
     }
 }
 
-/// A request at its ingress, as the engine would keep it.
+/// Request at its ingress, as an engine would store it.
 #[derive(Debug)]
 pub struct IngressState {
     pub attempt: Option<AttemptId>,
     pub redirects: u32,
 }
 
-/// How far a node has read the log.
+/// Position of a node in the log.
 #[derive(Debug, Default)]
 struct LogReader {
     offset: usize,
     current: bool,
 }
 
-/// One life of one node.
+/// One process of a node, identified by its instance.
 #[derive(Debug)]
 pub struct NodeLife {
     pub index: usize,
@@ -112,7 +113,7 @@
     pub started: Duration,
     pub alive: bool,
     pub frozen: bool,
-    /// Another life took its address: it hears nothing any more.
+    /// Whether a later process has taken over the address, so that this one receives nothing.
     pub deaf: bool,
     pub backlog: Vec<FleetEvent>,
     wake_at: Duration,
@@ -120,11 +121,11 @@
     pub requests: BTreeMap<RequestId, IngressState>,
     pub tickets: BTreeMap<AttemptId, DispatchTicket>,
     pub drained_at: Option<Duration>,
-    /// When it was last frozen or killed.
+    /// Time at which the process was last killed, replaced, frozen or resumed.
     pub disturbed_at: Option<Duration>,
 }
 
-/// The fleet.
+/// Simulated fleet.
 pub struct FakeFleet {
     pub now: Duration,
     pub lives: Vec<NodeLife>,
@@ -139,7 +140,7 @@
     pub backend: BackendBehaviour,
     pub log: Vec<Vec<FoundingRecord>>,
     pub log_up: bool,
-    /// Nodes that cannot reach the log.
+    /// Nodes that are cut off from the log.
     pub log_cuts: BTreeSet<usize>,
     pub truth: FleetTruth,
     pub trace: Vec<String>,
@@ -189,7 +190,7 @@
         fleet
     }
 
-    /// A fleet whose ranges are founded and served.
+    /// Creates a fleet and runs it until its ranges are founded and served.
     pub fn founded(nodes: usize, domains: usize, settings: GuardSettings, seed: u64) -> Self {
         let mut fleet = Self::new(nodes, domains, settings, seed);
         fleet.run_for(ms(4_000));
@@ -237,7 +238,7 @@
         self.schedule(new, ms(0), FleetEvent::Wake);
     }
 
-    /// The new life and the others hear of each other.
+    /// Reports the new process and the others to each other as up.
     fn meet(&mut self, new: usize) {
         for other in 0..self.lives.len() {
             if other == new || !self.lives[other].alive || self.lives[other].deaf {
@@ -292,7 +293,7 @@
         self.queue.insert((at, self.sequence), (life, event));
     }
 
-    /// Life by its instance.
+    /// Returns the index of the process with this instance.
     pub fn life_of(&self, instance: InstanceId) -> Option<usize> {
         self.lives.iter().position(|life| life.instance == instance)
     }
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Gives a node an event and carries out its commands.
+    /// Passes an event to a guard and carries out the resulting commands.
     pub fn tell(&mut self, life: usize, event: GuardEvent) {
         let now = self.now.saturating_sub(self.lives[life].started);
         let happened = self.tracing.then(|| crate::brief::event(&event));
@@ -469,7 +470,7 @@
         }
     }
 
-    /// A key made now.
+    /// Creates a key with the current time.
     pub fn fresh_key(&self, hash: u128) -> KeyId {
         let wall = EPOCH + self.now;
         KeyId {
@@ -479,7 +480,7 @@
     }
 }
 
-/// One send by a caller.
+/// Send of a request by a caller.
 #[derive(Clone, Debug)]
 pub struct CallerSend {
     pub request: RequestId,
--- a/crates/guard/tests/testsuite/losses.rs
+++ b/crates/guard/tests/testsuite/losses.rs
@@ -1,4 +1,4 @@
-//! Failures of the seats: killed, paused, replaced, rolled, lost together.
+//! Failures of seats: killed, paused, replaced, restarted in turn, lost together.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +9,9 @@
 use crate::fleet::{FakeFleet, ms, test_settings};
 use crate::session::FaultSession;
 
-/// The log is down all through and a seat's instance is lost. The other two choose the next
-/// generation by themselves, the new seat copies the memory, and bookings go through; a resend of a
-/// booking from before gets its reply.
+/// A seat's instance is lost while the log is down. The other two seats choose the next generation
+/// without the log, the new seat copies the records, and bookings run. A resend of an earlier
+/// booking gets its reply.
 #[test]
 fn killed_seat_is_replaced_while_the_log_is_down() {
     let mut session = FaultSession::open(5);
@@ -29,10 +29,10 @@
     assert_snapshot!(session.close());
 }
 
-/// A seat and an ingress are paused beyond every timer. Meanwhile the seat is replaced and a
-/// booking runs under the next generation. Both wake up with the old map and the booking is sent
-/// again. A dispatch needs the grants of all seats, those that went on refer to the newer map, and
-/// the resend gets the first run's reply.
+/// A seat and an ingress are paused longer than every timeout. Meanwhile the seat is replaced, and
+/// a booking runs under the next generation. Both resume with the old map, and the booking is
+/// resent. A dispatch needs the grants of all seats, and the other seats return the newer map, so
+/// the resend gets the reply of the first run.
 #[test]
 fn paused_seat_wakes_up_too_late() {
     let mut session = FaultSession::open(6);
@@ -53,10 +53,10 @@
     assert_snapshot!(session.close());
 }
 
-/// A seat and an ingress are cut off from everybody but each other. Meanwhile the seat is replaced
-/// and a booking runs under the next generation. The booking is sent again to the cut-off ingress,
-/// and the outdated seat grants it. That is no proof that the key did not run: the answer is
-/// "unknown", not "not run".
+/// A seat and an ingress can reach only each other. Meanwhile the seat is replaced, and a booking
+/// runs under the next generation. The booking is resent to the isolated ingress, and the outdated
+/// seat grants it. This single grant is no proof that the key did not run, so the answer must be
+/// "unknown" and not "not run".
 #[test]
 fn outdated_seat_alone_proves_nothing() {
     let mut session = FaultSession::open(6);
@@ -81,9 +81,9 @@
     assert!(trace.contains("ClaimReply c2.0 Granted"), "{trace}");
 }
 
-/// A seat's instance is replaced at the same address with nothing kept, before anybody noticed.
-/// The new life is not the old seat: it does not answer for it, the next generation is chosen, and
-/// a resend gets the reply.
+/// A seat's instance is replaced at the same address, without state and before its loss is
+/// detected. The new instance must not answer as the old seat. The next generation is chosen, and a
+/// resend gets the reply.
 #[test]
 fn replacement_at_the_same_address_is_another_seat() {
     let mut session = FaultSession::open(5);
@@ -99,8 +99,8 @@
     assert_snapshot!(session.close());
 }
 
-/// A claim has two of three grants when the third seat falls silent. The generation changes under
-/// it; the claim goes on under the next one with the same attempt, and runs once.
+/// A claim has two of three grants when the third seat stops responding. The claim continues under
+/// the next generation with the same attempt, and the booking runs once.
 #[test]
 fn generation_changes_in_the_middle_of_a_claim() {
     let mut session = FaultSession::open(5);
@@ -113,9 +113,9 @@
     assert_snapshot!(session.close());
 }
 
-/// Every daemon is replaced in turn while the log is down: drained, ended, started anew. Each
-/// leaving seat hands its memory over first. A resend of a booking from before the roll still gets
-/// its reply, although no process of that time is left.
+/// Every daemon is drained, ended and started again in turn while the log is down. Each leaving
+/// seat hands over its records first. A resend of an earlier booking still gets its reply, although
+/// all processes have been replaced.
 #[test]
 fn rolling_replacement_loses_nothing() {
     let mut session = FaultSession::open(5);
@@ -133,10 +133,10 @@
     assert_snapshot!(session.close());
 }
 
-/// Two of three seats are lost at once. The third cannot go on alone, since the two might be cut
-/// off and going on without it; once their replacements prove that they ended, it polls every
-/// member and founds the next epoch through the log. Its memory survives: the resend gets the
-/// reply.
+/// Two of three seats are lost at once. The third cannot continue alone, because the two might only
+/// be cut off and continue without it. Once their replacements prove that they have ended, the
+/// third seat polls every member and founds the next epoch through the log. Its records survive, so
+/// the resend gets the reply.
 #[test]
 fn two_seats_lost_at_once() {
     let mut session = FaultSession::open(5);
@@ -158,9 +158,9 @@
     assert_snapshot!(session.close());
 }
 
-/// Two nodes of three are lost at once, and with them the majority of every range. Callers of any key
-/// wait for the log, which takes two appends a second of a node: the survivor founds all ranges in
-/// few appends, not in one for each.
+/// Two nodes of three are lost at once, and with them the majority of every range. The log accepts
+/// two appends per second from a node, so the survivor must found all ranges in a few appends and
+/// not with one append per range.
 #[test]
 fn ranges_lost_together_are_founded_together() {
     let settings = GuardSettings {
@@ -186,8 +186,8 @@
     assert_eq!(fleet.lives[survivor].guard.counts().closed_ranges, 0);
 }
 
-/// All three seats are lost at once, and what they remembered with them. The range is founded anew:
-/// keys from before are "unknown" and never run, newer keys run.
+/// All three seats and their records are lost at once. The range is founded again: earlier keys are
+/// answered "unknown" and never run, newer keys run.
 #[test]
 fn all_seats_lost() {
     let mut session = FaultSession::open(6);
@@ -209,10 +209,10 @@
     assert_snapshot!(session.close());
 }
 
-/// A seat is cut off from the fleet while the other two are rolled away, so that its generation is
-/// long past; it then learns that both have ended, and reaches the log and one ingress. It must not
-/// found the range anew over the living seats it does not know of: the poll keeps it closed until
-/// the cut heals.
+/// A seat is cut off from the fleet while the other two are replaced, so its generation is
+/// outdated. The seat then learns that both have ended, and can reach the log. It must not found
+/// the range again, because it does not know the live seats of the later generation: the poll keeps
+/// the range closed at this node until the cut heals.
 #[test]
 fn cut_off_survivor_does_not_found() {
     let mut session = FaultSession::open(7);
@@ -250,8 +250,8 @@
     session.close();
 }
 
-/// Memory is full and the oldest booking was forgotten; then every seat is replaced. The new seats
-/// know from the watermark handed over that they cannot know: the resend is "unknown".
+/// The oldest booking was dropped from a full store, and then every seat is replaced. The watermark
+/// is part of the custody transfer, so the new seats answer the resend with "unknown".
 #[test]
 fn watermark_travels_with_custody() {
     let mut session = FaultSession::with_keys(5, 4);
@@ -271,9 +271,9 @@
     session.close();
 }
 
-/// Two seats take each other for lost, by a cut that nobody else notices. If one seat's suspicion
-/// were enough they would strike each other in turn, and every booking would start anew each time.
-/// The third seat sees both well and objects: the generation stays, bookings go through.
+/// Two seats suspect each other because of a cut between them. If the suspicion of one seat were
+/// enough, they would replace each other in turn, and every booking would restart its claim each
+/// time. The third seat sees both as up and objects, so the generation stays and bookings run.
 #[test]
 fn one_seats_suspicion_changes_nothing() {
     let mut session = FaultSession::open(5);
@@ -290,8 +290,8 @@
     session.close();
 }
 
-/// Two seats take each other for lost, and the third has ended for certain. Neither lets itself be
-/// struck, but on the third they agree: it is replaced, and bookings go through.
+/// Two seats suspect each other, and the third has certainly ended. Both object to their own
+/// replacement but agree on the third seat, which is replaced, and bookings run.
 #[test]
 fn ended_seat_is_struck_before_suspected_ones() {
     let mut session = FaultSession::open(6);
@@ -310,9 +310,9 @@
     session.close();
 }
 
-/// All seats are lost, and between the founder's two polls another member hears, late, of one more
-/// generation whose seats have ended too. The founder has promised to leave the epoch, but it still
-/// has to learn of that generation, or it would poll about the one before for ever.
+/// All seats are lost. Between the founder's two polls, another member learns of a later generation
+/// whose seats have ended as well. The founder has fenced the epoch but must still adopt that
+/// generation, or it would poll about the previous one forever.
 #[test]
 fn founder_learns_of_a_later_generation() {
     let mut session = FaultSession::open(6);
@@ -339,9 +339,9 @@
     session.close();
 }
 
-/// Two seats are lost, the third founds the next epoch and ends before the new seats copied its
-/// memory. Two of three new seats live, but nobody holds the memory any more: the range is founded
-/// once more, without it. The key from before is "unknown", a newer one runs.
+/// Two seats are lost, and the third founds the next epoch and ends before the new seats copied its
+/// records. Two of the three new seats are alive, but no instance holds the records. The range is
+/// founded once more without them: the earlier key is "unknown", and a newer one runs.
 #[test]
 fn memory_ends_with_its_last_seat() {
     let mut session = FaultSession::open(6);
@@ -374,9 +374,9 @@
     session.close();
 }
 
-/// Two processes run under one name by mistake, and the older one holds a seat. When it hears of
-/// the newer one it grants no more, so that it cannot go on beside seats founded without it, and
-/// proposes its own replacement. The booking goes through under the next generation.
+/// Two processes run under one node name by mistake, and the older one holds a seat. Once it learns
+/// of the newer one, it must stop granting, because other seats may be founded without it. It
+/// proposes its own replacement, and the booking runs under the next generation.
 #[test]
 fn superseded_seat_grants_no_more() {
     let mut session = FaultSession::open(5);
@@ -396,8 +396,8 @@
     assert!(trace.contains("ClaimReply 61.0 NotServing"), "{trace}");
 }
 
-/// A seat with more memory than fits into one message is lost. The new seat copies it part by part
-/// and serves only when it has all of it.
+/// A seat with more records than fit into one message is replaced. The new seat copies them in
+/// chunks and must hold all of them when it serves.
 #[test]
 fn large_memory_is_copied_in_parts() {
     const KEYS: u128 = 1_300;
@@ -420,10 +420,10 @@
     assert_eq!((counts.seats, counts.keys), (1, 1_300));
 }
 
-/// A seat is cut off; the others replace it, run a booking, and are then all replaced at once with
-/// nothing kept. The cut-off seat is the only one left with memory, but not with that of the last
-/// generation, and nobody is left who knows of it. Founding from its memory must not let the booking
-/// run again: keys it does not know are "unknown", those it knows keep their reply.
+/// A seat is cut off. The others replace it, run a booking, and are then all replaced at once
+/// without state. Only the cut-off seat still has records, but not those of the last generation, of
+/// which no remaining node knows. After a founding from this seat the booking must not run again:
+/// older keys without a record are "unknown", recorded keys keep their reply.
 #[test]
 fn survivor_of_an_earlier_generation() {
     let mut session = FaultSession::open(4);
@@ -457,7 +457,7 @@
     assert_eq!(session.answer(0xd5), "ran by the executor");
 }
 
-/// A fleet starts with one daemon and grows: new daemons take seats, copy the memory first, and a
+/// A fleet grows from one daemon. New daemons take seats after they copied the records, and a
 /// resend gets its reply after the first daemon was replaced.
 #[test]
 fn fleet_grows_from_one_daemon() {
@@ -478,8 +478,8 @@
     session.close();
 }
 
-/// The only daemon of a fleet is replaced with nothing kept. The booking from before is "unknown"
-/// and never runs again, newer ones run.
+/// The only daemon of a fleet is replaced without state. The earlier booking is "unknown" and never
+/// runs again, newer ones run.
 #[test]
 fn only_daemon_starts_anew() {
     let mut session = FaultSession::open(1);
--- a/crates/guard/tests/testsuite/random.rs
+++ b/crates/guard/tests/testsuite/random.rs
@@ -1,4 +1,4 @@
-//! A seeded fault generator over whole fleets.
+//! Random fault sessions over whole fleets, reproducible from a seed.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 use crate::fleet::{BackendBehaviour, CallerSend, FakeFleet, LinkFaults, ms, test_settings};
 
-/// One random session; returns the fleet at its end.
+/// Runs one random session and returns the fleet at its end.
 pub fn session(seed: u64, steps: usize, tracing: bool) -> FakeFleet {
     let nodes = [5, 6, 7, 8, 9, 3][usize::try_from(seed % 6).unwrap_or_default()];
     let mut settings = test_settings();
@@ -152,7 +152,7 @@
     }
 }
 
-/// Replaces every node but one at once, with nothing kept.
+/// Replaces every node but one at once, without state.
 fn replace_all_but(fleet: &mut FakeFleet, kept: usize) {
     for node in (0..fleet.address.len()).filter(|node| *node != kept) {
         fleet.kill(node);
@@ -160,7 +160,7 @@
     }
 }
 
-/// Splits the fleet in two that do not hear each other; one side may lose the log too.
+/// Partitions the fleet in two. One side may lose its connection to the log as well.
 fn split(fleet: &mut FakeFleet) {
     let nodes = fleet.address.len();
     let side: Vec<bool> = (0..nodes).map(|_| fleet.rng.random_bool(0.4)).collect();
@@ -180,7 +180,7 @@
     }
 }
 
-/// Ends all faults and lets the fleet settle.
+/// Ends all faults and waits until the fleet has recovered.
 fn heal(fleet: &mut FakeFleet) {
     fleet.faults = LinkFaults::default();
     fleet.backend.refuse = 0.0;
@@ -204,7 +204,7 @@
     fleet.run_for(ms(20_000));
 }
 
-/// Fresh keys go through everywhere.
+/// Checks that requests with fresh keys run at every node.
 fn check_fresh(fleet: &mut FakeFleet) {
     let mut requests = Vec::new();
     for count in 0..24 {
@@ -233,7 +233,7 @@
     }
 }
 
-/// Shortest prefix of a failing session's steps, by halving.
+/// Searches by bisection for a shorter prefix of the steps that still fails.
 fn shrink(seed: u64, steps: usize) -> usize {
     let (mut good, mut bad) = (0, steps);
     while bad - good > 1 {
@@ -252,11 +252,12 @@
     text.parse().unwrap_or(default)
 }
 
-/// Callers resend while daemons are killed, replaced, frozen and thawed, links lose, repeat,
-/// reorder and are cut one way, the log comes and goes and daemons drain. No key may run twice, no
-/// answer may be untrue or late, and afterwards fresh keys must go through.
+/// Callers resend while daemons are killed, replaced, frozen, thawed and drained, while links lose,
+/// duplicate and reorder packets or are cut one way, and while the log fails and recovers. No key
+/// may run twice, no answer may be wrong or late, and afterwards fresh keys must run.
 ///
-/// `GUARD_SEED`, `GUARD_SEEDS` and `GUARD_STEPS` widen the search; a failure prints its trace.
+/// `GUARD_SEED`, `GUARD_SEEDS` and `GUARD_STEPS` extend the search. On failure, the trace of the
+/// shortened session is written to `guard-trace.txt` in the temporary directory of the target.
 #[test]
 fn random_faults_never_run_a_key_twice() {
     let first = setting("GUARD_SEED", 1);
--- a/crates/guard/tests/testsuite/sends.rs
+++ b/crates/guard/tests/testsuite/sends.rs
@@ -1,4 +1,4 @@
-//! Failures around one key: slow and lost replies, resends at once, cuts, crashes.
+//! Failures that concern one key: slow and lost replies, concurrent sends, cuts, crashes.
 
 use insta::assert_snapshot;
 use sycamorelink_core::{AttemptId, CustomerName, RequestId};
@@ -8,8 +8,8 @@
 use crate::fleet::{EPOCH, ms};
 use crate::session::FaultSession;
 
-/// The backend server takes longer than the caller waits. The caller is told "unknown" and sends
-/// the booking again through another daemon. That one finds the attempt at the seats, waits for its
+/// The backend server takes longer than the caller waits. The caller gets "unknown" and resends the
+/// booking through another daemon, which learns of the attempt from the seats, waits for its
 /// executor and returns the reply of the first run.
 #[test]
 fn resend_after_a_slow_reply_joins_the_first_run() {
@@ -24,9 +24,9 @@
     assert_snapshot!(session.close());
 }
 
-/// A caller's library sends the same booking through two daemons at the same moment, and each holds
-/// the grant of one seat. The lower attempt goes on, the other withdraws and joins it: one run, and
-/// both callers get its reply.
+/// A caller sends the same booking through two daemons at the same time, and each of them holds the
+/// grant of one seat. The attempt with the lower id continues, the other is withdrawn and its
+/// request waits. The booking runs once, and both sends get the reply.
 #[test]
 fn two_sends_at_once_run_once() {
     let mut session = FaultSession::open(5);
@@ -38,9 +38,9 @@
     assert_snapshot!(session.close());
 }
 
-/// The run ends but its reply never reaches the ingress (one-way cut). The ingress asks the
-/// executor by another way and answers with the reply. Later the executor is gone, and a resend
-/// still gets the reply: the seats kept it.
+/// The booking runs, but a one-way cut keeps its reply from the ingress. The ingress queries the
+/// executor through a relay and answers with the reply. After the executor is lost, a resend still
+/// gets the reply from the seats.
 #[test]
 fn lost_reply_is_kept_by_the_seats() {
     let mut session = FaultSession::open(5);
@@ -58,8 +58,8 @@
     assert_snapshot!(session.close());
 }
 
-/// The dispatch never arrives (one-way cut). The ingress has the executor fence the attempt, by
-/// another way, and only then tries another executor.
+/// A one-way cut keeps the dispatch from the executor. The ingress has the attempt fenced through a
+/// relay before it tries another executor.
 #[test]
 fn lost_dispatch_is_fenced_before_the_next() {
     let mut session = FaultSession::open(5);
@@ -71,9 +71,9 @@
     assert_snapshot!(session.close());
 }
 
-/// A dispatch is under way for long, its ingress is paused, and the caller sends the booking again
-/// through another daemon. That one has the executor fence the attempt and runs the booking
-/// elsewhere. When the first dispatch arrives at last, the executor refuses it.
+/// A dispatch is delayed, its ingress is paused, and the caller resends the booking through another
+/// daemon. That daemon has the attempt fenced and runs the booking at another executor. The first
+/// executor must refuse the delayed dispatch.
 #[test]
 fn late_dispatch_meets_the_fence() {
     let mut session = FaultSession::open(6);
@@ -90,8 +90,8 @@
     assert_snapshot!(session.close());
 }
 
-/// The last grant arrives in the very moment the caller gives up. Nothing is dispatched any more:
-/// the answer is "not run".
+/// The last grant arrives exactly at the deadline. The ingress must not dispatch the request, and
+/// answers "not run".
 #[test]
 fn grant_at_the_deadline_is_too_late() {
     let mut session = FaultSession::open(5);
@@ -131,8 +131,8 @@
     );
 }
 
-/// The dispatch was lost, and the executor's answer that it fenced the attempt arrives as the caller
-/// gives up. There is no time for another executor: one answer, "not run", and no offer to retry.
+/// The dispatch was lost, and the executor's confirmation of the fence arrives exactly at the
+/// deadline. The ingress answers "not run" once and must not offer the request to another executor.
 #[test]
 fn fence_at_the_deadline_is_the_answer() {
     let mut session = FaultSession::open(5);
@@ -168,8 +168,8 @@
     );
 }
 
-/// The ingress cannot reach one seat, and another seat cannot reach the ingress. Claims and answers
-/// go around through other daemons, and the booking goes through.
+/// The ingress cannot reach one seat, and another seat cannot reach the ingress. Claims and replies
+/// are relayed through other daemons, and the booking runs.
 #[test]
 fn one_way_cuts_are_no_obstacle() {
     let mut session = FaultSession::open(5);
@@ -183,8 +183,8 @@
     assert_snapshot!(session.close());
 }
 
-/// The backend server crashes while it runs the booking. Nobody can know whether it took effect:
-/// the caller is told "unknown", a resend too, and it never runs again.
+/// The backend server crashes while it runs the booking, so the effect of the booking is unknown.
+/// The send and its resend are answered "unknown", and the booking never runs again.
 #[test]
 fn crash_of_the_backend_server_closes_the_key() {
     let mut session = FaultSession::open(5);
@@ -199,8 +199,8 @@
     assert_snapshot!(session.close());
 }
 
-/// The executor's instance is lost while it runs the booking, and another starts at its address
-/// with nothing kept. The caller is told "unknown"; a resend is never run.
+/// The executor's instance is lost while it runs the booking, and another one starts at its address
+/// without state. The caller gets "unknown", and a resend never runs.
 #[test]
 fn executor_lost_in_flight_is_unknown_for_good() {
     let mut session = FaultSession::open(5);
@@ -218,8 +218,8 @@
     assert_snapshot!(session.close());
 }
 
-/// Every backend server refuses the booking before it starts. The caller is told "not run", and
-/// the released key runs on the next send.
+/// Every backend server refuses the booking before it starts. The caller gets "not run", and the
+/// released key runs on the next send.
 #[test]
 fn refused_key_runs_on_the_next_send() {
     let mut session = FaultSession::open(5);
@@ -236,9 +236,9 @@
     session.close();
 }
 
-/// A caller uses a key again for another booking, another customer happens to use the same text,
-/// and a third sends a key that is days old. The first is refused as not run under this send, the
-/// second runs, the third is "unknown": its first send may have been forgotten.
+/// A caller reuses a key for another booking, another customer uses the same key text, and a third
+/// caller sends a key older than the retention. The first is refused as "not run", the second runs,
+/// and the third is "unknown" because the record of an earlier send may have been dropped.
 #[test]
 fn reused_foreign_and_expired_keys() {
     let mut session = FaultSession::open(5);
--- a/crates/guard/tests/testsuite/session.rs
+++ b/crates/guard/tests/testsuite/session.rs
@@ -1,4 +1,4 @@
-//! One scripted session, and its golden file.
+//! Scripted session with a simulated fleet, and its trace for a snapshot.
 
 use sycamorelink_core::RequestId;
 use sycamorelink_guard::{GuardSettings, KeyId, RangeId};
@@ -10,12 +10,12 @@
 }
 
 impl FaultSession {
-    /// A founded fleet with one range, so that every key has the same seats.
+    /// Creates a founded fleet with one range, so that every key has the same seats.
     pub fn open(nodes: usize) -> Self {
         Self::with_keys(nodes, GuardSettings::default().max_keys)
     }
 
-    /// The same with little memory.
+    /// Creates the same fleet with a limit on the keys of each node.
     pub fn with_keys(nodes: usize, max_keys: usize) -> Self {
         let settings = GuardSettings {
             ranges: 1,
@@ -27,7 +27,7 @@
         Self { fleet }
     }
 
-    /// Nodes with a seat, as node `at` knows.
+    /// Returns the nodes with a seat according to node `at`.
     pub fn seats(&self, at: usize) -> Vec<usize> {
         let guard = &self.fleet.lives[self.fleet.address[at]].guard;
         let entry = guard.map().get(RangeId(0));
@@ -36,7 +36,7 @@
         seats.iter().filter_map(|seat| node(seat).ok()).collect()
     }
 
-    /// Nodes without a seat, as node `at` knows.
+    /// Returns the nodes without a seat according to node `at`.
     pub fn others(&self, at: usize) -> Vec<usize> {
         let seats = self.seats(at);
         let nodes = 0..self.fleet.address.len();
@@ -47,7 +47,7 @@
         self.fleet.fresh_key(number << 96)
     }
 
-    /// A caller sends request `id` to a node, which chooses an executor.
+    /// Sends request `id` to the ingress with a given executor, and fails if the ingress is down.
     pub fn send(&mut self, id: u128, key: KeyId, ingress: usize, executor: usize, patience: u64) {
         self.send_body(id, key, 1, ingress, executor, patience);
     }
@@ -78,7 +78,7 @@
         self.fleet.run_for(ms(span));
     }
 
-    /// Cuts a node off from others, both ways.
+    /// Cuts the links between a node and others in both directions.
     pub fn isolate(&mut self, node: usize, from: &[usize]) {
         for other in from.iter().copied().filter(|other| *other != node) {
             self.fleet.cuts.insert((node, other));
@@ -87,7 +87,7 @@
         self.fleet.note(&format!("n{node} cut off from {from:?}"));
     }
 
-    /// Drains a node, and starts another life at its address once it is drained.
+    /// Drains a node, and starts a new process at its address once it is drained.
     pub fn roll(&mut self, node: usize) {
         self.fleet.drain(node);
         for _ in 0..100 {
@@ -112,7 +112,7 @@
         self.fleet.truth.text_of(RequestId(id))
     }
 
-    /// The session as text: what happened, the answers and the runs. Checks that all was true.
+    /// Returns the trace, the answers and the runs as text. Fails if the oracle found a violation.
     pub fn close(&self) -> String {
         let truth = &self.fleet.truth;
         assert_eq!(truth.violations, Vec::<String>::new());
--- a/crates/guard/tests/testsuite/shares.rs
+++ b/crates/guard/tests/testsuite/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of bookings through, refused and unknown under one failure at a time, and their cost.
+//! Shares of bookings that succeed, are refused or end as unknown under a single failure, and the
+//! cost of a booking in messages.
 //!
 //! `cargo test -p sycamorelink-guard shares -- --nocapture` prints the tables.
 
@@ -13,29 +14,29 @@
 
 use crate::fleet::{BackendBehaviour, CallerSend, EPOCH, FakeFleet, LinkFaults, ms, test_settings};
 
-/// Pause between two bookings, in milliseconds.
+/// Interval between two bookings, in milliseconds.
 const PAUSE: u64 = 5;
-/// Bookings of one run.
+/// Number of bookings in one run.
 const BOOKINGS: u64 = 4_000;
-/// Bookings before the failure.
+/// Number of bookings before the failure.
 const FAILURE_AT: u64 = 1_000;
-/// How long a caller waits, in milliseconds.
+/// Deadline of a caller, in milliseconds.
 const PATIENCE: u64 = 5_000;
 
-/// What callers got in one run.
+/// Answers to the callers in one run.
 #[derive(Debug, Default)]
 struct ShareCount {
     through: u64,
     not_run: u64,
     unknown: u64,
-    /// Unknown because the executor was lost with the booking in flight.
+    /// Answered "unknown" although the booking ran: its executor was lost while it was in flight.
     in_flight: u64,
-    /// The daemon that took the request was lost with it.
+    /// Without an answer: the daemon that accepted the request was lost.
     cut_off: u64,
     messages: u64,
 }
 
-/// Bookings at a steady rate, while `fail` breaks something once.
+/// Sends bookings at a steady rate and calls `fail` once during the run.
 fn measure<F>(nodes: usize, fail: F) -> ShareCount
 where
     F: Fn(&mut FakeFleet),
@@ -117,8 +118,9 @@
     }
 }
 
-/// One failure at a time, in a fleet of nine daemons in three failure domains with 64 ranges. The
-/// log is down in all but the first and the last two; callers wait up to five seconds.
+/// Measures the shares under one failure at a time, in a fleet of nine daemons in three failure
+/// domains with 64 ranges. The log is down in all runs but the first and the last; callers wait up
+/// to five seconds.
 #[test]
 fn shares_by_failure() {
     let down = |fleet: &mut FakeFleet| fleet.set_log(false);
@@ -188,8 +190,9 @@
     assert_eq!(log.through, BOOKINGS, "the log takes no part in a booking");
 }
 
-/// Memory of one key remembered by a seat, without and with a reply of 200 bytes. The figures hold
-/// only when the test runs alone: `cargo test -p sycamorelink-guard bytes_per_key -- --nocapture`.
+/// Measures the memory per key at a seat, without and with a reply of 200 bytes. The figures are
+/// valid only if the test runs alone:
+/// `cargo test -p sycamorelink-guard bytes_per_key -- --nocapture`.
 #[test]
 fn bytes_per_key() {
     let (_kept, without) = fill_seat(None);
@@ -233,7 +236,7 @@
     (fleet, bytes)
 }
 
-/// Resident memory of this process, as the kernel tells; zero where it does not.
+/// Returns the resident memory of this process in bytes, or zero where `/proc` is not available.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/crates/guard/tests/testsuite/truth.rs
+++ b/crates/guard/tests/testsuite/truth.rs
@@ -1,4 +1,4 @@
-//! What really happened, and whether the answers agree with it.
+//! Test oracle: records the runs at the backend servers and checks the answers against them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::fleet::CallerSend;
 
-/// How a send was answered.
+/// Answer that a caller got for a send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SendAnswer {
     pub at: Duration,
@@ -23,13 +23,13 @@
     pub answer: Option<SendAnswer>,
 }
 
-/// Everything the callers and the backend servers saw.
+/// All sends, answers and runs of a simulated fleet, and the violations found among them.
 #[derive(Debug, Default)]
 pub struct FleetTruth {
     pub sends: BTreeMap<RequestId, SendTruth>,
     pub runs: BTreeMap<KeyId, Vec<(AttemptId, Duration)>>,
     pub violations: Vec<String>,
-    /// How often each kind of thing happened, to show what a session reached.
+    /// Number of guard notes of each kind, which shows the coverage of a session.
     pub reached: BTreeMap<&'static str, u64>,
 }
 
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Answer of a send.
+    /// Returns the answer to a send.
     pub fn answer_of(&self, request: RequestId) -> Option<&SendAnswer> {
         self.sends
             .get(&request)
@@ -166,7 +166,7 @@
     }
 }
 
-/// The answer's kind, for counting.
+/// Describes the kind of an answer.
 pub fn verdict_text(verdict: &AnswerVerdict) -> String {
     match verdict {
         AnswerVerdict::ReplyKept { .. } => "ran, reply kept".to_owned(),
