--- a/crates/guard/src/change.rs
+++ b/crates/guard/src/change.rs
@@ -23,28 +23,28 @@
 use sycamorelink_core::InstanceId;
 
 use crate::ballot::{AcceptedSeats, RangeBallot, majority};
+use crate::context::{GuardContext, millis};
 use crate::map::{RangeEntry, place_seats};
 use crate::message::GuardMessage;
 use crate::seat::RangeSeat;
-use crate::turn::{GuardTurn, millis};
 
 /// Number of sends of one phase of a proposal before the proposer backs off.
-const PROPOSAL_TRIES: u32 = 6;
+const MAX_PROPOSAL_SENDS: u32 = 6;
 
 /// Delay between the proposals of two seats, as a multiple of `resend_after`.
-const PROPOSAL_WAITS: u64 = 4;
+const PROPOSAL_DELAY_FACTOR: u64 = 4;
 
 /// Maximum number of times that objections double the delay before the next proposal.
-const DECLINE_DOUBLINGS: u32 = 5;
+const MAX_OBJECTION_DOUBLINGS: u32 = 5;
 
 /// Time after an objection during which the member is neither replaced nor given a seat.
-const AVOID_FOR: Duration = Duration::from_secs(3);
+const AVOID_DURATION: Duration = Duration::from_secs(3);
 
 /// Reason for a change of the seats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeCause {
     /// A seat is lost.
-    Strike,
+    LostSeat,
     /// A seat drains, or the range has too few seats. The change waits until all seats hold the
     /// records.
     Planned,
@@ -74,64 +74,68 @@
 
 impl RangeSeat {
     /// Starts or continues a change of the seats. Returns the next entry once it is chosen.
-    pub(crate) fn pulse_change(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
-        if turn
-            .view
+    pub(crate) fn advance_change(&mut self, context: &mut GuardContext<'_>) -> Option<RangeEntry> {
+        if context
+            .shared
             .is_fenced(self.entry.range, self.entry.generation.epoch)
         {
             return None;
         }
         if self.proposal.is_some() {
-            return self.resend_proposal(turn);
+            return self.resend_proposal(context);
         }
-        let wanted = self.wanted_change(turn);
+        let wanted = self.wanted_change(context);
         let Some(wanted) = wanted else {
             self.propose_at = None;
             return None;
         };
         let at = match self.propose_at {
             Some(at) => at,
-            None => self.schedule(turn),
+            None => self.schedule_proposal(context),
         };
-        if turn.now < at {
+        if context.now < at {
             return None;
         }
-        self.propose(turn, wanted)
+        self.propose(context, wanted)
     }
 
     /// Determines the wanted change. Seats that have certainly ended are replaced before suspected
     /// ones, because the other seats do not object to their replacement.
-    fn wanted_change(&self, turn: &GuardTurn<'_>) -> Option<WantedChange> {
-        let members = &turn.view.members;
-        let limit = turn.view.settings.strike_after;
+    fn wanted_change(&self, context: &GuardContext<'_>) -> Option<WantedChange> {
+        let members = &context.shared.members;
+        let limit = context.shared.settings.strike_after;
         let overdue = |seat: &&InstanceId| {
-            members.is_lost(turn.now, **seat, limit) && !self.is_avoided(turn.now, **seat)
+            members.is_lost(context.now, **seat, limit) && !self.is_avoided(context.now, **seat)
         };
         let lost = self.entry.seats.iter().filter(overdue);
         if let Some(failed) = lost.max_by_key(|seat| members.is_gone(**seat)) {
-            let seats = self.replace(turn, *failed);
-            let cause = ChangeCause::Strike;
+            let seats = self.replace_seat(context, *failed);
+            let cause = ChangeCause::LostSeat;
             return seats.map(|seats| WantedChange { cause, seats });
         }
-        let seats = self.planned_seats(turn)?;
+        let seats = self.planned_seats(context)?;
         let cause = ChangeCause::Planned;
         Some(WantedChange { cause, seats })
     }
 
-    fn planned_seats(&self, turn: &GuardTurn<'_>) -> Option<Vec<InstanceId>> {
-        let members = &turn.view.members;
+    fn planned_seats(&self, context: &GuardContext<'_>) -> Option<Vec<InstanceId>> {
+        let members = &context.shared.members;
         let draining = |seat: &&InstanceId| members.is_draining(**seat);
         let leaving = self.entry.seats.iter().find(draining);
         match leaving {
-            Some(seat) if self.entry.seats.len() > 1 => self.replace(turn, *seat),
-            Some(_) => self.grow(turn, 2),
-            None => self.grow(turn, turn.view.settings.seats),
+            Some(seat) if self.entry.seats.len() > 1 => self.replace_seat(context, *seat),
+            Some(_) => self.add_seat(context, 2),
+            None => self.add_seat(context, context.shared.settings.seats),
         }
     }
 
     /// Returns the seats without `leaver`, with a new seat in its place if there is a candidate.
     /// Returns `None` if no seat would stay, or if all candidates are avoided for now.
-    fn replace(&self, turn: &GuardTurn<'_>, leaver: InstanceId) -> Option<Vec<InstanceId>> {
+    fn replace_seat(
+        &self,
+        context: &GuardContext<'_>,
+        leaver: InstanceId,
+    ) -> Option<Vec<InstanceId>> {
         let stays = |seat: &InstanceId| *seat != leaver;
         let kept: Vec<InstanceId> = self.entry.seats.iter().copied().filter(stays).collect();
         if kept.is_empty() {
@@ -139,13 +143,13 @@
         }
         let range = self.entry.range;
         let count = self.entry.seats.len();
-        let mut candidates = turn.view.members.candidates();
+        let mut candidates = context.shared.members.candidates();
         candidates.remove(&leaver);
         let seats = place_seats(range, &kept, &candidates, count);
         if seats.len() == kept.len() {
             return Some(seats);
         }
-        candidates.retain(|candidate, _| !self.is_avoided(turn.now, *candidate));
+        candidates.retain(|candidate, _| !self.is_avoided(context.now, *candidate));
         let seats = place_seats(range, &kept, &candidates, count);
         (seats.len() > kept.len()).then_some(seats)
     }
@@ -155,33 +159,37 @@
         self.avoided.get(&member).is_some_and(|until| now < *until)
     }
 
-    fn grow(&self, turn: &GuardTurn<'_>, count: usize) -> Option<Vec<InstanceId>> {
+    fn add_seat(&self, context: &GuardContext<'_>, count: usize) -> Option<Vec<InstanceId>> {
         let present = &self.entry.seats;
         if present.len() >= count {
             return None;
         }
-        let mut candidates = turn.view.members.candidates();
-        candidates.retain(|candidate, _| !self.is_avoided(turn.now, *candidate));
+        let mut candidates = context.shared.members.candidates();
+        candidates.retain(|candidate, _| !self.is_avoided(context.now, *candidate));
         let seats = place_seats(self.entry.range, present, &candidates, present.len() + 1);
         (seats.len() > present.len()).then_some(seats)
     }
 
     /// Schedules the proposal by this seat's position among the seats that are up, so that ballots
     /// seldom collide. The first one proposes at once.
-    fn schedule(&mut self, turn: &mut GuardTurn<'_>) -> Duration {
-        let me = turn.me();
-        let members = &turn.view.members;
+    fn schedule_proposal(&mut self, context: &mut GuardContext<'_>) -> Duration {
+        let me = context.me();
+        let members = &context.shared.members;
         let live = self.entry.seats.iter().filter(|seat| members.is_up(**seat));
         let place = live.take_while(|seat| **seat != me).count();
-        let step = millis(turn.view.settings.resend_after) * PROPOSAL_WAITS;
+        let step = millis(context.shared.settings.resend_after) * PROPOSAL_DELAY_FACTOR;
         let wait = step * u64::try_from(place).unwrap_or_default();
-        let at = turn.now + Duration::from_millis(wait);
+        let at = context.now + Duration::from_millis(wait);
         self.propose_at = Some(at);
         at
     }
 
-    fn propose(&mut self, turn: &mut GuardTurn<'_>, wanted: WantedChange) -> Option<RangeEntry> {
-        let proposer = turn.me();
+    fn propose(
+        &mut self,
+        context: &mut GuardContext<'_>,
+        wanted: WantedChange,
+    ) -> Option<RangeEntry> {
+        let proposer = context.me();
         let round = self.acceptor.promised.map_or(1, |it| it.round + 1);
         let ballot = RangeBallot { round, proposer };
         self.acceptor.promise(ballot);
@@ -195,30 +203,30 @@
             accepts: BTreeSet::new(),
             objectors: BTreeSet::new(),
             tries: 0,
-            send_at: turn.now,
+            send_at: context.now,
         });
-        self.advance_proposal(turn)
+        self.advance_proposal(context)
     }
 
     /// Sends the current phase again to the seats that have not answered.
-    fn resend_proposal(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
+    fn resend_proposal(&mut self, context: &mut GuardContext<'_>) -> Option<RangeEntry> {
         let proposal = self.proposal.as_mut()?;
-        if turn.now < proposal.send_at {
+        if context.now < proposal.send_at {
             return None;
         }
-        if proposal.tries >= PROPOSAL_TRIES {
-            self.retreat(turn);
+        if proposal.tries >= MAX_PROPOSAL_SENDS {
+            self.back_off(context);
             return None;
         }
-        self.send_proposal(turn);
+        self.send_proposal(context);
         None
     }
 
-    fn send_proposal(&mut self, turn: &mut GuardTurn<'_>) {
+    fn send_proposal(&mut self, context: &mut GuardContext<'_>) {
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        proposal.send_at = turn.next_try(proposal.tries);
+        proposal.send_at = context.next_resend(proposal.tries);
         let entry = &self.entry;
         let ballot = proposal.ballot;
         for seat in &entry.seats {
@@ -236,20 +244,21 @@
                     wanted: proposal.wanted.clone(),
                 },
             };
-            turn.send_try(proposal.tries, *seat, message);
+            context.send_alternating(proposal.tries, *seat, message);
         }
         proposal.tries += 1;
     }
 
     /// Abandons the ballot and schedules another one after a random delay.
-    pub(crate) fn retreat(&mut self, turn: &mut GuardTurn<'_>) {
+    pub(crate) fn back_off(&mut self, context: &mut GuardContext<'_>) {
         let proposal = self.proposal.take();
         let objected = proposal.is_some_and(|it| !it.objectors.is_empty());
-        self.declines += u32::from(objected);
-        let doublings = self.declines.min(DECLINE_DOUBLINGS);
-        let longest = (millis(turn.view.settings.resend_after) * PROPOSAL_WAITS * 2) << doublings;
-        let wait = turn.view.rng.random_range(0..=longest);
-        self.propose_at = Some(turn.now + Duration::from_millis(wait));
+        self.objections += u32::from(objected);
+        let doublings = self.objections.min(MAX_OBJECTION_DOUBLINGS);
+        let longest =
+            (millis(context.shared.settings.resend_after) * PROPOSAL_DELAY_FACTOR * 2) << doublings;
+        let wait = context.shared.rng.random_range(0..=longest);
+        self.propose_at = Some(context.now + Duration::from_millis(wait));
     }
 
     /// Handles another seat's objection to the wanted change.
@@ -257,8 +266,13 @@
     /// If a link is cut one way or rosters differ, one seat may suspect another that the rest sees
     /// as up. Without objections, such seats would replace each other endlessly, and requests would
     /// restart their claims with each generation. A change needs a majority that does not object.
-    pub(crate) fn decline(&mut self, turn: &mut GuardTurn<'_>, from: InstanceId, seat: InstanceId) {
-        self.avoided.insert(seat, turn.now + AVOID_FOR);
+    pub(crate) fn on_objection(
+        &mut self,
+        context: &mut GuardContext<'_>,
+        from: InstanceId,
+        seat: InstanceId,
+    ) {
+        self.avoided.insert(seat, context.now + AVOID_DURATION);
         let all = self.entry.seats.len();
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -266,7 +280,7 @@
         proposal.objectors.insert(from);
         let planned = proposal.cause == ChangeCause::Planned;
         if planned || all - proposal.objectors.len() < majority(all) {
-            self.retreat(turn);
+            self.back_off(context);
         }
     }
 
@@ -274,11 +288,11 @@
     /// or one that would get a seat although it is down.
     pub(crate) fn objection(
         &self,
-        turn: &GuardTurn<'_>,
+        context: &GuardContext<'_>,
         proposer: InstanceId,
         wanted: &[InstanceId],
     ) -> Option<InstanceId> {
-        let members = &turn.view.members;
+        let members = &context.shared.members;
         let present = &self.entry.seats;
         let goes = |seat: &&InstanceId| !wanted.contains(seat) && **seat != proposer;
         let well = |seat: &&InstanceId| members.is_up(**seat) && !members.is_draining(**seat);
@@ -289,13 +303,16 @@
 
     /// Starts the next phase once a majority has answered. Returns the next entry once it is
     /// chosen.
-    pub(crate) fn advance_proposal(&mut self, turn: &mut GuardTurn<'_>) -> Option<RangeEntry> {
+    pub(crate) fn advance_proposal(
+        &mut self,
+        context: &mut GuardContext<'_>,
+    ) -> Option<RangeEntry> {
         let quorum = majority(self.entry.seats.len());
         let all = self.entry.seats.len();
         let proposal = self.proposal.as_mut()?;
         if proposal.value.is_none() {
             if proposal.promises.len() < quorum {
-                self.send_once(turn);
+                self.send_if_unsent(context);
                 return None;
             }
             let value = proposal.choose_value(all)?;
@@ -304,10 +321,10 @@
             proposal.tries = 0;
             proposal.accepts.insert(ballot.proposer);
             if !self.acceptor.accept(ballot, value) {
-                self.retreat(turn);
+                self.back_off(context);
                 return None;
             }
-            self.send_proposal(turn);
+            self.send_proposal(context);
         }
         let proposal = self.proposal.as_ref()?;
         if proposal.accepts.len() < quorum {
@@ -317,9 +334,9 @@
         Some(self.entry.successor(seats))
     }
 
-    fn send_once(&mut self, turn: &mut GuardTurn<'_>) {
+    fn send_if_unsent(&mut self, context: &mut GuardContext<'_>) {
         if self.proposal.as_ref().is_some_and(|it| it.tries == 0) {
-            self.send_proposal(turn);
+            self.send_proposal(context);
         }
     }
 }
--- a/crates/guard/src/client.rs
+++ b/crates/guard/src/client.rs
@@ -16,22 +16,22 @@
 use sycamorelink_core::{AttemptId, InstanceId, RequestId, RunState};
 
 use crate::command::{AnswerVerdict, GuardCommand, GuardNote};
+use crate::context::GuardContext;
 use crate::event::DispatchOutcome;
 use crate::key::{KeyFingerprint, KeyId, KeyTime, RangeId};
 use crate::map::RangeGeneration;
 use crate::message::SeatVerdict;
 use crate::request::{ClientRequest, RequestPhase, RequestStep};
-use crate::turn::GuardTurn;
 
 /// How long a dispatched request is kept after its deadline if the engine does not settle it.
-const LINGER: Duration = Duration::from_mins(1);
+const DISPATCH_RETENTION: Duration = Duration::from_mins(1);
 
 /// Unfinished requests of this ingress.
 #[derive(Debug, Default)]
 pub(crate) struct KeyClient {
     requests: BTreeMap<RequestId, ClientRequest>,
     by_key: BTreeMap<KeyId, BTreeSet<RequestId>>,
-    wakes: BTreeSet<(Duration, RequestId)>,
+    timers: BTreeSet<(Duration, RequestId)>,
     pub(crate) admitted: u64,
     pub(crate) granted: u64,
     pub(crate) unknown: u64,
@@ -48,11 +48,11 @@
 }
 
 impl KeyClient {
-    pub(crate) fn admit(&mut self, turn: &mut GuardTurn<'_>, admit: &AdmitRequest) {
+    pub(crate) fn on_admit(&mut self, context: &mut GuardContext<'_>, admit: &AdmitRequest) {
         self.admitted += 1;
         let stamp_ms = match admit.key.time {
             KeyTime::Timed(key_ms) => key_ms,
-            KeyTime::Window(_) => turn.wall_ms(),
+            KeyTime::Window(_) => context.wall_ms(),
         };
         let mut request = ClientRequest {
             request: admit.request,
@@ -67,22 +67,22 @@
             tries: 0,
             wake: Duration::ZERO,
         };
-        request.claim(turn);
+        request.claim(context);
         self.by_key
             .entry(admit.key)
             .or_default()
             .insert(admit.request);
         self.requests.insert(admit.request, request);
-        self.arm(turn, admit.request);
+        self.arm_timer(context, admit.request);
     }
 
-    pub(crate) fn redirect(
+    pub(crate) fn on_redirect(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         id: RequestId,
         executor: InstanceId,
     ) {
-        self.step(turn, id, |request, turn| {
+        self.step(context, id, |request, context| {
             if matches!(
                 request.phase,
                 RequestPhase::Dispatched(_) | RequestPhase::Reoffered
@@ -90,20 +90,20 @@
                 request.dead.push(request.attempt());
                 request.number += 1;
                 request.executor = executor;
-                request.claim(turn);
+                request.claim(context);
             }
             RequestStep::Keep
         });
     }
 
-    pub(crate) fn settled(
+    pub(crate) fn on_settled(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         id: RequestId,
         outcome: DispatchOutcome,
     ) {
         let mut unknown = false;
-        self.step(turn, id, |request, turn| {
+        self.step(context, id, |request, context| {
             let dispatched = match &request.phase {
                 RequestPhase::Dispatched(ticket) => Some(ticket.clone()),
                 RequestPhase::Reoffered => None,
@@ -113,17 +113,17 @@
                 (DispatchOutcome::Lost, Some(ticket)) => {
                     request.phase = RequestPhase::Resolving(ticket);
                     request.tries = 0;
-                    request.resolve(turn)
+                    request.resolve(context)
                 }
                 (DispatchOutcome::NotRun, _) | (_, None) => {
-                    request.bury(turn);
+                    request.declare_dead(context);
                     RequestStep::Drop
                 }
                 (DispatchOutcome::Ran, _) => RequestStep::Drop,
                 (DispatchOutcome::Unknown, _) => {
                     unknown = true;
                     let (request, key) = (request.request, request.key);
-                    turn.note(GuardNote::AnsweredUnknown { request, key });
+                    context.note(GuardNote::AnsweredUnknown { request, key });
                     RequestStep::Drop
                 }
             }
@@ -131,30 +131,30 @@
         self.unknown += u64::from(unknown);
     }
 
-    pub(crate) fn abandoned(&mut self, turn: &mut GuardTurn<'_>, id: RequestId) {
-        self.step(turn, id, |request, turn| match request.phase {
+    pub(crate) fn on_abandoned(&mut self, context: &mut GuardContext<'_>, id: RequestId) {
+        self.step(context, id, |request, context| match request.phase {
             RequestPhase::Dispatched(_) | RequestPhase::Resolving(_) => RequestStep::Keep,
             _ => {
-                request.bury(turn);
+                request.declare_dead(context);
                 RequestStep::Drop
             }
         });
     }
 
-    pub(crate) fn claim_reply(
+    pub(crate) fn on_claim_reply(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         attempt: AttemptId,
         generation: RangeGeneration,
         verdict: SeatVerdict,
     ) {
         let mut granted = false;
-        self.step(turn, attempt.request, |request, turn| {
+        self.step(context, attempt.request, |request, context| {
             if request.attempt() != attempt {
                 return RequestStep::Keep;
             }
-            let step = request.take_verdict(turn, from, generation, verdict);
+            let step = request.on_verdict(context, from, generation, verdict);
             granted = matches!(request.phase, RequestPhase::Dispatched(_));
             step
         });
@@ -162,36 +162,36 @@
     }
 
     /// Restarts the claims of all requests in a range whose seats have changed.
-    pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
+    pub(crate) fn on_map_changed(&mut self, context: &mut GuardContext<'_>, range: RangeId) {
         let claims = |request: &&ClientRequest| {
             matches!(request.phase, RequestPhase::Claiming(_))
-                && turn.range_of(request.key) == range
+                && context.range_of(request.key) == range
         };
         let waiting = self.requests.values().filter(claims);
         let ids: Vec<RequestId> = waiting.map(|request| request.request).collect();
         for id in ids {
-            self.step(turn, id, |request, turn| {
-                request.claim(turn);
+            self.step(context, id, |request, context| {
+                request.claim(context);
                 RequestStep::Keep
             });
         }
     }
 
     /// Resends due messages, and answers requests whose deadline has passed.
-    pub(crate) fn tick(&mut self, turn: &mut GuardTurn<'_>) {
-        while let Some((wake, id)) = self.wakes.first().copied() {
-            if wake > turn.now {
+    pub(crate) fn tick(&mut self, context: &mut GuardContext<'_>) {
+        while let Some((wake, id)) = self.timers.first().copied() {
+            if wake > context.now {
                 break;
             }
-            self.step(turn, id, ClientRequest::wake_up);
-            if self.wakes.first() == Some(&(wake, id)) {
-                self.wakes.pop_first();
+            self.step(context, id, ClientRequest::on_timer);
+            if self.timers.first() == Some(&(wake, id)) {
+                self.timers.pop_first();
             }
         }
     }
 
     pub(crate) fn next_wake(&self) -> Option<Duration> {
-        self.wakes.first().map(|(wake, _)| *wake)
+        self.timers.first().map(|(wake, _)| *wake)
     }
 
     pub(crate) fn get(&self, id: RequestId) -> Option<&ClientRequest> {
@@ -199,29 +199,29 @@
     }
 
     /// Returns the unfinished requests of a key.
-    pub(crate) fn of_key(&self, key: KeyId) -> Vec<RequestId> {
+    pub(crate) fn requests_of_key(&self, key: KeyId) -> Vec<RequestId> {
         let ids = self.by_key.get(&key);
         ids.into_iter().flatten().copied().collect()
     }
 
     /// Applies a state transition to a request and carries out its result.
-    pub(crate) fn step<F>(&mut self, turn: &mut GuardTurn<'_>, id: RequestId, act: F)
+    pub(crate) fn step<F>(&mut self, context: &mut GuardContext<'_>, id: RequestId, act: F)
     where
-        F: FnOnce(&mut ClientRequest, &mut GuardTurn<'_>) -> RequestStep,
+        F: FnOnce(&mut ClientRequest, &mut GuardContext<'_>) -> RequestStep,
     {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        match act(request, turn) {
-            RequestStep::Keep => self.arm(turn, id),
+        match act(request, context) {
+            RequestStep::Keep => self.arm_timer(context, id),
             RequestStep::Drop => {
                 self.remove(id);
             }
-            RequestStep::Answer(verdict) => self.answer(turn, id, verdict),
+            RequestStep::Answer(verdict) => self.answer(context, id, verdict),
         }
     }
 
-    fn answer(&mut self, turn: &mut GuardTurn<'_>, id: RequestId, verdict: AnswerVerdict) {
+    fn answer(&mut self, context: &mut GuardContext<'_>, id: RequestId, verdict: AnswerVerdict) {
         let Some(mut request) = self.remove(id) else {
             return;
         };
@@ -229,22 +229,22 @@
             request.phase,
             RequestPhase::Claiming(_) | RequestPhase::Reoffered
         ) {
-            request.bury(turn);
+            request.declare_dead(context);
         }
         if let AnswerVerdict::Refuse(refusal) = &verdict
             && refusal.run == RunState::Unknown
         {
             self.unknown += 1;
             let key = request.key;
-            turn.note(GuardNote::AnsweredUnknown { request: id, key });
+            context.note(GuardNote::AnsweredUnknown { request: id, key });
         }
         let request = id;
-        turn.out.push(GuardCommand::Answer { request, verdict });
+        context.out.push(GuardCommand::Answer { request, verdict });
     }
 
     fn remove(&mut self, id: RequestId) -> Option<ClientRequest> {
         let request = self.requests.remove(&id)?;
-        self.wakes.remove(&(request.wake, id));
+        self.timers.remove(&(request.wake, id));
         if let Some(ids) = self.by_key.get_mut(&request.key) {
             ids.remove(&id);
             if ids.is_empty() {
@@ -255,17 +255,17 @@
     }
 
     /// Sets the timer of a request to the next resend or the deadline, whichever is earlier.
-    fn arm(&mut self, turn: &mut GuardTurn<'_>, id: RequestId) {
+    fn arm_timer(&mut self, context: &mut GuardContext<'_>, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        self.wakes.remove(&(request.wake, id));
+        self.timers.remove(&(request.wake, id));
         let tries = request.tries;
         request.wake = match request.phase {
-            RequestPhase::Dispatched(_) => request.deadline + LINGER,
+            RequestPhase::Dispatched(_) => request.deadline + DISPATCH_RETENTION,
             RequestPhase::Reoffered => request.deadline,
-            _ => turn.next_try(tries).min(request.deadline),
+            _ => context.next_resend(tries).min(request.deadline),
         };
-        self.wakes.insert((request.wake, id));
+        self.timers.insert((request.wake, id));
     }
 }
--- a/crates/guard/src/parts.rs
+++ b/crates/guard/src/components.rs
@@ -4,29 +4,29 @@
 
 use crate::client::{AdmitRequest, KeyClient};
 use crate::command::{GuardCommand, GuardNote};
-use crate::custody::CustodyPart;
+use crate::context::GuardContext;
+use crate::custody::CustodyChunk;
 use crate::event::GuardEvent;
 use crate::exchange::{self, MapExchange};
-use crate::founding::FoundingBook;
+use crate::founding::FoundingState;
 use crate::ledger::WorkLedger;
 use crate::map::RangeEntry;
 use crate::message::GuardMessage;
 use crate::seat::{RangeSeat, SeatTable};
-use crate::turn::GuardTurn;
 use crate::vote::{DeclineVote, PromiseVote};
 
 /// Components of a node.
 #[derive(Debug, Default)]
-pub(crate) struct NodeParts {
+pub(crate) struct NodeComponents {
     pub(crate) client: KeyClient,
     pub(crate) seats: SeatTable,
     pub(crate) ledger: WorkLedger,
-    pub(crate) founding: FoundingBook,
+    pub(crate) founding: FoundingState,
     pub(crate) exchange: MapExchange,
 }
 
-impl NodeParts {
-    pub(crate) fn take_event(&mut self, turn: &mut GuardTurn<'_>, event: GuardEvent) {
+impl NodeComponents {
+    pub(crate) fn on_event(&mut self, context: &mut GuardContext<'_>, event: GuardEvent) {
         match event {
             GuardEvent::Admit {
                 request,
@@ -42,61 +42,67 @@
                     executor,
                     deadline,
                 };
-                self.client.admit(turn, &admit);
+                self.client.on_admit(context, &admit);
             }
             GuardEvent::Redirect { request, executor } => {
-                self.client.redirect(turn, request, executor);
+                self.client.on_redirect(context, request, executor);
             }
             GuardEvent::Settled { request, outcome } => {
-                self.client.settled(turn, request, outcome);
+                self.client.on_settled(context, request, outcome);
             }
-            GuardEvent::Abandoned { request } => self.client.abandoned(turn, request),
-            GuardEvent::Offered { ticket } => self.ledger.offered(turn, ticket),
-            GuardEvent::WorkEnded { attempt, outcome } => self.ledger.ended(turn, attempt, outcome),
-            GuardEvent::Message { from, message } => self.take_message(turn, from, message),
+            GuardEvent::Abandoned { request } => self.client.on_abandoned(context, request),
+            GuardEvent::Offered { ticket } => self.ledger.on_offered(context, ticket),
+            GuardEvent::WorkEnded { attempt, outcome } => {
+                self.ledger.on_work_ended(context, attempt, outcome);
+            }
+            GuardEvent::Message { from, message } => self.on_message(context, from, message),
             GuardEvent::Tick => {}
-            member => self.take_member(turn, member),
+            member => self.on_member_event(context, member),
         }
     }
 
-    fn take_member(&mut self, turn: &mut GuardTurn<'_>, event: GuardEvent) {
-        let now = turn.now;
-        let me = turn.me();
+    fn on_member_event(&mut self, context: &mut GuardContext<'_>, event: GuardEvent) {
+        let now = context.now;
+        let me = context.me();
         match event {
-            GuardEvent::MemberUp { instance, domain } => turn.view.members.up(instance, domain),
+            GuardEvent::MemberUp { instance, domain } => {
+                context.shared.members.mark_up(instance, domain);
+            }
             GuardEvent::MemberDown { instance } if instance != me => {
-                turn.view.members.down(now, instance);
+                context.shared.members.mark_down(now, instance);
             }
             GuardEvent::MemberGone { instance } if instance != me => {
-                turn.view.members.gone(instance);
+                context.shared.members.mark_gone(instance);
+            }
+            GuardEvent::MemberDraining { instance } => {
+                context.shared.members.mark_draining(instance);
             }
-            GuardEvent::MemberDraining { instance } => turn.view.members.draining(instance),
             GuardEvent::DrainRequested => {
-                turn.view.draining = true;
-                turn.view.members.draining(me);
+                context.shared.draining = true;
+                context.shared.members.mark_draining(me);
             }
             GuardEvent::LogFounding { records } => {
-                let entries = self.founding.read(records);
-                self.adopt_all(turn, &entries);
+                let entries = self.founding.on_records(records);
+                self.adopt_all(context, &entries);
             }
             GuardEvent::LogCurrent { whole } => {
-                let entries = self.founding.current(turn, whole);
-                self.adopt_all(turn, &entries);
+                let entries = self.founding.on_log_current(context, whole);
+                self.adopt_all(context, &entries);
             }
-            GuardEvent::LogLost => self.founding.lost(),
+            GuardEvent::LogLost => self.founding.on_log_lost(),
             _ => {}
         }
     }
 
     /// Handles messages between ingress, seats and executor, and passes others on.
-    pub(crate) fn take_message(
+    pub(crate) fn on_message(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         message: GuardMessage,
     ) {
         match message {
-            GuardMessage::Claim(claim) => self.seats.claim(turn, from, &claim),
+            GuardMessage::Claim(claim) => self.seats.on_claim(context, from, &claim),
             GuardMessage::ClaimReply {
                 attempt,
                 generation,
@@ -104,24 +110,24 @@
                 ..
             } => {
                 let client = &mut self.client;
-                client.claim_reply(turn, from, attempt, generation, verdict);
+                client.on_claim_reply(context, from, attempt, generation, verdict);
             }
-            GuardMessage::Release { key, attempt } => self.seats.release(turn, key, attempt),
-            GuardMessage::Close { key, attempt } => self.seats.close(turn, key, attempt),
+            GuardMessage::Release { key, attempt } => self.seats.on_release(context, key, attempt),
+            GuardMessage::Close { key, attempt } => self.seats.on_close(context, key, attempt),
             GuardMessage::Contest { key, theirs, mine } => {
-                self.client.contest(turn, from, key, theirs, mine);
+                self.client.on_contest(context, from, key, theirs, mine);
             }
             GuardMessage::ContestReply { key, theirs, state } => {
-                self.client.contest_reply(turn, key, theirs, state);
+                self.client.on_contest_reply(context, key, theirs, state);
             }
             GuardMessage::Inquire { key, holder, fence } => {
-                self.ledger.inquire(turn, from, key, holder, fence);
+                self.ledger.on_inquire(context, from, key, holder, fence);
             }
             GuardMessage::InquireReply {
                 key,
                 attempt,
                 state,
-            } => self.client.inquire_reply(turn, key, attempt, &state),
+            } => self.client.on_inquire_reply(context, key, attempt, &state),
             GuardMessage::Record {
                 key,
                 fingerprint,
@@ -129,28 +135,28 @@
                 outcome,
             } => {
                 let seats = &mut self.seats;
-                seats.record(turn, from, key, fingerprint, holder, outcome);
+                seats.on_record(context, from, key, fingerprint, holder, outcome);
             }
             GuardMessage::RecordAck {
                 attempt,
                 generation,
             } => {
                 let ledger = &mut self.ledger;
-                ledger.record_ack(turn, from, attempt, generation);
+                ledger.on_record_ack(context, from, attempt, generation);
             }
             GuardMessage::Relay {
                 origin,
                 target,
                 message,
-            } => self.relay(turn, from, origin, target, *message),
-            other => self.take_range_message(turn, from, other),
+            } => self.relay(context, from, origin, target, *message),
+            other => self.on_generation_message(context, from, other),
         }
     }
 
     /// Handles the messages of ballots, and passes others on.
-    fn take_range_message(
+    fn on_generation_message(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         message: GuardMessage,
     ) {
@@ -160,8 +166,9 @@
                 ballot,
                 wanted,
             } => {
-                self.adopt(turn, &entry);
-                self.seats.prepare(turn, from, &entry, ballot, &wanted);
+                self.adopt(context, &entry);
+                self.seats
+                    .on_prepare(context, from, &entry, ballot, &wanted);
             }
             GuardMessage::Declined {
                 range,
@@ -175,15 +182,15 @@
                     ballot,
                     seat,
                 };
-                self.seats.declined(turn, from, &vote);
+                self.seats.on_declined(context, from, &vote);
             }
             GuardMessage::Accept {
                 entry,
                 ballot,
                 seats,
             } => {
-                self.adopt(turn, &entry);
-                self.seats.accept(turn, from, &entry, ballot, seats);
+                self.adopt(context, &entry);
+                self.seats.on_accept(context, from, &entry, ballot, seats);
             }
             GuardMessage::Promise {
                 range,
@@ -199,8 +206,8 @@
                     accepted,
                     ready,
                 };
-                let chosen = self.seats.promise(turn, from, vote);
-                self.choose(turn, chosen);
+                let chosen = self.seats.on_promise(context, from, vote);
+                self.announce_chosen(context, chosen);
             }
             GuardMessage::Accepted {
                 range,
@@ -208,36 +215,36 @@
                 ballot,
             } => {
                 let seats = &mut self.seats;
-                let chosen = seats.accepted(turn, from, range, generation, ballot);
-                self.choose(turn, chosen);
+                let chosen = seats.on_accepted(context, from, range, generation, ballot);
+                self.announce_chosen(context, chosen);
             }
             GuardMessage::Outbid {
                 range,
                 generation,
                 promised,
-            } => self.seats.outbid(turn, range, generation, promised),
-            other => self.take_map_message(turn, from, other),
+            } => self.seats.on_outbid(context, range, generation, promised),
+            other => self.on_map_message(context, from, other),
         }
     }
 
     /// Handles messages of the map exchange, custody transfers and polls.
-    fn take_map_message(
+    fn on_map_message(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         message: GuardMessage,
     ) {
         match message {
-            GuardMessage::Map { entries } => self.adopt_all(turn, &entries),
-            GuardMessage::Exchange { digests } => exchange::compare(turn, from, &digests),
+            GuardMessage::Map { entries } => self.adopt_all(context, &entries),
+            GuardMessage::Exchange { digests } => exchange::compare(context, from, &digests),
             GuardMessage::Generations {
                 buckets,
                 known,
                 answer,
-            } => exchange::reconcile(turn, from, buckets, &known, answer),
+            } => exchange::reconcile(context, from, buckets, &known, answer),
             GuardMessage::CustodyRequest { entry, after } => {
-                self.adopt(turn, &entry);
-                self.seats.give_custody(turn, from, &entry, after);
+                self.adopt(context, &entry);
+                self.seats.on_custody_request(context, from, &entry, after);
             }
             GuardMessage::Custody {
                 range,
@@ -247,7 +254,7 @@
                 records,
                 done,
             } => {
-                let part = CustodyPart {
+                let chunk = CustodyChunk {
                     range,
                     generation,
                     after,
@@ -255,21 +262,21 @@
                     records,
                     done,
                 };
-                self.seats.take_custody(turn, from, part);
+                self.seats.on_custody(context, from, chunk);
             }
             GuardMessage::CustodyNone { range, generation } => {
-                self.seats.custody_none(from, range, generation);
+                self.seats.on_custody_none(from, range, generation);
             }
             GuardMessage::ReadyAsk { entry } => {
-                self.adopt(turn, &entry);
-                self.seats.ready_ask(turn, from, &entry);
+                self.adopt(context, &entry);
+                self.seats.on_ready_ask(context, from, &entry);
             }
             GuardMessage::ReadyReply {
                 range,
                 generation,
                 ready,
-            } if ready => self.seats.ready_reply(from, range, generation),
-            GuardMessage::Poll { entry, fence } => self.answer_poll(turn, from, &entry, fence),
+            } if ready => self.seats.on_ready_reply(from, range, generation),
+            GuardMessage::Poll { entry, fence } => self.on_poll(context, from, &entry, fence),
             GuardMessage::PollReply {
                 range,
                 generation,
@@ -278,7 +285,7 @@
             } => {
                 let counts = fenced || !ready;
                 if counts {
-                    self.founding.poll_reply(from, range, generation, fenced);
+                    self.founding.on_poll_reply(from, range, generation, fenced);
                 }
             }
             _ => {}
@@ -288,52 +295,52 @@
     /// Forwards a relayed message, or handles it and sends the replies back through the relay.
     fn relay(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         origin: InstanceId,
         target: InstanceId,
         message: GuardMessage,
     ) {
-        let me = turn.me();
+        let me = context.me();
         if target != me {
             if origin == from {
-                let message = wrap(origin, target, message);
-                turn.send(target, message);
+                let message = wrap_relay(origin, target, message);
+                context.send(target, message);
             }
             return;
         }
-        let mark = turn.out.len();
-        self.take_message(turn, origin, message);
-        for command in &mut turn.out[mark..] {
+        let mark = context.out.len();
+        self.on_message(context, origin, message);
+        for command in &mut context.out[mark..] {
             if let GuardCommand::Send { to, message } = command
                 && *to == origin
                 && !matches!(message, GuardMessage::Relay { .. })
             {
                 let digests = Vec::new();
                 let answer = std::mem::replace(message, GuardMessage::Exchange { digests });
-                *message = wrap(me, origin, answer);
+                *message = wrap_relay(me, origin, answer);
                 *to = from;
             }
         }
     }
 
     /// Answers a founder's poll about a range; see [`crate::founding`].
-    fn answer_poll(
+    fn on_poll(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         entry: &RangeEntry,
         fence: bool,
     ) {
-        self.adopt(turn, entry);
-        let known = turn.view.map.get(entry.range);
+        self.adopt(context, entry);
+        let known = context.shared.map.get(entry.range);
         if let Some(newer) = known.filter(|it| it.generation > entry.generation) {
             let entries = vec![newer.clone()];
-            turn.send(from, GuardMessage::Map { entries });
+            context.send(from, GuardMessage::Map { entries });
             return;
         }
         if fence {
-            turn.view.fence(entry.range, entry.generation.epoch);
+            context.shared.fence(entry.range, entry.generation.epoch);
         }
         let seat = self.seats.seats.get(&entry.range);
         let reply = GuardMessage::PollReply {
@@ -342,66 +349,70 @@
             fenced: fence,
             ready: seat.is_some_and(RangeSeat::is_ready),
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
     /// Adopts a generation that this node's proposal completed, and sends the entry to its previous
     /// and new seats.
-    pub(crate) fn choose(&mut self, turn: &mut GuardTurn<'_>, chosen: Option<RangeEntry>) {
+    pub(crate) fn announce_chosen(
+        &mut self,
+        context: &mut GuardContext<'_>,
+        chosen: Option<RangeEntry>,
+    ) {
         let Some(entry) = chosen else {
             return;
         };
-        if !self.adopt(turn, &entry) {
+        if !self.adopt(context, &entry) {
             return;
         }
-        let me = turn.me();
+        let me = context.me();
         let mut concerned = entry.prior.clone();
         concerned.extend(&entry.seats);
         concerned.sort_unstable();
         concerned.dedup();
         for seat in concerned.into_iter().filter(|seat| *seat != me) {
             let entries = vec![entry.clone()];
-            turn.send(seat, GuardMessage::Map { entries });
+            context.send(seat, GuardMessage::Map { entries });
         }
     }
 
-    fn adopt_all(&mut self, turn: &mut GuardTurn<'_>, entries: &[RangeEntry]) {
+    fn adopt_all(&mut self, context: &mut GuardContext<'_>, entries: &[RangeEntry]) {
         for entry in entries {
-            self.adopt(turn, entry);
+            self.adopt(context, entry);
         }
     }
 
     /// Adopts an entry if it is newer than the known one. Returns whether it was adopted.
-    fn adopt(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) -> bool {
-        if !turn.view.map.adopt(entry.clone()) {
+    fn adopt(&mut self, context: &mut GuardContext<'_>, entry: &RangeEntry) -> bool {
+        if !context.shared.map.adopt(entry.clone()) {
             return false;
         }
-        let me = turn.me();
+        let me = context.me();
         if entry.seats.contains(&me) || entry.prior.contains(&me) {
-            turn.note(GuardNote::GenerationChanged {
+            context.note(GuardNote::GenerationChanged {
                 range: entry.range,
                 generation: entry.generation,
                 seats: entry.seats.clone(),
             });
         }
-        self.seats.map_changed(turn, entry);
-        self.client.map_changed(turn, entry.range);
-        self.ledger.map_changed(turn, entry.range);
+        self.seats.on_map_changed(context, entry);
+        self.client.on_map_changed(context, entry.range);
+        self.ledger.on_map_changed(context, entry.range);
         true
     }
 
     /// Runs the periodic work of seats, map exchange and founding.
-    pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>) {
-        let chosen = self.seats.pulse(turn);
+    pub(crate) fn run_periodic(&mut self, context: &mut GuardContext<'_>) {
+        let chosen = self.seats.run_periodic(context);
         for entry in chosen {
-            self.choose(turn, Some(entry));
+            self.announce_chosen(context, Some(entry));
         }
-        self.exchange.pulse(turn);
-        self.founding.pulse(turn, &self.seats);
+        self.exchange.run_periodic(context);
+        self.founding.run_periodic(context, &self.seats);
     }
 }
 
-fn wrap(origin: InstanceId, target: InstanceId, message: GuardMessage) -> GuardMessage {
+fn wrap_relay(origin: InstanceId, target: InstanceId, message: GuardMessage) -> GuardMessage {
     GuardMessage::Relay {
         origin,
         target,
--- a/crates/guard/src/contest.rs
+++ b/crates/guard/src/contest.rs
@@ -19,70 +19,70 @@
 
 use crate::client::KeyClient;
 use crate::command::{GuardCommand, GuardNote};
+use crate::context::GuardContext;
 use crate::key::KeyId;
 use crate::message::{AttemptHolder, ContestState, GuardMessage, WorkState};
 use crate::request::{ClientRequest, RequestPhase, RequestStep, RivalState};
 use crate::store::is_dead;
-use crate::turn::GuardTurn;
 
 /// Number of unanswered queries to an ingress before the executor is asked to fence the attempt.
-const SILENT_LIMIT: u32 = 2;
+const MAX_UNANSWERED_QUERIES: u32 = 2;
 
 impl KeyClient {
     /// Answers the query of another ingress about an attempt of this one.
-    pub(crate) fn contest(
+    pub(crate) fn on_contest(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         key: KeyId,
         theirs: AttemptId,
         mine: Option<AttemptHolder>,
     ) {
         let state = match self.get(theirs.request) {
-            Some(_) => self.contested(turn, theirs.request, mine),
+            Some(_) => self.state_for_rival(context, theirs.request, mine),
             None => ContestState::Unheard,
         };
-        turn.send(from, GuardMessage::ContestReply { key, theirs, state });
+        context.send(from, GuardMessage::ContestReply { key, theirs, state });
     }
 
-    fn contested(
+    fn state_for_rival(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         id: RequestId,
         mine: Option<AttemptHolder>,
     ) -> ContestState {
         let mut state = ContestState::Unheard;
-        self.step(turn, id, |request, turn| {
-            state = request.answer_contest(turn, mine);
+        self.step(context, id, |request, context| {
+            state = request.answer_contest(context, mine);
             RequestStep::Keep
         });
         state
     }
 
-    pub(crate) fn contest_reply(
+    pub(crate) fn on_contest_reply(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         key: KeyId,
         theirs: AttemptId,
         state: ContestState,
     ) {
-        for id in self.of_key(key) {
-            self.step(turn, id, |request, turn| {
-                request.take_contest(turn, theirs, state)
+        for id in self.requests_of_key(key) {
+            self.step(context, id, |request, context| {
+                request.on_rival_state(context, theirs, state)
             });
         }
     }
 
-    pub(crate) fn inquire_reply(
+    pub(crate) fn on_inquire_reply(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         key: KeyId,
         attempt: AttemptId,
         state: &WorkState,
     ) {
-        for id in self.of_key(key) {
-            self.step(turn, id, |request, turn| {
-                request.take_work(turn, attempt, state)
+        for id in self.requests_of_key(key) {
+            self.step(context, id, |request, context| {
+                request.on_work_state(context, attempt, state)
             });
         }
     }
@@ -90,9 +90,9 @@
 
 impl ClientRequest {
     /// Starts to query a rival that a seat reported.
-    pub(crate) fn meet_rival(
+    pub(crate) fn on_rival(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         holder: AttemptHolder,
     ) -> RequestStep {
         if is_dead(holder.attempt, &self.dead) {
@@ -105,12 +105,12 @@
             return RequestStep::Keep;
         }
         round.rival = Some(RivalState::new(holder));
-        self.ask_rival(turn)
+        self.query_rival(context)
     }
 
     /// Queries the ingress of the rival, its executor, or both if the ingress does not answer.
-    pub(crate) fn ask_rival(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
-        let me = turn.me();
+    pub(crate) fn query_rival(&mut self, context: &mut GuardContext<'_>) -> RequestStep {
+        let me = context.me();
         let own = self.holder(me);
         let (rival, mine) = match &mut self.phase {
             RequestPhase::Claiming(round) => match &mut round.rival {
@@ -121,23 +121,24 @@
             _ => return RequestStep::Keep,
         };
         let holder = rival.holder;
-        let ended = turn.view.members.is_gone(holder.ingress);
-        let silent = rival.silent >= SILENT_LIMIT || !turn.view.members.is_up(holder.ingress);
-        rival.silent += 1;
-        let certain = ended || rival.unheard;
-        if certain && turn.view.members.is_gone(holder.executor) {
-            return close_key(turn, self.key, holder.attempt);
+        let ended = context.shared.members.is_gone(holder.ingress);
+        let unresponsive = rival.unanswered >= MAX_UNANSWERED_QUERIES
+            || !context.shared.members.is_up(holder.ingress);
+        rival.unanswered += 1;
+        let ingress_lost = ended || rival.unknown_at_ingress;
+        if ingress_lost && context.shared.members.is_gone(holder.executor) {
+            return close_key(context, self.key, holder.attempt);
         }
         let key = self.key;
-        if certain || silent {
+        if ingress_lost || unresponsive {
             let fence = true;
             let inquiry = GuardMessage::Inquire { key, holder, fence };
-            turn.send_try(self.tries, holder.executor, inquiry);
+            context.send_alternating(self.tries, holder.executor, inquiry);
         }
-        if !certain {
+        if !ingress_lost {
             let theirs = holder.attempt;
-            let contest = GuardMessage::Contest { key, theirs, mine };
-            turn.send_try(self.tries, holder.ingress, contest);
+            let query = GuardMessage::Contest { key, theirs, mine };
+            context.send_alternating(self.tries, holder.ingress, query);
         }
         RequestStep::Keep
     }
@@ -146,17 +147,17 @@
     /// attempt of the other ingress has a lower id.
     fn answer_contest(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         mine: Option<AttemptHolder>,
     ) -> ContestState {
-        let holder = self.holder(turn.me());
+        let holder = self.holder(context.me());
         match &self.phase {
             RequestPhase::Dispatched(_) | RequestPhase::Resolving(_) => {
                 ContestState::Dispatched(holder)
             }
             RequestPhase::Claiming(_) => match mine {
                 Some(winner) if winner.attempt < holder.attempt => {
-                    self.join(turn, winner);
+                    self.join_rival(context, winner);
                     ContestState::Withdrawn(holder.attempt)
                 }
                 _ => ContestState::Claiming(holder),
@@ -170,29 +171,29 @@
     }
 
     /// Withdraws the current attempt and waits for the rival.
-    fn join(&mut self, turn: &mut GuardTurn<'_>, winner: AttemptHolder) {
-        self.bury(turn);
+    fn join_rival(&mut self, context: &mut GuardContext<'_>, winner: AttemptHolder) {
+        self.declare_dead(context);
         self.phase = RequestPhase::Joining(RivalState::new(winner));
         self.tries = 0;
     }
 
     /// Notes that an attempt never runs, and continues the claim that it blocked.
-    fn outlive(&mut self, turn: &mut GuardTurn<'_>, dead: AttemptId) {
+    fn on_dead_attempt(&mut self, context: &mut GuardContext<'_>, dead: AttemptId) {
         if !is_dead(dead, &self.dead) {
             self.dead.push(dead);
         }
         match &mut self.phase {
             RequestPhase::Claiming(round) => {
                 round.rival = None;
-                self.send_claims(turn);
+                self.send_claims(context);
             }
-            RequestPhase::Joining(_) => self.claim(turn),
+            RequestPhase::Joining(_) => self.claim(context),
             _ => {}
         }
     }
 
     /// Returns the attempt that this request waits for.
-    const fn awaited(&self) -> Option<AttemptHolder> {
+    const fn awaited_holder(&self) -> Option<AttemptHolder> {
         match &self.phase {
             RequestPhase::Claiming(round) => match &round.rival {
                 Some(rival) => Some(rival.holder),
@@ -203,74 +204,78 @@
         }
     }
 
-    fn take_contest(
+    fn on_rival_state(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         theirs: AttemptId,
         state: ContestState,
     ) -> RequestStep {
-        if self.awaited().map(|holder| holder.attempt) != Some(theirs) {
+        if self.awaited_holder().map(|holder| holder.attempt) != Some(theirs) {
             return RequestStep::Keep;
         }
         match state {
             ContestState::Withdrawn(dead) => {
-                self.outlive(turn, dead);
+                self.on_dead_attempt(context, dead);
                 RequestStep::Keep
             }
             ContestState::Claiming(holder) => {
-                self.give_way(turn, holder);
+                self.on_rival_claiming(context, holder);
                 RequestStep::Keep
             }
-            ContestState::Dispatched(holder) => self.follow(turn, holder),
-            ContestState::Unheard => self.lose_ingress(turn),
+            ContestState::Dispatched(holder) => self.on_rival_dispatched(context, holder),
+            ContestState::Unheard => self.on_rival_unknown(context),
         }
     }
 
     /// Handles a rival that still collects grants: the attempt with the higher id withdraws.
-    fn give_way(&mut self, turn: &mut GuardTurn<'_>, holder: AttemptHolder) {
+    fn on_rival_claiming(&mut self, context: &mut GuardContext<'_>, holder: AttemptHolder) {
         let lower = self.attempt() < holder.attempt;
         match &mut self.phase {
-            RequestPhase::Claiming(_) if !lower => self.join(turn, holder),
+            RequestPhase::Claiming(_) if !lower => self.join_rival(context, holder),
             RequestPhase::Joining(rival) => *rival = RivalState::new(holder),
             _ => {}
         }
     }
 
     /// Waits for a dispatched rival and queries its executor.
-    fn follow(&mut self, turn: &mut GuardTurn<'_>, holder: AttemptHolder) -> RequestStep {
+    fn on_rival_dispatched(
+        &mut self,
+        context: &mut GuardContext<'_>,
+        holder: AttemptHolder,
+    ) -> RequestStep {
         if matches!(self.phase, RequestPhase::Claiming(_)) {
-            self.join(turn, holder);
+            self.join_rival(context, holder);
         } else {
             self.phase = RequestPhase::Joining(RivalState::new(holder));
         }
-        if turn.view.members.is_gone(holder.executor) {
-            return close_key(turn, self.key, holder.attempt);
+        if context.shared.members.is_gone(holder.executor) {
+            return close_key(context, self.key, holder.attempt);
         }
         let key = self.key;
         let fence = false;
         let inquiry = GuardMessage::Inquire { key, holder, fence };
-        turn.send_try(self.tries, holder.executor, inquiry);
+        context.send_alternating(self.tries, holder.executor, inquiry);
         RequestStep::Keep
     }
 
-    fn lose_ingress(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
+    fn on_rival_unknown(&mut self, context: &mut GuardContext<'_>) -> RequestStep {
         let rival = match &mut self.phase {
             RequestPhase::Claiming(round) => round.rival.as_mut(),
             RequestPhase::Joining(rival) => Some(rival),
             _ => None,
         };
         match rival {
-            Some(rival) if !rival.unheard => {
-                rival.unheard = true;
-                self.ask_rival(turn)
+            Some(rival) if !rival.unknown_at_ingress => {
+                rival.unknown_at_ingress = true;
+                self.query_rival(context)
             }
             _ => RequestStep::Keep,
         }
     }
 
-    fn take_work(
+    fn on_work_state(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         attempt: AttemptId,
         state: &WorkState,
     ) -> RequestStep {
@@ -278,38 +283,42 @@
             if ticket.attempt != attempt {
                 return RequestStep::Keep;
             }
-            return self.take_resolution(turn, state);
+            return self.on_own_work_state(context, state);
         }
-        let Some(holder) = self.awaited().filter(|it| it.attempt == attempt) else {
+        let Some(holder) = self.awaited_holder().filter(|it| it.attempt == attempt) else {
             return RequestStep::Keep;
         };
         match state {
             WorkState::Fenced => {
-                self.outlive(turn, attempt);
+                self.on_dead_attempt(context, attempt);
                 RequestStep::Keep
             }
             WorkState::NeverSeen => RequestStep::Keep,
             WorkState::Running => {
                 if matches!(self.phase, RequestPhase::Claiming(_)) {
-                    self.join(turn, holder);
+                    self.join_rival(context, holder);
                 }
                 RequestStep::Keep
             }
             WorkState::Ran(reply) => RequestStep::ran(reply.clone()),
-            WorkState::Unknown => close_key(turn, self.key, attempt),
+            WorkState::Unknown => close_key(context, self.key, attempt),
         }
     }
 
     /// Handles the executor's answer about the request's own dispatch.
-    fn take_resolution(&mut self, turn: &mut GuardTurn<'_>, state: &WorkState) -> RequestStep {
+    fn on_own_work_state(
+        &mut self,
+        context: &mut GuardContext<'_>,
+        state: &WorkState,
+    ) -> RequestStep {
         match state {
-            WorkState::Fenced if turn.now >= self.deadline => {
+            WorkState::Fenced if context.now >= self.deadline => {
                 RequestStep::not_run(RefusalCode::DeadlineExceeded)
             }
             WorkState::Fenced => {
                 self.phase = RequestPhase::Reoffered;
                 let request = self.request;
-                turn.out.push(GuardCommand::Reoffer { request });
+                context.out.push(GuardCommand::Reoffer { request });
                 RequestStep::Keep
             }
             WorkState::NeverSeen | WorkState::Running => RequestStep::Keep,
@@ -320,29 +329,29 @@
 
     /// Queries the executor for the outcome of the dispatch, and fences the attempt if the dispatch
     /// never arrived.
-    pub(crate) fn resolve(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
+    pub(crate) fn resolve(&mut self, context: &mut GuardContext<'_>) -> RequestStep {
         let RequestPhase::Resolving(ticket) = &self.phase else {
             return RequestStep::Keep;
         };
         let executor = ticket.executor;
-        if turn.view.members.is_gone(executor) {
-            return close_key(turn, self.key, ticket.attempt);
+        if context.shared.members.is_gone(executor) {
+            return close_key(context, self.key, ticket.attempt);
         }
-        let holder = self.holder(turn.me());
+        let holder = self.holder(context.me());
         let key = self.key;
         let fence = true;
         let inquiry = GuardMessage::Inquire { key, holder, fence };
-        turn.send_try(self.tries, executor, inquiry);
+        context.send_alternating(self.tries, executor, inquiry);
         RequestStep::Keep
     }
 }
 
 /// Closes a key on all seats and answers "unknown", because the outcome of its attempt is lost.
-fn close_key(turn: &mut GuardTurn<'_>, key: KeyId, attempt: AttemptId) -> RequestStep {
-    turn.note(GuardNote::KeyClosed { key, attempt });
-    let seats = turn.entry_of(key).map(|entry| entry.seats);
+fn close_key(context: &mut GuardContext<'_>, key: KeyId, attempt: AttemptId) -> RequestStep {
+    context.note(GuardNote::KeyClosed { key, attempt });
+    let seats = context.entry_of(key).map(|entry| entry.seats);
     for seat in seats.unwrap_or_default() {
-        turn.send(seat, GuardMessage::Close { key, attempt });
+        context.send(seat, GuardMessage::Close { key, attempt });
     }
     RequestStep::unknown(RefusalCode::UpstreamFailed)
 }
--- a/crates/guard/src/turn.rs
+++ b/crates/guard/src/context.rs
@@ -17,7 +17,7 @@
 
 /// State that the components share.
 #[derive(Debug)]
-pub(crate) struct NodeView {
+pub(crate) struct SharedState {
     pub(crate) identity: GuardIdentity,
     pub(crate) settings: GuardSettings,
     pub(crate) members: MemberTable,
@@ -31,10 +31,10 @@
     pub(crate) inbox: VecDeque<GuardMessage>,
 }
 
-impl NodeView {
+impl SharedState {
     pub(crate) fn new(identity: GuardIdentity, settings: GuardSettings, seed: u64) -> Self {
         let mut members = MemberTable::default();
-        members.up(identity.instance, identity.domain.clone());
+        members.mark_up(identity.instance, identity.domain.clone());
         Self {
             identity,
             settings,
@@ -66,36 +66,36 @@
 
 /// Context of handling one event.
 #[derive(Debug)]
-pub(crate) struct GuardTurn<'a> {
+pub(crate) struct GuardContext<'a> {
     pub(crate) now: Duration,
-    pub(crate) view: &'a mut NodeView,
+    pub(crate) shared: &'a mut SharedState,
     pub(crate) out: &'a mut Vec<GuardCommand>,
 }
 
-impl GuardTurn<'_> {
+impl GuardContext<'_> {
     /// Returns the instance of this node.
     pub(crate) const fn me(&self) -> InstanceId {
-        self.view.identity.instance
+        self.shared.identity.instance
     }
 
     /// Returns the wall-clock time of this node, in milliseconds since the Unix epoch.
     pub(crate) fn wall_ms(&self) -> u64 {
-        millis(self.view.identity.wall_at_start + self.now)
+        millis(self.shared.identity.wall_at_start + self.now)
     }
 
     /// Returns the range of a key.
     pub(crate) fn range_of(&self, key: KeyId) -> RangeId {
-        key.range(self.view.settings.ranges)
+        key.range(self.shared.settings.ranges)
     }
 
     /// Returns the newest known entry for the range of a key.
     pub(crate) fn entry_of(&self, key: KeyId) -> Option<RangeEntry> {
-        self.view.map.get(self.range_of(key)).cloned()
+        self.shared.map.get(self.range_of(key)).cloned()
     }
 
     pub(crate) fn send(&mut self, to: InstanceId, message: GuardMessage) {
         if to == self.me() {
-            self.view.inbox.push_back(message);
+            self.shared.inbox.push_back(message);
         } else {
             self.out.push(GuardCommand::Send { to, message });
         }
@@ -103,13 +103,13 @@
 
     /// Sends a message through a random third member, in case the direct link is cut. Sends
     /// directly if no third member is up.
-    pub(crate) fn send_around(&mut self, to: InstanceId, message: GuardMessage) {
+    pub(crate) fn send_relayed(&mut self, to: InstanceId, message: GuardMessage) {
         let me = self.me();
-        let others = self.view.members.up_members();
-        let way = others
+        let others = self.shared.members.up_members();
+        let relay = others
             .filter(|other| *other != me && *other != to)
-            .choose(&mut self.view.rng);
-        let Some(way) = way.filter(|_| to != me) else {
+            .choose(&mut self.shared.rng);
+        let Some(relay) = relay.filter(|_| to != me) else {
             self.send(to, message);
             return;
         };
@@ -118,13 +118,13 @@
             target: to,
             message: Box::new(message),
         };
-        self.send(way, message);
+        self.send(relay, message);
     }
 
     /// Sends a message directly on even `tries` and through a relay on odd ones.
-    pub(crate) fn send_try(&mut self, tries: u32, to: InstanceId, message: GuardMessage) {
+    pub(crate) fn send_alternating(&mut self, tries: u32, to: InstanceId, message: GuardMessage) {
         if tries % 2 == 1 {
-            self.send_around(to, message);
+            self.send_relayed(to, message);
         } else {
             self.send(to, message);
         }
@@ -137,15 +137,15 @@
     /// Returns the time of the next send after `tries` sends. The delay doubles up to eight times
     /// `resend_after`, plus a random jitter of up to a quarter, so that two nodes do not keep
     /// sending in lockstep.
-    pub(crate) fn next_try(&mut self, tries: u32) -> Duration {
-        let wait = self.view.settings.resend_after * (1 << tries.min(MAX_DOUBLINGS));
-        let spread = self.view.rng.random_range(0..=millis(wait) / 4);
+    pub(crate) fn next_resend(&mut self, tries: u32) -> Duration {
+        let wait = self.shared.settings.resend_after * (1 << tries.min(MAX_RESEND_DOUBLINGS));
+        let spread = self.shared.rng.random_range(0..=millis(wait) / 4);
         self.now + wait + Duration::from_millis(spread)
     }
 }
 
 /// Maximum number of times that the delay between two sends doubles.
-const MAX_DOUBLINGS: u32 = 3;
+const MAX_RESEND_DOUBLINGS: u32 = 3;
 
 /// Converts a duration to whole milliseconds.
 pub(crate) fn millis(time: Duration) -> u64 {
--- a/crates/guard/src/custody.rs
+++ b/crates/guard/src/custody.rs
@@ -18,31 +18,31 @@
 
 use sycamorelink_core::InstanceId;
 
+use crate::context::GuardContext;
 use crate::key::{KeyId, RangeId};
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::message::GuardMessage;
 use crate::seat::{RangeSeat, RetiredSeat, SeatTable, note_serving};
 use crate::store::{KeyRecord, KeyStore};
-use crate::turn::GuardTurn;
 
 /// Maximum number of records in one chunk.
-const PART_RECORDS: usize = 512;
+const CHUNK_RECORDS: usize = 512;
 /// Soft limit on the reply bytes in one chunk. The last record may exceed it.
-const PART_BYTES: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Progress of a custody transfer at the new seat.
 #[derive(Debug, Default)]
 pub(crate) struct CustodyFetch {
     after: Option<KeyId>,
     tries: u32,
-    ask_at: Duration,
+    request_at: Duration,
     /// Nodes that answered that they do not hold the records.
     refused: BTreeSet<InstanceId>,
 }
 
 /// Chunk of the records of a range.
 #[derive(Debug)]
-pub(crate) struct CustodyPart {
+pub(crate) struct CustodyChunk {
     pub(crate) range: RangeId,
     pub(crate) generation: RangeGeneration,
     pub(crate) after: Option<KeyId>,
@@ -53,18 +53,18 @@
 
 impl RangeSeat {
     /// Drops the records of an incomplete transfer or of an earlier generation.
-    pub(crate) fn drop_memory(&mut self) {
+    pub(crate) fn reset_records(&mut self) {
         self.store = KeyStore::default();
         self.store.raise_floor(self.entry.watermark_ms);
         self.ready_at = None;
     }
 
     /// Requests the next chunk from the next possible source, if a request is due.
-    pub(crate) fn fetch_custody(&mut self, turn: &mut GuardTurn<'_>) {
-        if turn.now < self.fetch.ask_at {
+    pub(crate) fn fetch_custody(&mut self, context: &mut GuardContext<'_>) {
+        if context.now < self.fetch.request_at {
             return;
         }
-        let me = turn.me();
+        let me = context.me();
         let others = self.entry.prior.iter().chain(&self.entry.seats);
         let sources: Vec<InstanceId> = others.copied().filter(|it| *it != me).collect();
         if sources.is_empty() {
@@ -72,17 +72,17 @@
         }
         let turns = usize::try_from(self.fetch.tries).unwrap_or_default();
         let source = sources[turns % sources.len()];
-        self.fetch.ask_at = turn.next_try(0);
-        self.ask_custody(turn, source);
+        self.fetch.request_at = context.next_resend(0);
+        self.request_custody(context, source);
         self.fetch.tries += 1;
     }
 
-    fn ask_custody(&self, turn: &mut GuardTurn<'_>, source: InstanceId) {
+    fn request_custody(&self, context: &mut GuardContext<'_>, source: InstanceId) {
         let request = GuardMessage::CustodyRequest {
             entry: self.entry.clone(),
             after: self.fetch.after,
         };
-        turn.send_try(self.fetch.tries / 4, source, request);
+        context.send_alternating(self.fetch.tries / 4, source, request);
     }
 
     /// Returns whether no instance is left from which the records could be copied.
@@ -91,14 +91,14 @@
     /// seats is still alive, but without this check they would wait forever. A false positive is
     /// safe: the founder polls and fences every member first, so a transfer in progress shows up in
     /// the poll or can no longer serve.
-    pub(crate) fn is_orphaned(&self, turn: &GuardTurn<'_>) -> bool {
-        let me = turn.me();
+    pub(crate) fn is_orphaned(&self, context: &GuardContext<'_>) -> bool {
+        let me = context.me();
         let sources = self.entry.prior.iter().chain(&self.entry.seats);
         let mut others = sources.filter(|source| **source != me);
-        let silent = |source: &InstanceId| {
-            turn.view.members.is_gone(*source) || self.fetch.refused.contains(source)
+        let unavailable = |source: &InstanceId| {
+            context.shared.members.is_gone(*source) || self.fetch.refused.contains(source)
         };
-        self.retired.is_none() && !self.is_ready() && others.all(silent)
+        self.retired.is_none() && !self.is_ready() && others.all(unavailable)
     }
 
     /// Returns whether the records of this seat include everything dispatched before a generation.
@@ -113,7 +113,7 @@
 
     /// Asks the successors whether they hold the records. Returns true once this node can drop
     /// them.
-    pub(crate) fn pulse_retired(&mut self, turn: &mut GuardTurn<'_>) -> bool {
+    pub(crate) fn advance_handover(&mut self, context: &mut GuardContext<'_>) -> bool {
         let complete = self.ready_at.is_some();
         let Some(retired) = &mut self.retired else {
             return false;
@@ -123,11 +123,11 @@
         if waiting.is_empty() || !complete {
             return true;
         }
-        if turn.now >= retired.ask_at {
-            retired.ask_at = turn.next_try(0);
+        if context.now >= retired.request_at {
+            retired.request_at = context.next_resend(0);
             for seat in waiting {
                 let entry = self.entry.clone();
-                turn.send(seat, GuardMessage::ReadyAsk { entry });
+                context.send(seat, GuardMessage::ReadyAsk { entry });
             }
         }
         false
@@ -136,27 +136,27 @@
 
 impl SeatTable {
     /// Sends one chunk of records. The caller has adopted the entry before.
-    pub(crate) fn give_custody(
+    pub(crate) fn on_custody_request(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         entry: &RangeEntry,
         after: Option<KeyId>,
     ) {
-        let known = turn.view.map.get(entry.range);
+        let known = context.shared.map.get(entry.range);
         if let Some(newer) = known.filter(|it| it.generation > entry.generation) {
             let entries = vec![newer.clone()];
-            turn.send(from, GuardMessage::Map { entries });
+            context.send(from, GuardMessage::Map { entries });
             return;
         }
         let seat = self.seats.get(&entry.range);
         let Some(seat) = seat.filter(|seat| seat.covers(entry.generation)) else {
             let (range, generation) = (entry.range, entry.generation);
-            turn.send(from, GuardMessage::CustodyNone { range, generation });
+            context.send(from, GuardMessage::CustodyNone { range, generation });
             return;
         };
-        let (records, done) = seat.store.part(after, PART_RECORDS, PART_BYTES);
-        let part = GuardMessage::Custody {
+        let (records, done) = seat.store.chunk(after, CHUNK_RECORDS, CHUNK_BYTES);
+        let chunk = GuardMessage::Custody {
             range: entry.range,
             generation: entry.generation,
             after,
@@ -164,11 +164,11 @@
             records,
             done,
         };
-        turn.send(from, part);
+        context.send(from, chunk);
     }
 
     /// Notes that a source does not hold the records.
-    pub(crate) fn custody_none(
+    pub(crate) fn on_custody_none(
         &mut self,
         from: InstanceId,
         range: RangeId,
@@ -182,46 +182,46 @@
     }
 
     /// Stores one chunk and requests the next one. The seat serves after the last chunk.
-    pub(crate) fn take_custody(
+    pub(crate) fn on_custody(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
-        part: CustodyPart,
+        chunk: CustodyChunk,
     ) {
-        let Some(seat) = self.seats.get_mut(&part.range) else {
+        let Some(seat) = self.seats.get_mut(&chunk.range) else {
             return;
         };
-        let expected = seat.entry.generation == part.generation && seat.fetch.after == part.after;
+        let expected = seat.entry.generation == chunk.generation && seat.fetch.after == chunk.after;
         if !expected || seat.retired.is_some() || seat.is_ready() {
             return;
         }
-        let last = part.records.last().map(|(key, _)| *key);
-        for (key, record) in part.records {
+        let last = chunk.records.last().map(|(key, _)| *key);
+        for (key, record) in chunk.records {
             seat.store.merge(key, record);
         }
-        seat.store.raise_watermark(part.watermark_ms);
-        if part.done {
-            seat.ready_at = Some(part.generation);
-            note_serving(turn, seat);
+        seat.store.raise_watermark(chunk.watermark_ms);
+        if chunk.done {
+            seat.ready_at = Some(chunk.generation);
+            note_serving(context, seat);
             return;
         }
         seat.fetch.after = last.or(seat.fetch.after);
-        seat.fetch.ask_at = turn.next_try(0);
-        seat.ask_custody(turn, from);
+        seat.fetch.request_at = context.next_resend(0);
+        seat.request_custody(context, from);
     }
 
     /// Tells a retired seat whether this one holds the records.
-    pub(crate) fn ready_ask(
+    pub(crate) fn on_ready_ask(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         entry: &RangeEntry,
     ) {
-        let known = turn.view.map.get(entry.range);
+        let known = context.shared.map.get(entry.range);
         let newer = known.is_some_and(|known| known.generation > entry.generation);
         if newer {
             let entries = known.cloned().into_iter().collect();
-            turn.send(from, GuardMessage::Map { entries });
+            context.send(from, GuardMessage::Map { entries });
         }
         let seat = self.seats.get(&entry.range);
         let reply = GuardMessage::ReadyReply {
@@ -229,10 +229,10 @@
             generation: entry.generation,
             ready: seat.is_some_and(RangeSeat::is_ready),
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
-    pub(crate) fn ready_reply(
+    pub(crate) fn on_ready_reply(
         &mut self,
         from: InstanceId,
         range: RangeId,
--- a/crates/guard/src/event.rs
+++ b/crates/guard/src/event.rs
@@ -39,7 +39,7 @@
     Unknown,
 }
 
-/// Event for the guard. The first word of each description names the role concerned, if any.
+/// Event for the guard. A description that begins with a role concerns that role of the node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GuardEvent {
     /// Ingress: a caller's non-idempotent request arrived. It is answered by `Grant` or `Answer`
--- a/crates/guard/src/exchange.rs
+++ b/crates/guard/src/exchange.rs
@@ -17,37 +17,37 @@
 use rand::seq::IteratorRandom;
 use sycamorelink_core::InstanceId;
 
+use crate::context::GuardContext;
 use crate::key::RangeId;
 use crate::map::{RangeEntry, RangeGeneration, bucket_of};
 use crate::message::GuardMessage;
-use crate::turn::GuardTurn;
 
 /// Timer of the map exchange.
 #[derive(Debug, Default)]
 pub(crate) struct MapExchange {
-    at: Duration,
+    next_at: Duration,
 }
 
 impl MapExchange {
-    pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>) {
-        let empty = turn.view.map.iter().next().is_none();
-        if turn.now < self.at && !empty {
+    pub(crate) fn run_periodic(&mut self, context: &mut GuardContext<'_>) {
+        let empty = context.shared.map.iter().next().is_none();
+        if context.now < self.next_at && !empty {
             return;
         }
-        self.at = turn.now + turn.view.settings.exchange_every;
-        let me = turn.me();
-        let peers = turn.view.members.up_members().filter(|it| *it != me);
-        if let Some(peer) = peers.choose(&mut turn.view.rng) {
-            let digests = digests(turn);
-            turn.send(peer, GuardMessage::Exchange { digests });
+        self.next_at = context.now + context.shared.settings.exchange_every;
+        let me = context.me();
+        let peers = context.shared.members.up_members().filter(|it| *it != me);
+        if let Some(peer) = peers.choose(&mut context.shared.rng) {
+            let digests = digests(context);
+            context.send(peer, GuardMessage::Exchange { digests });
         }
     }
 }
 
 /// Compares the hashes of a peer with the own map, and replies with the generations of the buckets
 /// that differ.
-pub(crate) fn compare(turn: &mut GuardTurn<'_>, from: InstanceId, theirs: &[u64]) {
-    let own = digests(turn);
+pub(crate) fn compare(context: &mut GuardContext<'_>, from: InstanceId, theirs: &[u64]) {
+    let own = digests(context);
     let differs = |bucket: &u16| {
         let bucket = usize::from(*bucket);
         own.get(bucket) != theirs.get(bucket)
@@ -56,13 +56,13 @@
     let buckets: Vec<u16> = (0..count).filter(differs).collect();
     if !buckets.is_empty() {
         let answer = true;
-        send_generations(turn, from, buckets, answer);
+        send_generations(context, from, buckets, answer);
     }
 }
 
 /// Sends the entries that are newer here than at the peer, and requests those that are newer there.
 pub(crate) fn reconcile(
-    turn: &mut GuardTurn<'_>,
+    context: &mut GuardContext<'_>,
     from: InstanceId,
     buckets: Vec<u16>,
     known: &[(RangeId, RangeGeneration)],
@@ -73,26 +73,31 @@
         found.ok().map(|index| known[index].1)
     };
     let newer = |entry: &&RangeEntry| {
-        is_in(entry.range, &buckets) && theirs(entry.range) < Some(entry.generation)
+        in_buckets(entry.range, &buckets) && theirs(entry.range) < Some(entry.generation)
     };
-    let entries: Vec<RangeEntry> = turn.view.map.iter().filter(newer).cloned().collect();
+    let entries: Vec<RangeEntry> = context.shared.map.iter().filter(newer).cloned().collect();
     let lacking = known.iter().any(|(range, generation)| {
-        let mine = turn.view.map.get(*range).map(|entry| entry.generation);
+        let mine = context.shared.map.get(*range).map(|entry| entry.generation);
         mine < Some(*generation)
     });
     if !entries.is_empty() {
-        turn.send(from, GuardMessage::Map { entries });
+        context.send(from, GuardMessage::Map { entries });
     }
     if answer && lacking {
         let answer = false;
-        send_generations(turn, from, buckets, answer);
+        send_generations(context, from, buckets, answer);
     }
 }
 
-fn send_generations(turn: &mut GuardTurn<'_>, to: InstanceId, buckets: Vec<u16>, answer: bool) {
-    let entries = turn.view.map.iter();
+fn send_generations(
+    context: &mut GuardContext<'_>,
+    to: InstanceId,
+    buckets: Vec<u16>,
+    answer: bool,
+) {
+    let entries = context.shared.map.iter();
     let known = entries
-        .filter(|entry| is_in(entry.range, &buckets))
+        .filter(|entry| in_buckets(entry.range, &buckets))
         .map(|entry| (entry.range, entry.generation))
         .collect();
     let generations = GuardMessage::Generations {
@@ -100,15 +105,15 @@
         known,
         answer,
     };
-    turn.send(to, generations);
+    context.send(to, generations);
 }
 
-fn is_in(range: RangeId, buckets: &[u16]) -> bool {
+fn in_buckets(range: RangeId, buckets: &[u16]) -> bool {
     buckets
         .iter()
         .any(|bucket| usize::from(*bucket) == bucket_of(range))
 }
 
-fn digests(turn: &GuardTurn<'_>) -> Vec<u64> {
-    turn.view.map.digests(turn.view.settings.ranges)
+fn digests(context: &GuardContext<'_>) -> Vec<u64> {
+    context.shared.map.digests(context.shared.settings.ranges)
 }
--- a/crates/guard/src/founding.rs
+++ b/crates/guard/src/founding.rs
@@ -28,16 +28,16 @@
 
 use crate::ballot::majority;
 use crate::command::{GuardCommand, GuardNote};
+use crate::context::{GuardContext, millis};
 use crate::key::RangeId;
 use crate::map::{FoundingRecord, RangeEntry, RangeGeneration, place_seats};
 use crate::message::GuardMessage;
 use crate::seat::{RangeSeat, SeatTable};
-use crate::turn::{GuardTurn, millis};
 
 /// Delay before an append is repeated if it was not read back.
-const REPEAT_APPEND: Duration = Duration::from_secs(2);
+const APPEND_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Interval between two scans of the map for lost ranges.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Poll of all members about one lost range.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 
 /// Founding records read from the log, and the founding of ranges by this node.
 #[derive(Debug, Default)]
-pub(crate) struct FoundingBook {
+pub(crate) struct FoundingState {
     /// Winning record of the newest epoch of each range.
     records: BTreeMap<RangeId, FoundingRecord>,
     /// Time since which this node has read the log up to its end; `None` if it has not.
@@ -73,18 +73,18 @@
     whole: bool,
     rounds: BTreeMap<RangeId, PollRound>,
     closed: BTreeMap<RangeId, RangeGeneration>,
-    found_at: Duration,
+    first_append_at: Duration,
     refresh_at: Duration,
-    look_at: Duration,
+    scan_at: Duration,
 }
 
-impl FoundingBook {
+impl FoundingState {
     /// Processes records in log order. Returns the entries to adopt.
-    pub(crate) fn read(&mut self, records: Vec<FoundingRecord>) -> Vec<RangeEntry> {
+    pub(crate) fn on_records(&mut self, records: Vec<FoundingRecord>) -> Vec<RangeEntry> {
         let current = self.current_since.is_some();
         let mut entries = Vec::new();
         for record in records {
-            if !self.wins(&record) {
+            if !self.supersedes(&record) {
                 continue;
             }
             if current {
@@ -98,7 +98,7 @@
     /// Returns whether a record replaces the known one. During the initial read of the log, a copy
     /// replaces a record of the same epoch: the writer of the copy had read the winning record,
     /// which the log may have trimmed since.
-    fn wins(&self, record: &FoundingRecord) -> bool {
+    fn supersedes(&self, record: &FoundingRecord) -> bool {
         let Some(known) = self.records.get(&record.range) else {
             return true;
         };
@@ -107,14 +107,18 @@
     }
 
     /// Marks the log as read to its end. Returns the entries to adopt.
-    pub(crate) fn current(&mut self, turn: &GuardTurn<'_>, whole: bool) -> Vec<RangeEntry> {
+    pub(crate) fn on_log_current(
+        &mut self,
+        context: &GuardContext<'_>,
+        whole: bool,
+    ) -> Vec<RangeEntry> {
         self.whole = whole;
-        self.current_since.get_or_insert(turn.now);
-        self.refresh_at = turn.now + turn.view.settings.refresh_every;
+        self.current_since.get_or_insert(context.now);
+        self.refresh_at = context.now + context.shared.settings.refresh_every;
         self.records.values().map(FoundingRecord::entry).collect()
     }
 
-    pub(crate) fn lost(&mut self) {
+    pub(crate) fn on_log_lost(&mut self) {
         self.current_since = None;
     }
 
@@ -122,32 +126,37 @@
         self.closed.len()
     }
 
-    pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>, seats: &SeatTable) {
-        if turn.now < self.look_at {
+    pub(crate) fn run_periodic(&mut self, context: &mut GuardContext<'_>, seats: &SeatTable) {
+        if context.now < self.scan_at {
             return;
         }
-        self.look_at = turn.now + LOOK_EVERY;
-        self.look_for_lost(turn, seats);
+        self.scan_at = context.now + SCAN_INTERVAL;
+        self.scan_lost_ranges(context, seats);
         if let Some(since) = self.current_since {
-            self.found_first(turn, since);
-            self.found_lost(turn, seats);
-            self.refresh(turn);
+            self.found_new_fleet(context, since);
+            self.refound_lost_ranges(context, seats);
+            self.refresh(context);
         }
     }
 
     /// Founds the first seats of a new fleet. Members append one after another by rank, and the
     /// first record in the log wins.
-    fn found_first(&mut self, turn: &mut GuardTurn<'_>, since: Duration) {
-        let settle = since + turn.view.settings.strike_after + REPEAT_APPEND * place(turn);
-        if !self.whole || turn.now < settle.max(self.found_at) || turn.view.draining {
+    fn found_new_fleet(&mut self, context: &mut GuardContext<'_>, since: Duration) {
+        let settle = since
+            + context.shared.settings.strike_after
+            + APPEND_RETRY_DELAY * member_rank(context);
+        if !self.whole || context.now < settle.max(self.first_append_at) || context.shared.draining
+        {
             return;
         }
-        let candidates = turn.view.members.candidates();
-        let count = turn.view.settings.seats;
+        let candidates = context.shared.members.candidates();
+        let count = context.shared.settings.seats;
         let missing = |range: &RangeId| {
-            !self.records.contains_key(range) && turn.view.map.get(*range).is_none()
+            !self.records.contains_key(range) && context.shared.map.get(*range).is_none()
         };
-        let ranges = (0..turn.view.settings.ranges).map(RangeId).filter(missing);
+        let ranges = (0..context.shared.settings.ranges)
+            .map(RangeId)
+            .filter(missing);
         let records: Vec<FoundingRecord> = ranges
             .map(|range| FoundingRecord {
                 range,
@@ -159,22 +168,22 @@
             })
             .collect();
         if !records.is_empty() {
-            self.found_at = turn.now + REPEAT_APPEND;
-            turn.out.push(GuardCommand::AppendFounding { records });
+            self.first_append_at = context.now + APPEND_RETRY_DELAY;
+            context.out.push(GuardCommand::AppendFounding { records });
         }
     }
 
     /// Finds ranges whose ballots can never complete, or whose records no seat holds.
-    fn look_for_lost(&mut self, turn: &mut GuardTurn<'_>, seats: &SeatTable) {
-        let members = &turn.view.members;
+    fn scan_lost_ranges(&mut self, context: &mut GuardContext<'_>, seats: &SeatTable) {
+        let members = &context.shared.members;
         let lost = |entry: &&RangeEntry| {
             let gone = entry.seats.iter().filter(|seat| members.is_gone(**seat));
             let seat = seats.seats.get(&entry.range);
             entry.seats.len() - gone.count() < majority(entry.seats.len())
-                || seat.is_some_and(|seat| seat.is_orphaned(turn))
+                || seat.is_some_and(|seat| seat.is_orphaned(context))
         };
-        let lost: BTreeMap<RangeId, RangeGeneration> = turn
-            .view
+        let lost: BTreeMap<RangeId, RangeGeneration> = context
+            .shared
             .map
             .iter()
             .filter(lost)
@@ -183,7 +192,7 @@
         for (range, generation) in &lost {
             if self.closed.get(range) != Some(generation) {
                 let (range, generation) = (*range, *generation);
-                turn.note(GuardNote::RangeClosed { range, generation });
+                context.note(GuardNote::RangeClosed { range, generation });
             }
         }
         self.rounds.retain(|range, _| lost.contains_key(range));
@@ -194,26 +203,26 @@
     ///
     /// The log accepts two appends per second from a node. After the loss of a node with seats of
     /// many ranges, one append per range would keep the last ranges closed for half a minute.
-    fn found_lost(&mut self, turn: &mut GuardTurn<'_>, seats: &SeatTable) {
+    fn refound_lost_ranges(&mut self, context: &mut GuardContext<'_>, seats: &SeatTable) {
         let mut records = Vec::new();
         let ranges: Vec<RangeId> = self.closed.keys().copied().collect();
         for range in ranges {
-            let Some(entry) = turn.view.map.get(range).cloned() else {
+            let Some(entry) = context.shared.map.get(range).cloned() else {
                 continue;
             };
-            if is_founder(turn, &entry) {
-                records.extend(self.poll(turn, &entry, seats));
+            if is_founder(context, &entry) {
+                records.extend(self.poll_members(context, &entry, seats));
             }
         }
         if !records.is_empty() {
-            turn.out.push(GuardCommand::AppendFounding { records });
+            context.out.push(GuardCommand::AppendFounding { records });
         }
     }
 
     /// Polls all members, then fences them, and then returns the founding record to append.
-    fn poll(
+    fn poll_members(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         entry: &RangeEntry,
         seats: &SeatTable,
     ) -> Option<FoundingRecord> {
@@ -223,43 +232,43 @@
         if round.generation != generation {
             *round = PollRound::new(generation);
         }
-        let me = turn.me();
-        let members = &turn.view.members;
+        let me = context.me();
+        let members = &context.shared.members;
         let named = entry.seats.iter().chain(&entry.prior).copied();
         let seats_left = named.filter(|seat| !members.is_gone(*seat));
         let others: BTreeSet<InstanceId> = members.all().chain(seats_left).collect();
-        let silent = |it: &InstanceId| *it != me && !round.answered.contains(it);
-        let waiting: Vec<InstanceId> = others.into_iter().filter(silent).collect();
+        let unanswered = |it: &InstanceId| *it != me && !round.answered.contains(it);
+        let waiting: Vec<InstanceId> = others.into_iter().filter(unanswered).collect();
         if waiting.is_empty() && round.fence {
-            if turn.now < round.append_at {
+            if context.now < round.append_at {
                 return None;
             }
-            round.append_at = turn.now + REPEAT_APPEND;
-            return lost_record(turn, entry, seats);
+            round.append_at = context.now + APPEND_RETRY_DELAY;
+            return refounding_record(context, entry, seats);
         }
         if waiting.is_empty() {
             round.fence = true;
             round.answered.clear();
             round.tries = 0;
-            round.send_at = turn.now;
-            turn.view.fence(entry.range, generation.epoch);
-            return self.poll(turn, entry, seats);
+            round.send_at = context.now;
+            context.shared.fence(entry.range, generation.epoch);
+            return self.poll_members(context, entry, seats);
         }
-        if turn.now < round.send_at {
+        if context.now < round.send_at {
             return None;
         }
-        round.send_at = turn.next_try(round.tries);
+        round.send_at = context.next_resend(round.tries);
         let fence = round.fence;
         for member in waiting {
             let entry = entry.clone();
             let poll = GuardMessage::Poll { entry, fence };
-            turn.send_try(round.tries, member, poll);
+            context.send_alternating(round.tries, member, poll);
         }
         round.tries += 1;
         None
     }
 
-    pub(crate) fn poll_reply(
+    pub(crate) fn on_poll_reply(
         &mut self,
         from: InstanceId,
         range: RangeId,
@@ -275,12 +284,12 @@
     }
 
     /// Appends copies of the winning records before the log trims the originals.
-    fn refresh(&mut self, turn: &mut GuardTurn<'_>) {
-        if turn.now < self.refresh_at {
+    fn refresh(&mut self, context: &mut GuardContext<'_>) {
+        if context.now < self.refresh_at {
             return;
         }
-        self.refresh_at = turn.now + turn.view.settings.refresh_every;
-        if place(turn) > 0 || self.records.is_empty() {
+        self.refresh_at = context.now + context.shared.settings.refresh_every;
+        if member_rank(context) > 0 || self.records.is_empty() {
             return;
         }
         let copy = |record: &FoundingRecord| FoundingRecord {
@@ -288,45 +297,49 @@
             ..record.clone()
         };
         let records = self.records.values().map(copy).collect();
-        turn.out.push(GuardCommand::AppendFounding { records });
+        context.out.push(GuardCommand::AppendFounding { records });
     }
 }
 
 /// Returns the position of this node among the members that are up, starting at zero.
-fn place(turn: &GuardTurn<'_>) -> u32 {
-    let me = turn.me();
-    let before = turn.view.members.up_members().take_while(|it| *it != me);
+fn member_rank(context: &GuardContext<'_>) -> u32 {
+    let me = context.me();
+    let before = context
+        .shared
+        .members
+        .up_members()
+        .take_while(|it| *it != me);
     u32::try_from(before.count()).unwrap_or(u32::MAX)
 }
 
 /// Returns whether this node founds a lost range. The founder is the first seat that has not ended,
 /// or the first member that is up if all seats have ended.
-fn is_founder(turn: &GuardTurn<'_>, entry: &RangeEntry) -> bool {
-    let members = &turn.view.members;
+fn is_founder(context: &GuardContext<'_>, entry: &RangeEntry) -> bool {
+    let members = &context.shared.members;
     let survivor = entry.seats.iter().find(|seat| !members.is_gone(**seat));
     match survivor {
-        Some(survivor) => *survivor == turn.me(),
-        None => place(turn) == 0,
+        Some(survivor) => *survivor == context.me(),
+        None => member_rank(context) == 0,
     }
 }
 
-fn lost_record(
-    turn: &GuardTurn<'_>,
+fn refounding_record(
+    context: &GuardContext<'_>,
     entry: &RangeEntry,
     seats: &SeatTable,
 ) -> Option<FoundingRecord> {
-    let me = turn.me();
+    let me = context.me();
     let ready = seats
         .seats
         .get(&entry.range)
         .is_some_and(RangeSeat::is_ready);
     let source = (ready && entry.seats.contains(&me)).then_some(me);
     let kept: Vec<InstanceId> = source.into_iter().collect();
-    let candidates = turn.view.members.candidates();
-    let count = turn.view.settings.seats;
-    let settings = &turn.view.settings;
+    let candidates = context.shared.members.candidates();
+    let count = context.shared.settings.seats;
+    let settings = &context.shared.settings;
     let margin_ms = millis(settings.ahead_limit) + millis(settings.clock_skew);
-    let watermark_ms = turn.wall_ms() + margin_ms;
+    let watermark_ms = context.wall_ms() + margin_ms;
     let record = FoundingRecord {
         range: entry.range,
         epoch: entry.generation.epoch + 1,
--- a/crates/guard/src/ledger.rs
+++ b/crates/guard/src/ledger.rs
@@ -15,17 +15,17 @@
 use sycamorelink_core::{AttemptId, InstanceId};
 
 use crate::command::{DispatchTicket, GuardCommand, WorkRefusal};
+use crate::context::{GuardContext, millis};
 use crate::event::WorkOutcome;
 use crate::key::{KeyId, RangeId};
 use crate::map::RangeGeneration;
 use crate::message::{AttemptHolder, GuardMessage, WorkState};
 use crate::store::RecordedOutcome;
-use crate::turn::{GuardTurn, millis};
 
 /// Maximum number of nodes notified when a running attempt ends. Other nodes repeat their query.
 const MAX_WAITERS: usize = 8;
 /// Maximum number of times that the delay between two sends of a record doubles.
-const RECORD_DOUBLINGS: u32 = 8;
+const MAX_RECORD_DOUBLINGS: u32 = 8;
 
 /// State of one attempt at this executor.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 /// States of all attempts offered to or fenced by this executor.
 #[derive(Debug, Default)]
 pub(crate) struct WorkLedger {
-    works: BTreeMap<AttemptId, WorkEntry>,
+    entries: BTreeMap<AttemptId, WorkEntry>,
     ages: BTreeSet<(u64, AttemptId)>,
     /// Attempts with a stored reply, by age.
     replied: BTreeSet<(u64, AttemptId)>,
@@ -59,25 +59,29 @@
     watermark_ms: u64,
     reply_bytes: usize,
     records: BTreeMap<AttemptId, RecordSend>,
-    wakes: BTreeSet<(Duration, AttemptId)>,
+    timers: BTreeSet<(Duration, AttemptId)>,
 }
 
 impl WorkLedger {
-    pub(crate) fn offered(&mut self, turn: &mut GuardTurn<'_>, ticket: DispatchTicket) {
+    pub(crate) fn on_offered(&mut self, context: &mut GuardContext<'_>, ticket: DispatchTicket) {
         let attempt = ticket.attempt;
-        let refusal = if ticket.executor == turn.me() {
+        let refusal = if ticket.executor == context.me() {
             self.refusal(&ticket)
         } else {
             Some(WorkRefusal::WrongInstance)
         };
-        if refusal.is_none() && is_late(turn, &ticket) {
-            self.fence(turn, ticket.holder());
+        if refusal.is_none() && is_expired(context, &ticket) {
+            self.fence(context, ticket.holder());
             let refusal = WorkRefusal::NotRun;
-            turn.out.push(GuardCommand::RefuseWork { attempt, refusal });
+            context
+                .out
+                .push(GuardCommand::RefuseWork { attempt, refusal });
             return;
         }
         if let Some(refusal) = refusal {
-            turn.out.push(GuardCommand::RefuseWork { attempt, refusal });
+            context
+                .out
+                .push(GuardCommand::RefuseWork { attempt, refusal });
             return;
         }
         let entry = WorkEntry {
@@ -86,12 +90,12 @@
             ticket: Some(ticket.clone()),
             waiters: Vec::new(),
         };
-        self.insert(turn, attempt, entry);
-        turn.out.push(GuardCommand::RunWork { ticket });
+        self.insert(context, attempt, entry);
+        context.out.push(GuardCommand::RunWork { ticket });
     }
 
     fn refusal(&self, ticket: &DispatchTicket) -> Option<WorkRefusal> {
-        match self.works.get(&ticket.attempt) {
+        match self.entries.get(&ticket.attempt) {
             Some(work) if work.state == WorkState::Fenced => Some(WorkRefusal::NotRun),
             Some(_) => Some(WorkRefusal::Repeated),
             None if ticket.stamp_ms < self.watermark_ms => Some(WorkRefusal::Repeated),
@@ -99,19 +103,19 @@
         }
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn on_work_ended(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         attempt: AttemptId,
         outcome: WorkOutcome,
     ) {
-        let Some(work) = self.works.get_mut(&attempt) else {
+        let Some(work) = self.entries.get_mut(&attempt) else {
             return;
         };
         if work.state != WorkState::Running {
             return;
         }
-        let limit = turn.view.settings.reply_limit;
+        let limit = context.shared.settings.reply_limit;
         let small = |reply: &Arc<[u8]>| reply.len() <= limit;
         let (state, recorded) = match outcome {
             WorkOutcome::NotRun => (WorkState::Fenced, None),
@@ -139,27 +143,27 @@
                 attempt,
                 state,
             };
-            turn.send(waiter, reply);
+            context.send(waiter, reply);
         }
         if let Some(outcome) = recorded {
-            self.start_record(turn, ticket, outcome);
+            self.start_record(context, ticket, outcome);
         }
-        self.trim_replies(turn.view.settings.reply_budget);
+        self.trim_replies(context.shared.settings.reply_budget);
     }
 
-    pub(crate) fn inquire(
+    pub(crate) fn on_inquire(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         key: KeyId,
         holder: AttemptHolder,
         fence: bool,
     ) {
-        if holder.executor != turn.me() {
+        if holder.executor != context.me() {
             return;
         }
         let attempt = holder.attempt;
-        let state = match self.works.get_mut(&attempt) {
+        let state = match self.entries.get_mut(&attempt) {
             Some(work) => {
                 if work.state == WorkState::Running
                     && work.waiters.len() < MAX_WAITERS
@@ -171,7 +175,7 @@
             }
             None if holder.stamp_ms < self.watermark_ms => WorkState::Unknown,
             None if fence => {
-                self.fence(turn, holder);
+                self.fence(context, holder);
                 WorkState::Fenced
             }
             None => WorkState::NeverSeen,
@@ -181,31 +185,31 @@
             attempt,
             state,
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
-    fn fence(&mut self, turn: &GuardTurn<'_>, holder: AttemptHolder) {
+    fn fence(&mut self, context: &GuardContext<'_>, holder: AttemptHolder) {
         let entry = WorkEntry {
             stamp_ms: holder.stamp_ms,
             state: WorkState::Fenced,
             ticket: None,
             waiters: Vec::new(),
         };
-        self.insert(turn, holder.attempt, entry);
+        self.insert(context, holder.attempt, entry);
     }
 
-    fn insert(&mut self, turn: &GuardTurn<'_>, attempt: AttemptId, entry: WorkEntry) {
+    fn insert(&mut self, context: &GuardContext<'_>, attempt: AttemptId, entry: WorkEntry) {
         self.ages.insert((entry.stamp_ms, attempt));
-        self.works.insert(attempt, entry);
-        if self.works.len() > turn.view.settings.max_attempts {
-            self.forget_oldest(attempt);
+        self.entries.insert(attempt, entry);
+        if self.entries.len() > context.shared.settings.max_attempts {
+            self.drop_oldest(attempt);
         }
     }
 
     /// Drops the oldest attempt that is not running, and raises the watermark above its stamp.
-    fn forget_oldest(&mut self, newest: AttemptId) {
+    fn drop_oldest(&mut self, newest: AttemptId) {
         let over = |(_, attempt): &&(u64, AttemptId)| {
-            let work = self.works.get(attempt);
+            let work = self.entries.get(attempt);
             *attempt != newest && work.is_some_and(|work| work.state != WorkState::Running)
         };
         let Some((stamp_ms, attempt)) = self.ages.iter().find(over).copied() else {
@@ -213,7 +217,7 @@
         };
         self.ages.remove(&(stamp_ms, attempt));
         self.replied.remove(&(stamp_ms, attempt));
-        if let Some(work) = self.works.remove(&attempt) {
+        if let Some(work) = self.entries.remove(&attempt) {
             self.reply_bytes -= reply_len(&work.state);
         }
         self.watermark_ms = self.watermark_ms.max(stamp_ms + 1);
@@ -224,7 +228,7 @@
             let Some((_, attempt)) = self.replied.pop_first() else {
                 break;
             };
-            if let Some(work) = self.works.get_mut(&attempt) {
+            if let Some(work) = self.entries.get_mut(&attempt) {
                 self.reply_bytes -= reply_len(&work.state);
                 work.state = WorkState::Ran(None);
             }
@@ -233,7 +237,7 @@
 
     fn start_record(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         ticket: DispatchTicket,
         outcome: RecordedOutcome,
     ) {
@@ -246,17 +250,17 @@
             wake: Duration::ZERO,
         };
         self.records.insert(attempt, send);
-        self.send_record(turn, attempt);
+        self.send_record(context, attempt);
     }
 
     /// Sends a record to the seats that have not acknowledged it.
-    fn send_record(&mut self, turn: &mut GuardTurn<'_>, attempt: AttemptId) {
+    fn send_record(&mut self, context: &mut GuardContext<'_>, attempt: AttemptId) {
         let Some(send) = self.records.get_mut(&attempt) else {
             return;
         };
-        self.wakes.remove(&(send.wake, attempt));
+        self.timers.remove(&(send.wake, attempt));
         let key = send.ticket.key;
-        let seats = turn.entry_of(key).map(|entry| entry.seats);
+        let seats = context.entry_of(key).map(|entry| entry.seats);
         let seats = seats.unwrap_or_else(|| send.ticket.seats.clone());
         for seat in seats.iter().filter(|seat| !send.acked.contains(seat)) {
             let record = GuardMessage::Record {
@@ -265,17 +269,18 @@
                 holder: send.ticket.holder(),
                 outcome: send.outcome.clone(),
             };
-            turn.send_try(send.tries, *seat, record);
+            context.send_alternating(send.tries, *seat, record);
         }
-        let wait = turn.view.settings.resend_after * (1 << send.tries.min(RECORD_DOUBLINGS));
+        let wait =
+            context.shared.settings.resend_after * (1 << send.tries.min(MAX_RECORD_DOUBLINGS));
         send.tries += 1;
-        send.wake = turn.now + wait;
-        self.wakes.insert((send.wake, attempt));
+        send.wake = context.now + wait;
+        self.timers.insert((send.wake, attempt));
     }
 
-    pub(crate) fn record_ack(
+    pub(crate) fn on_record_ack(
         &mut self,
-        turn: &GuardTurn<'_>,
+        context: &GuardContext<'_>,
         from: InstanceId,
         attempt: AttemptId,
         generation: RangeGeneration,
@@ -283,7 +288,7 @@
         let Some(send) = self.records.get_mut(&attempt) else {
             return;
         };
-        let Some(entry) = turn.entry_of(send.ticket.key) else {
+        let Some(entry) = context.entry_of(send.ticket.key) else {
             return;
         };
         if entry.generation != generation {
@@ -291,14 +296,14 @@
         }
         send.acked.insert(from);
         if entry.seats.iter().all(|seat| send.acked.contains(seat)) {
-            self.wakes.remove(&(send.wake, attempt));
+            self.timers.remove(&(send.wake, attempt));
             self.records.remove(&attempt);
         }
     }
 
     /// Restarts every unfinished record of a range whose seats have changed.
-    pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
-        let of_range = |send: &&RecordSend| turn.range_of(send.ticket.key) == range;
+    pub(crate) fn on_map_changed(&mut self, context: &mut GuardContext<'_>, range: RangeId) {
+        let of_range = |send: &&RecordSend| context.range_of(send.ticket.key) == range;
         let sends = self.records.values().filter(of_range);
         let attempts: Vec<AttemptId> = sends.map(|send| send.ticket.attempt).collect();
         for attempt in attempts {
@@ -306,33 +311,33 @@
                 send.acked.clear();
                 send.tries = 0;
             }
-            self.send_record(turn, attempt);
+            self.send_record(context, attempt);
         }
     }
 
-    pub(crate) fn tick(&mut self, turn: &mut GuardTurn<'_>) {
-        while let Some((wake, attempt)) = self.wakes.first().copied() {
-            if wake > turn.now {
+    pub(crate) fn tick(&mut self, context: &mut GuardContext<'_>) {
+        while let Some((wake, attempt)) = self.timers.first().copied() {
+            if wake > context.now {
                 break;
             }
-            self.wakes.pop_first();
-            self.send_record(turn, attempt);
+            self.timers.pop_first();
+            self.send_record(context, attempt);
         }
     }
 
     pub(crate) fn next_wake(&self) -> Option<Duration> {
-        self.wakes.first().map(|(wake, _)| *wake)
+        self.timers.first().map(|(wake, _)| *wake)
     }
 
     /// Returns whether the seats have acknowledged the outcome of every attempt that ended here.
-    pub(crate) fn recorded(&self) -> bool {
+    pub(crate) fn all_recorded(&self) -> bool {
         self.records.is_empty()
     }
 }
 
 /// Returns whether the deadline of the caller has passed even if the clocks differ by `clock_skew`.
-fn is_late(turn: &GuardTurn<'_>, ticket: &DispatchTicket) -> bool {
-    turn.wall_ms() > ticket.expires_ms + millis(turn.view.settings.clock_skew)
+fn is_expired(context: &GuardContext<'_>, ticket: &DispatchTicket) -> bool {
+    context.wall_ms() > ticket.expires_ms + millis(context.shared.settings.clock_skew)
 }
 
 fn reply_len(state: &WorkState) -> usize {
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -6,7 +6,7 @@
 //! has granted its attempt, so every surviving seat has a record of every key that may have run:
 //!
 //! ```text
-//! caller -> ingress (KeyClient)      seats (KeySeat) x3            executor (WorkLedger)
+//! caller -> ingress (KeyClient)      seats (SeatTable) x3          executor (WorkLedger)
 //!             |--- Claim(attempt) ------>| all of them                     |
 //!             |<-- Granted --------------|                                 |
 //!             |--- dispatch with the ticket ------------------------------>| first time only
@@ -19,10 +19,10 @@
 //! fenced by its executor. Dead attempts never run. If the outcome of an attempt cannot be
 //! determined, the ingress answers "unknown", increments a counter, and the key never runs again.
 //!
-//! To replace a lost or leaving seat, the seats of the current generation elect the next one by
-//! ballot (module `change`), and the new seat copies the records of an earlier one (module
-//! `custody`). Only when too many seats are lost does the range need the log service, in which a
-//! *founding record* starts a new epoch of the range (module `founding`).
+//! To replace a lost or leaving seat, the seats of the current generation choose the next
+//! generation by ballot (module `change`), and the new seat copies the records of an earlier one
+//! (module `custody`). Only when too many seats are lost does the range need the log service, in
+//! which a *founding record* starts a new epoch of the range (module `founding`).
 //!
 //! The crate performs no I/O: [`GuardNode::handle`] takes an event and the current time, and
 //! appends the resulting commands.
@@ -31,7 +31,9 @@
 mod change;
 mod client;
 pub mod command;
+mod components;
 mod contest;
+mod context;
 mod custody;
 pub mod event;
 mod exchange;
@@ -42,12 +44,10 @@
 mod members;
 pub mod message;
 pub mod node;
-mod parts;
 mod request;
 mod seat;
 pub mod settings;
 pub mod store;
-mod turn;
 mod vote;
 
 pub use command::{AnswerVerdict, DispatchTicket, GuardCommand, GuardNote, WorkRefusal};
--- a/crates/guard/src/map.rs
+++ b/crates/guard/src/map.rs
@@ -195,14 +195,14 @@
     seats: &[InstanceId],
     candidates: &BTreeMap<InstanceId, DomainName>,
 ) -> Option<InstanceId> {
-    let crowd = |domain: &DomainName| {
+    let domain_seats = |domain: &DomainName| {
         let shares = |seat: &&InstanceId| candidates.get(seat) == Some(domain);
         seats.iter().filter(shares).count()
     };
     candidates
         .iter()
         .filter(|(instance, _)| !seats.iter().any(|seat| seat.node == instance.node))
-        .min_by_key(|(instance, domain)| (crowd(domain), rank(range, **instance)))
+        .min_by_key(|(instance, domain)| (domain_seats(domain), rank(range, **instance)))
         .map(|(instance, _)| *instance)
 }
 
--- a/crates/guard/src/members.rs
+++ b/crates/guard/src/members.rs
@@ -24,7 +24,7 @@
 
 impl MemberTable {
     /// Lists a member as alive. Earlier instances of the node have ended.
-    pub(crate) fn up(&mut self, instance: InstanceId, domain: DomainName) {
+    pub(crate) fn mark_up(&mut self, instance: InstanceId, domain: DomainName) {
         if self.is_gone(instance) {
             return;
         }
@@ -42,18 +42,18 @@
         self.members.insert(instance, state);
     }
 
-    pub(crate) fn down(&mut self, now: Duration, instance: InstanceId) {
+    pub(crate) fn mark_down(&mut self, now: Duration, instance: InstanceId) {
         if let Some(member) = self.members.get_mut(&instance) {
             member.down_since.get_or_insert(now);
         }
     }
 
-    pub(crate) fn gone(&mut self, instance: InstanceId) {
+    pub(crate) fn mark_gone(&mut self, instance: InstanceId) {
         self.members.remove(&instance);
         self.ended.insert(instance);
     }
 
-    pub(crate) fn draining(&mut self, instance: InstanceId) {
+    pub(crate) fn mark_draining(&mut self, instance: InstanceId) {
         if let Some(member) = self.members.get_mut(&instance) {
             member.draining = true;
         }
--- a/crates/guard/src/node.rs
+++ b/crates/guard/src/node.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::GuardCommand;
+use crate::components::NodeComponents;
+use crate::context::{GuardContext, SharedState};
 use crate::event::GuardEvent;
 use crate::map::RangeMap;
-use crate::parts::NodeParts;
 use crate::seat::RangeSeat;
 use crate::settings::{GuardIdentity, GuardSettings};
-use crate::turn::{GuardTurn, NodeView};
 
 /// Counters for metrics and status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,9 +35,9 @@
 /// Guard state machine of one node.
 #[derive(Debug)]
 pub struct GuardNode {
-    view: NodeView,
-    parts: NodeParts,
-    pulse_at: Duration,
+    shared: SharedState,
+    components: NodeComponents,
+    periodic_at: Duration,
     drained: bool,
 }
 
@@ -46,9 +46,9 @@
     #[must_use]
     pub fn new(identity: GuardIdentity, settings: GuardSettings, seed: u64) -> Self {
         Self {
-            view: NodeView::new(identity, settings, seed),
-            parts: NodeParts::default(),
-            pulse_at: Duration::ZERO,
+            shared: SharedState::new(identity, settings, seed),
+            components: NodeComponents::default(),
+            periodic_at: Duration::ZERO,
             drained: false,
         }
     }
@@ -56,21 +56,21 @@
     /// Handles one event at `now`, in this node's monotonic time, and appends the resulting
     /// commands. Every event also runs the timers that are due.
     pub fn handle(&mut self, now: Duration, event: GuardEvent, out: &mut Vec<GuardCommand>) {
-        let mut turn = GuardTurn {
+        let mut context = GuardContext {
             now,
-            view: &mut self.view,
+            shared: &mut self.shared,
             out,
         };
-        self.parts.take_event(&mut turn, event);
-        self.parts.client.tick(&mut turn);
-        self.parts.ledger.tick(&mut turn);
-        if now >= self.pulse_at {
-            self.pulse_at = now + turn.view.settings.resend_after;
-            self.parts.pulse(&mut turn);
+        self.components.on_event(&mut context, event);
+        self.components.client.tick(&mut context);
+        self.components.ledger.tick(&mut context);
+        if now >= self.periodic_at {
+            self.periodic_at = now + context.shared.settings.resend_after;
+            self.components.run_periodic(&mut context);
         }
-        let me = turn.me();
-        while let Some(message) = turn.view.inbox.pop_front() {
-            self.parts.take_message(&mut turn, me, message);
+        let me = context.me();
+        while let Some(message) = context.shared.inbox.pop_front() {
+            self.components.on_message(&mut context, me, message);
         }
         self.check_drained(out);
     }
@@ -78,49 +78,49 @@
     /// Returns the time at which the next `Tick` is due, in this node's monotonic time.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        let client = self.parts.client.next_wake();
-        let ledger = self.parts.ledger.next_wake();
-        let wakes = client.into_iter().chain(ledger);
-        Some(wakes.fold(self.pulse_at, Duration::min))
+        let client = self.components.client.next_wake();
+        let ledger = self.components.ledger.next_wake();
+        let timers = client.into_iter().chain(ledger);
+        Some(timers.fold(self.periodic_at, Duration::min))
     }
 
     /// Returns the identity given at creation.
     #[must_use]
     pub fn identity(&self) -> &GuardIdentity {
-        &self.view.identity
+        &self.shared.identity
     }
 
     /// Returns the settings given at creation.
     #[must_use]
     pub fn settings(&self) -> &GuardSettings {
-        &self.view.settings
+        &self.shared.settings
     }
 
     /// Returns the newest known generations of all ranges.
     #[must_use]
     pub fn map(&self) -> &RangeMap {
-        &self.view.map
+        &self.shared.map
     }
 
     /// Returns the counters for metrics and status.
     #[must_use]
     pub fn counts(&self) -> GuardCounts {
-        let seats = self.parts.seats.seats.values();
+        let seats = self.components.seats.seats.values();
         let ready = |seat: &&RangeSeat| seat.is_ready();
         GuardCounts {
-            admitted: self.parts.client.admitted,
-            granted: self.parts.client.granted,
-            unknown: self.parts.client.unknown,
+            admitted: self.components.client.admitted,
+            granted: self.components.client.granted,
+            unknown: self.components.client.unknown,
             keys: seats.clone().map(|seat| seat.store.len()).sum(),
             reply_bytes: seats.clone().map(|seat| seat.store.reply_bytes()).sum(),
             seats: seats.filter(ready).count(),
-            closed_ranges: self.parts.founding.closed_ranges(),
+            closed_ranges: self.components.founding.closed_ranges(),
         }
     }
 
     fn check_drained(&mut self, out: &mut Vec<GuardCommand>) {
-        let leaving = self.view.draining && !self.drained;
-        let empty = self.parts.seats.drained() && self.parts.ledger.recorded();
+        let leaving = self.shared.draining && !self.drained;
+        let empty = self.components.seats.is_empty() && self.components.ledger.all_recorded();
         if leaving && empty {
             self.drained = true;
             out.push(GuardCommand::Drained);
--- a/crates/guard/src/request.rs
+++ b/crates/guard/src/request.rs
@@ -10,27 +10,27 @@
 
 use crate::ballot::majority;
 use crate::command::{AnswerVerdict, DispatchTicket, GuardCommand};
+use crate::context::{GuardContext, millis};
 use crate::key::{KeyFingerprint, KeyId};
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::message::{AttemptHolder, ClaimRequest, GuardMessage, SeatVerdict};
-use crate::turn::{GuardTurn, millis};
 
 /// Another send of the same key, reported by a seat.
 #[derive(Clone, Debug)]
 pub(crate) struct RivalState {
     pub(crate) holder: AttemptHolder,
     /// Number of queries that were not answered.
-    pub(crate) silent: u32,
+    pub(crate) unanswered: u32,
     /// Whether its ingress answered that it no longer holds the request.
-    pub(crate) unheard: bool,
+    pub(crate) unknown_at_ingress: bool,
 }
 
 impl RivalState {
     pub(crate) const fn new(holder: AttemptHolder) -> Self {
         Self {
             holder,
-            silent: 0,
-            unheard: false,
+            unanswered: 0,
+            unknown_at_ingress: false,
         }
     }
 }
@@ -113,30 +113,30 @@
 
     /// Declares the current attempt dead and releases its grants. The caller ensures that the
     /// attempt has not run and will not be dispatched again.
-    pub(crate) fn bury(&mut self, turn: &mut GuardTurn<'_>) {
+    pub(crate) fn declare_dead(&mut self, context: &mut GuardContext<'_>) {
         let attempt = self.attempt();
         self.dead.push(attempt);
         self.number += 1;
         let key = self.key;
-        let seats = turn.entry_of(key).map(|entry| entry.seats);
+        let seats = context.entry_of(key).map(|entry| entry.seats);
         for seat in seats.unwrap_or_default() {
-            turn.send(seat, GuardMessage::Release { key, attempt });
+            context.send(seat, GuardMessage::Release { key, attempt });
         }
     }
 
     /// Starts to collect grants for the current attempt.
-    pub(crate) fn claim(&mut self, turn: &mut GuardTurn<'_>) {
+    pub(crate) fn claim(&mut self, context: &mut GuardContext<'_>) {
         let round = ClaimRound {
-            entry: turn.entry_of(self.key),
+            entry: context.entry_of(self.key),
             ..ClaimRound::default()
         };
         self.phase = RequestPhase::Claiming(round);
         self.tries = 0;
-        self.send_claims(turn);
+        self.send_claims(context);
     }
 
     /// Sends a claim to every seat that has not granted yet.
-    pub(crate) fn send_claims(&mut self, turn: &mut GuardTurn<'_>) {
+    pub(crate) fn send_claims(&mut self, context: &mut GuardContext<'_>) {
         let RequestPhase::Claiming(round) = &self.phase else {
             return;
         };
@@ -147,28 +147,28 @@
             key: self.key,
             fingerprint: self.fingerprint,
             generation: entry.generation,
-            holder: self.holder(turn.me()),
+            holder: self.holder(context.me()),
             dead: self.dead.clone(),
         };
         for seat in &entry.seats {
             if !round.granted.contains(seat) {
-                turn.send_try(self.tries, *seat, GuardMessage::Claim(claim.clone()));
+                context.send_alternating(self.tries, *seat, GuardMessage::Claim(claim.clone()));
             }
         }
     }
 
-    fn ticket(&self, turn: &GuardTurn<'_>, entry: &RangeEntry) -> DispatchTicket {
+    fn ticket(&self, context: &GuardContext<'_>, entry: &RangeEntry) -> DispatchTicket {
         DispatchTicket {
             key: self.key,
             fingerprint: self.fingerprint,
             attempt: self.attempt(),
-            ingress: turn.me(),
+            ingress: context.me(),
             executor: self.executor,
             range: entry.range,
             generation: entry.generation,
             seats: entry.seats.clone(),
             stamp_ms: self.stamp_ms,
-            expires_ms: turn.wall_ms() + millis(self.deadline.saturating_sub(turn.now)),
+            expires_ms: context.wall_ms() + millis(self.deadline.saturating_sub(context.now)),
         }
     }
 }
@@ -202,22 +202,22 @@
 }
 
 impl ClientRequest {
-    pub(crate) fn wake_up(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
-        if turn.now >= self.deadline {
+    pub(crate) fn on_timer(&mut self, context: &mut GuardContext<'_>) -> RequestStep {
+        if context.now >= self.deadline {
             return self.expire();
         }
         self.tries += 1;
         match &self.phase {
             RequestPhase::Claiming(round) => {
                 let contested = round.rival.is_some();
-                self.send_claims(turn);
+                self.send_claims(context);
                 if contested {
-                    return self.ask_rival(turn);
+                    return self.query_rival(context);
                 }
                 RequestStep::Keep
             }
-            RequestPhase::Joining(_) => self.ask_rival(turn),
-            RequestPhase::Resolving(_) => self.resolve(turn),
+            RequestPhase::Joining(_) => self.query_rival(context),
+            RequestPhase::Resolving(_) => self.resolve(context),
             RequestPhase::Dispatched(_) | RequestPhase::Reoffered => RequestStep::Keep,
         }
     }
@@ -239,9 +239,9 @@
         }
     }
 
-    pub(crate) fn take_verdict(
+    pub(crate) fn on_verdict(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         generation: RangeGeneration,
         verdict: SeatVerdict,
@@ -258,12 +258,12 @@
         match verdict {
             SeatVerdict::Granted => {
                 round.granted.insert(from);
-                if round.granted.len() == entry.seats.len() && turn.now < self.deadline {
-                    self.dispatch(turn, &entry);
+                if round.granted.len() == entry.seats.len() && context.now < self.deadline {
+                    self.dispatch(context, &entry);
                 }
                 RequestStep::Keep
             }
-            SeatVerdict::Held(holder) => self.meet_rival(turn, holder),
+            SeatVerdict::Held(holder) => self.on_rival(context, holder),
             SeatVerdict::Ran(reply) => RequestStep::ran(reply),
             SeatVerdict::Closed => RequestStep::unknown(RefusalCode::UpstreamFailed),
             SeatVerdict::Reused => RequestStep::not_run(RefusalCode::KeyReused),
@@ -277,16 +277,16 @@
             }
             SeatVerdict::NotServing => {
                 let entries = vec![entry];
-                turn.send(from, GuardMessage::Map { entries });
+                context.send(from, GuardMessage::Map { entries });
                 RequestStep::Keep
             }
         }
     }
 
-    fn dispatch(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) {
-        let ticket = self.ticket(turn, entry);
+    fn dispatch(&mut self, context: &mut GuardContext<'_>, entry: &RangeEntry) {
+        let ticket = self.ticket(context, entry);
         self.phase = RequestPhase::Dispatched(ticket.clone());
         let request = self.request;
-        turn.out.push(GuardCommand::Grant { request, ticket });
+        context.out.push(GuardCommand::Grant { request, ticket });
     }
 }
--- a/crates/guard/src/seat.rs
+++ b/crates/guard/src/seat.rs
@@ -19,12 +19,12 @@
 use crate::ballot::BallotAcceptor;
 use crate::change::SeatProposal;
 use crate::command::{GuardCommand, GuardNote};
+use crate::context::{GuardContext, millis};
 use crate::custody::CustodyFetch;
 use crate::key::{KeyFingerprint, KeyId, RangeId};
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::message::{AttemptHolder, ClaimRequest, GuardMessage, SeatVerdict};
 use crate::store::{KeyLimits, KeyRecord, KeyState, KeyStore, RecordedOutcome};
-use crate::turn::{GuardTurn, millis};
 
 /// State of one range at one node.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     /// Earliest start of the next proposal.
     pub(crate) propose_at: Option<Duration>,
     /// Number of proposals in this generation that other seats objected to.
-    pub(crate) declines: u32,
+    pub(crate) objections: u32,
     /// Members that other seats objected to, with the time until which proposals leave them as they
     /// are.
     pub(crate) avoided: BTreeMap<InstanceId, Duration>,
@@ -53,7 +53,7 @@
 pub(crate) struct RetiredSeat {
     /// Successors that hold the records.
     pub(crate) ready: std::collections::BTreeSet<InstanceId>,
-    pub(crate) ask_at: Duration,
+    pub(crate) request_at: Duration,
 }
 
 impl RangeSeat {
@@ -67,7 +67,7 @@
             proposal: None,
             fetch: CustodyFetch::default(),
             propose_at: None,
-            declines: 0,
+            objections: 0,
             avoided: BTreeMap::new(),
         }
     }
@@ -95,7 +95,7 @@
         self.acceptor = BallotAcceptor::default();
         self.proposal = None;
         self.propose_at = None;
-        self.declines = 0;
+        self.objections = 0;
         self.avoided.clear();
         self.fetch = CustodyFetch::default();
         self.retired = (!entry.seats.contains(&me)).then(RetiredSeat::default);
@@ -114,8 +114,8 @@
 
 impl SeatTable {
     /// Applies a newer generation of a range.
-    pub(crate) fn map_changed(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) {
-        let me = turn.me();
+    pub(crate) fn on_map_changed(&mut self, context: &mut GuardContext<'_>, entry: &RangeEntry) {
+        let me = context.me();
         let member = entry.seats.contains(&me);
         if !member && !self.seats.contains_key(&entry.range) {
             return;
@@ -128,37 +128,37 @@
         let served = seat.is_ready();
         seat.advance(me, entry.clone());
         if seat.is_ready() && !served {
-            note_serving(turn, seat);
+            note_serving(context, seat);
         }
         if member && !seat.is_ready() {
-            seat.drop_memory();
-            seat.fetch_custody(turn);
+            seat.reset_records();
+            seat.fetch_custody(context);
         }
     }
 
-    pub(crate) fn claim(
+    pub(crate) fn on_claim(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         claim: &ClaimRequest,
     ) {
-        let range = turn.range_of(claim.key);
-        let known = turn.view.map.get(range);
+        let range = context.range_of(claim.key);
+        let known = context.shared.map.get(range);
         if let Some(newer) = known.filter(|entry| entry.generation > claim.generation) {
             let entries = vec![newer.clone()];
-            turn.send(from, GuardMessage::Map { entries });
+            context.send(from, GuardMessage::Map { entries });
             return;
         }
-        self.bound_memory(turn, range);
+        self.enforce_limits(context, range);
         let limits = KeyLimits {
-            latest_ms: turn.wall_ms() + millis(turn.view.settings.ahead_limit),
-            window_ms: millis(turn.view.settings.keep_for / 2),
+            latest_ms: context.wall_ms() + millis(context.shared.settings.ahead_limit),
+            window_ms: millis(context.shared.settings.keep_for / 2),
         };
-        let fenced = turn.view.is_fenced(range, claim.generation.epoch);
+        let fenced = context.shared.is_fenced(range, claim.generation.epoch);
         // If a newer process runs under the same node name, other members consider this one ended
         // and may found its ranges again, while claims still arrive over open connections. Without
         // this check both sides would grant. Node names must be unique all the same.
-        let superseded = turn.view.members.is_gone(turn.me());
+        let superseded = context.shared.members.is_gone(context.me());
         let seat = self.seats.get_mut(&range);
         let serving = |seat: &&mut RangeSeat| {
             seat.is_ready() && seat.entry.generation == claim.generation && !fenced && !superseded
@@ -173,17 +173,22 @@
             generation: claim.generation,
             verdict,
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
-    pub(crate) fn release(&mut self, turn: &GuardTurn<'_>, key: KeyId, attempt: AttemptId) {
-        if let Some(seat) = self.seats.get_mut(&turn.range_of(key)) {
+    pub(crate) fn on_release(
+        &mut self,
+        context: &GuardContext<'_>,
+        key: KeyId,
+        attempt: AttemptId,
+    ) {
+        if let Some(seat) = self.seats.get_mut(&context.range_of(key)) {
             seat.store.release(key, attempt);
         }
     }
 
-    pub(crate) fn close(&mut self, turn: &GuardTurn<'_>, key: KeyId, attempt: AttemptId) {
-        if let Some(seat) = self.seats.get_mut(&turn.range_of(key)) {
+    pub(crate) fn on_close(&mut self, context: &GuardContext<'_>, key: KeyId, attempt: AttemptId) {
+        if let Some(seat) = self.seats.get_mut(&context.range_of(key)) {
             seat.store.close(key, attempt);
         }
     }
@@ -192,20 +197,20 @@
     ///
     /// Only a serving seat acknowledges: a record that arrives at a retired seat may be missing
     /// from the records it handed over.
-    pub(crate) fn record(
+    pub(crate) fn on_record(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         key: KeyId,
         fingerprint: KeyFingerprint,
         holder: AttemptHolder,
         outcome: RecordedOutcome,
     ) {
-        let range = turn.range_of(key);
+        let range = context.range_of(key);
         let Some(seat) = self.seats.get_mut(&range) else {
-            if let Some(entry) = turn.entry_of(key) {
+            if let Some(entry) = context.entry_of(key) {
                 let entries = vec![entry];
-                turn.send(from, GuardMessage::Map { entries });
+                context.send(from, GuardMessage::Map { entries });
             }
             return;
         };
@@ -226,22 +231,22 @@
                 attempt,
                 generation,
             };
-            turn.send(from, ack);
+            context.send(from, ack);
         } else if seat.retired.is_some() {
             let entries = vec![seat.entry.clone()];
-            turn.send(from, GuardMessage::Map { entries });
+            context.send(from, GuardMessage::Map { entries });
         }
-        self.bound_memory(turn, range);
+        self.enforce_limits(context, range);
     }
 
     /// Keeps the store within its limits: drops expired keys and the oldest replies, and raises the
     /// watermark if there are still too many keys.
-    fn bound_memory(&mut self, turn: &mut GuardTurn<'_>, range: RangeId) {
-        let settings = &turn.view.settings;
+    fn enforce_limits(&mut self, context: &mut GuardContext<'_>, range: RangeId) {
+        let settings = &context.shared.settings;
         let held = self.seats.len().max(1);
         let max_keys = (settings.max_keys / held).max(1);
         let max_bytes = settings.reply_budget / held;
-        let floor_ms = turn.wall_ms().saturating_sub(millis(settings.keep_for));
+        let floor_ms = context.wall_ms().saturating_sub(millis(settings.keep_for));
         let Some(seat) = self.seats.get_mut(&range) else {
             return;
         };
@@ -253,7 +258,7 @@
             };
             let watermark_ms = oldest_ms + 1;
             seat.store.raise_watermark(watermark_ms);
-            turn.note(GuardNote::WatermarkRaised {
+            context.note(GuardNote::WatermarkRaised {
                 range,
                 watermark_ms,
             });
@@ -262,18 +267,18 @@
 
     /// Advances generation changes, custody transfers and the handover of retired seats. Returns
     /// the newly chosen generations.
-    pub(crate) fn pulse(&mut self, turn: &mut GuardTurn<'_>) -> Vec<RangeEntry> {
+    pub(crate) fn run_periodic(&mut self, context: &mut GuardContext<'_>) -> Vec<RangeEntry> {
         let mut chosen = Vec::new();
         let mut dropped = Vec::new();
         for (range, seat) in &mut self.seats {
             if seat.retired.is_some() {
-                if seat.pulse_retired(turn) {
+                if seat.advance_handover(context) {
                     dropped.push(*range);
                 }
             } else if seat.is_ready() {
-                chosen.extend(seat.pulse_change(turn));
+                chosen.extend(seat.advance_change(context));
             } else {
-                seat.fetch_custody(turn);
+                seat.fetch_custody(context);
             }
         }
         for range in dropped {
@@ -282,14 +287,14 @@
         chosen
     }
 
-    pub(crate) fn drained(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.seats.is_empty()
     }
 }
 
 /// Notes in the event log that the seat serves.
-pub(crate) fn note_serving(turn: &mut GuardTurn<'_>, seat: &RangeSeat) {
-    turn.out.push(GuardCommand::Note(GuardNote::SeatServing {
+pub(crate) fn note_serving(context: &mut GuardContext<'_>, seat: &RangeSeat) {
+    context.out.push(GuardCommand::Note(GuardNote::SeatServing {
         range: seat.entry.range,
         generation: seat.entry.generation,
         keys: seat.store.len(),
--- a/crates/guard/src/store.rs
+++ b/crates/guard/src/store.rs
@@ -98,7 +98,7 @@
             if record.state != KeyState::Granted || !replaced {
                 return known_verdict(record, claim);
             }
-        } else if self.forgot(claim, limits) {
+        } else if self.may_be_dropped(claim, limits) {
             return SeatVerdict::Expired;
         } else if claim.holder.stamp_ms > limits.latest_ms {
             return SeatVerdict::Ahead;
@@ -117,7 +117,7 @@
     /// Without this check, a resend whose key was dropped from a full store would run again. Only
     /// keys below the watermark are dropped, the watermark never decreases, and custody transfers
     /// include it. The floor covers records that were lost and is part of the range's entry.
-    fn forgot(&self, claim: &ClaimRequest, limits: KeyLimits) -> bool {
+    fn may_be_dropped(&self, claim: &ClaimRequest, limits: KeyLimits) -> bool {
         let oldest_ms = match claim.key.time {
             KeyTime::Timed(key_ms) => key_ms,
             KeyTime::Window(window_ms) => {
@@ -170,7 +170,7 @@
 
     /// Returns the records after a key, in order, and whether no more follow. Stops at `count`
     /// records or once the replies reach `bytes`.
-    pub(crate) fn part(
+    pub(crate) fn chunk(
         &self,
         after: Option<KeyId>,
         count: usize,
@@ -178,17 +178,17 @@
     ) -> (Vec<(KeyId, KeyRecord)>, bool) {
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let mut rest = self.records.range((from, std::ops::Bound::Unbounded));
-        let mut part = Vec::new();
+        let mut chunk = Vec::new();
         let mut size = 0;
-        while part.len() < count && size < bytes {
+        while chunk.len() < count && size < bytes {
             let Some((key, record)) = rest.next() else {
-                return (part, true);
+                return (chunk, true);
             };
             size += reply_len(record);
-            part.push((*key, record.clone()));
+            chunk.push((*key, record.clone()));
         }
         let done = rest.next().is_none();
-        (part, done)
+        (chunk, done)
     }
 
     /// Raises the floor for keys without a record. Existing records stay.
--- a/crates/guard/src/vote.rs
+++ b/crates/guard/src/vote.rs
@@ -4,44 +4,44 @@
 
 use crate::ballot::{AcceptedSeats, RangeBallot};
 use crate::change::SeatProposal;
+use crate::context::GuardContext;
 use crate::key::RangeId;
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::message::GuardMessage;
 use crate::seat::{RangeSeat, SeatTable};
-use crate::turn::GuardTurn;
 
 impl SeatTable {
     /// Returns the seat of a range if it may vote: the generation is its current one, and neither
     /// is the seat retired nor the epoch fenced.
     fn voter(
         &mut self,
-        turn: &GuardTurn<'_>,
+        context: &GuardContext<'_>,
         range: RangeId,
         generation: RangeGeneration,
     ) -> Option<&mut RangeSeat> {
-        if turn.view.is_fenced(range, generation.epoch) {
+        if context.shared.is_fenced(range, generation.epoch) {
             return None;
         }
         let seat = self.seats.get_mut(&range)?;
         (seat.retired.is_none() && seat.entry.generation == generation).then_some(seat)
     }
 
-    pub(crate) fn prepare(
+    pub(crate) fn on_prepare(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         entry: &RangeEntry,
         ballot: RangeBallot,
         wanted: &[InstanceId],
     ) {
-        if tell_newer(turn, from, entry) {
+        if send_newer_entry(context, from, entry) {
             return;
         }
         let (range, generation) = (entry.range, entry.generation);
-        let Some(seat) = self.voter(turn, range, generation) else {
+        let Some(seat) = self.voter(context, range, generation) else {
             return;
         };
-        let objection = seat.objection(turn, from, wanted);
+        let objection = seat.objection(context, from, wanted);
         let reply = if let Some(seat) = objection {
             GuardMessage::Declined {
                 range,
@@ -58,24 +58,24 @@
                 ready: seat.is_ready(),
             }
         } else {
-            seat.outbid(ballot)
+            seat.outbid_reply(ballot)
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
-    pub(crate) fn accept(
+    pub(crate) fn on_accept(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         entry: &RangeEntry,
         ballot: RangeBallot,
         seats: Vec<InstanceId>,
     ) {
-        if tell_newer(turn, from, entry) {
+        if send_newer_entry(context, from, entry) {
             return;
         }
         let (range, generation) = (entry.range, entry.generation);
-        let Some(seat) = self.voter(turn, range, generation) else {
+        let Some(seat) = self.voter(context, range, generation) else {
             return;
         };
         let reply = if seat.acceptor.accept(ballot, seats) {
@@ -85,78 +85,78 @@
                 ballot,
             }
         } else {
-            seat.outbid(ballot)
+            seat.outbid_reply(ballot)
         };
-        turn.send(from, reply);
+        context.send(from, reply);
     }
 
-    pub(crate) fn promise(
+    pub(crate) fn on_promise(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         vote: PromiseVote,
     ) -> Option<RangeEntry> {
-        let seat = self.voter(turn, vote.range, vote.generation)?;
+        let seat = self.voter(context, vote.range, vote.generation)?;
         let proposal = seat.proposal.as_mut()?;
         if proposal.ballot != vote.ballot || proposal.value.is_some() {
             return None;
         }
         proposal.promises.insert(from, (vote.accepted, vote.ready));
-        seat.advance_proposal(turn)
+        seat.advance_proposal(context)
     }
 
-    pub(crate) fn accepted(
+    pub(crate) fn on_accepted(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         range: RangeId,
         generation: RangeGeneration,
         ballot: RangeBallot,
     ) -> Option<RangeEntry> {
-        let seat = self.voter(turn, range, generation)?;
+        let seat = self.voter(context, range, generation)?;
         let proposal = seat.proposal.as_mut()?;
         if proposal.ballot != ballot || proposal.value.is_none() {
             return None;
         }
         proposal.accepts.insert(from);
-        seat.advance_proposal(turn)
+        seat.advance_proposal(context)
     }
 
-    pub(crate) fn declined(
+    pub(crate) fn on_declined(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         vote: &DeclineVote,
     ) {
-        let Some(seat) = self.voter(turn, vote.range, vote.generation) else {
+        let Some(seat) = self.voter(context, vote.range, vote.generation) else {
             return;
         };
         let open = |it: &SeatProposal| it.ballot == vote.ballot && it.value.is_none();
         if seat.proposal.as_ref().is_some_and(open) {
-            seat.decline(turn, from, vote.seat);
+            seat.on_objection(context, from, vote.seat);
         }
     }
 
-    pub(crate) fn outbid(
+    pub(crate) fn on_outbid(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         range: RangeId,
         generation: RangeGeneration,
         promised: RangeBallot,
     ) {
-        let Some(seat) = self.voter(turn, range, generation) else {
+        let Some(seat) = self.voter(context, range, generation) else {
             return;
         };
         let lower = |proposal: &SeatProposal| proposal.ballot < promised;
         if seat.proposal.as_ref().is_some_and(lower) {
             seat.acceptor.promise(promised);
-            seat.retreat(turn);
+            seat.back_off(context);
         }
     }
 }
 
 impl RangeSeat {
-    fn outbid(&self, ballot: RangeBallot) -> GuardMessage {
+    fn outbid_reply(&self, ballot: RangeBallot) -> GuardMessage {
         GuardMessage::Outbid {
             range: self.entry.range,
             generation: self.entry.generation,
@@ -185,12 +185,12 @@
 }
 
 /// Sends the current entry to a proposer of an earlier generation. Returns whether it was sent.
-fn tell_newer(turn: &mut GuardTurn<'_>, from: InstanceId, entry: &RangeEntry) -> bool {
-    let known = turn.view.map.get(entry.range);
+fn send_newer_entry(context: &mut GuardContext<'_>, from: InstanceId, entry: &RangeEntry) -> bool {
+    let known = context.shared.map.get(entry.range);
     let Some(newer) = known.filter(|it| it.generation > entry.generation) else {
         return false;
     };
     let entries = vec![newer.clone()];
-    turn.send(from, GuardMessage::Map { entries });
+    context.send(from, GuardMessage::Map { entries });
     true
 }
--- a/crates/guard/tests/testsuite/engine.rs
+++ b/crates/guard/tests/testsuite/engine.rs
@@ -17,40 +17,40 @@
 const MAX_REDIRECTS: u32 = 2;
 
 impl FakeFleet {
-    pub fn dispatch(&mut self, life: usize, request: RequestId, ticket: DispatchTicket) {
+    pub fn dispatch(&mut self, process: usize, request: RequestId, ticket: DispatchTicket) {
         let attempt = ticket.attempt;
-        let Some(state) = self.lives[life].requests.get_mut(&request) else {
+        let Some(state) = self.processes[process].requests.get_mut(&request) else {
             return;
         };
         state.attempt = Some(attempt);
         let timeout = FleetEvent::DispatchTimeout(attempt);
-        self.schedule(life, DISPATCH_TIMEOUT, timeout);
+        self.schedule(process, DISPATCH_TIMEOUT, timeout);
         let executor = ticket.executor;
-        self.transmit(life, executor, &FleetPacket::Dispatch(ticket));
+        self.transmit(process, executor, &FleetPacket::Dispatch(ticket));
     }
 
-    pub fn reply(&mut self, life: usize, attempt: AttemptId, result: WorkResult) {
-        let Some(ticket) = self.lives[life].tickets.get(&attempt) else {
+    pub fn reply(&mut self, process: usize, attempt: AttemptId, result: WorkResult) {
+        let Some(ticket) = self.processes[process].tickets.get(&attempt) else {
             return;
         };
         let ingress = ticket.ingress;
-        self.transmit(life, ingress, &FleetPacket::Result(attempt, result));
+        self.transmit(process, ingress, &FleetPacket::Result(attempt, result));
     }
 
-    pub fn run_work(&mut self, life: usize, ticket: &DispatchTicket) {
+    pub fn run_work(&mut self, process: usize, ticket: &DispatchTicket) {
         let attempt = ticket.attempt;
         let (low, high) = self.backend.service;
         let service = ms(self.rng.random_range(low..=high));
         if self.rng.random_bool(self.backend.refuse) {
             self.schedule(
-                life,
+                process,
                 ms(1),
                 FleetEvent::WorkDone(attempt, WorkOutcome::NotRun),
             );
             return;
         }
-        let name = self.lives[life].instance_name();
-        self.truth.ran(ticket.key, attempt, self.now);
+        let name = self.processes[process].instance_name();
+        self.oracle.on_run(ticket.key, attempt, self.now);
         self.note(&format!("backend server of {name} runs {attempt}"));
         let outcome = if self.rng.random_bool(self.backend.crash) {
             WorkOutcome::Unknown
@@ -59,66 +59,66 @@
             text.resize(text.len().max(self.backend.reply_bytes), b'.');
             WorkOutcome::Ran(Some(Arc::from(text)))
         };
-        self.schedule(life, service, FleetEvent::WorkDone(attempt, outcome));
+        self.schedule(process, service, FleetEvent::WorkDone(attempt, outcome));
     }
 
-    pub fn end_work(&mut self, life: usize, attempt: AttemptId, outcome: WorkOutcome) {
+    pub fn end_work(&mut self, process: usize, attempt: AttemptId, outcome: WorkOutcome) {
         let result = match &outcome {
             WorkOutcome::NotRun => WorkResult::NotRun,
             WorkOutcome::Ran(_) => WorkResult::Ran,
             WorkOutcome::Unknown => WorkResult::Unknown,
         };
-        self.tell(life, GuardEvent::WorkEnded { attempt, outcome });
-        self.reply(life, attempt, result);
+        self.handle_event(process, GuardEvent::WorkEnded { attempt, outcome });
+        self.reply(process, attempt, result);
     }
 
-    pub fn take_result(&mut self, life: usize, attempt: AttemptId, result: &WorkResult) {
+    pub fn on_result(&mut self, process: usize, attempt: AttemptId, result: &WorkResult) {
         let request = attempt.request;
-        let waiting = self.lives[life].requests.get(&request);
+        let waiting = self.processes[process].requests.get(&request);
         if waiting.is_none_or(|state| state.attempt != Some(attempt)) {
             return;
         }
         match result {
-            WorkResult::NotRun => self.redirect(life, request),
-            WorkResult::Repeated => self.settle(life, request, DispatchOutcome::Lost),
-            WorkResult::Ran => self.settle(life, request, DispatchOutcome::Ran),
-            WorkResult::Unknown => self.settle(life, request, DispatchOutcome::Unknown),
+            WorkResult::NotRun => self.redirect(process, request),
+            WorkResult::Repeated => self.settle(process, request, DispatchOutcome::Lost),
+            WorkResult::Ran => self.settle(process, request, DispatchOutcome::Ran),
+            WorkResult::Unknown => self.settle(process, request, DispatchOutcome::Unknown),
         }
     }
 
     /// Redirects a request to another executor, or settles it as not run after [`MAX_REDIRECTS`].
-    pub fn redirect(&mut self, life: usize, request: RequestId) {
-        let Some(state) = self.lives[life].requests.get_mut(&request) else {
+    pub fn redirect(&mut self, process: usize, request: RequestId) {
+        let Some(state) = self.processes[process].requests.get_mut(&request) else {
             return;
         };
         state.attempt = None;
         state.redirects += 1;
         if state.redirects > MAX_REDIRECTS {
-            self.settle(life, request, DispatchOutcome::NotRun);
+            self.settle(process, request, DispatchOutcome::NotRun);
             return;
         }
         let executor = self.any_executor();
-        self.tell(life, GuardEvent::Redirect { request, executor });
+        self.handle_event(process, GuardEvent::Redirect { request, executor });
     }
 
-    pub fn settle(&mut self, life: usize, request: RequestId, outcome: DispatchOutcome) {
-        if let Some(state) = self.lives[life].requests.get_mut(&request) {
+    pub fn settle(&mut self, process: usize, request: RequestId, outcome: DispatchOutcome) {
+        if let Some(state) = self.processes[process].requests.get_mut(&request) {
             state.attempt = None;
         }
-        self.tell(life, GuardEvent::Settled { request, outcome });
+        self.handle_event(process, GuardEvent::Settled { request, outcome });
         if outcome != DispatchOutcome::Lost {
-            self.lives[life].requests.remove(&request);
-            self.truth.settled(request, self.now, outcome);
+            self.processes[process].requests.remove(&request);
+            self.oracle.on_settled(request, self.now, outcome);
         }
     }
 
     /// Selects a random executor that is alive and not frozen, as a load balancer would.
     pub fn any_executor(&mut self) -> InstanceId {
         for _ in 0..8 {
-            let node = self.rng.random_range(0..self.address.len());
-            let life = &self.lives[self.address[node]];
-            if life.alive && !life.frozen {
-                return life.instance;
+            let node = self.rng.random_range(0..self.process_at.len());
+            let process = &self.processes[self.process_at[node]];
+            if process.alive && !process.frozen {
+                return process.instance;
             }
         }
         self.instance(0)
@@ -126,8 +126,8 @@
 
     /// Sends a caller's request to a node. Returns false if no process accepts it there.
     pub fn send(&mut self, node: usize, send: &CallerSend) -> bool {
-        let life = self.address[node];
-        if !self.lives[life].alive || self.lives[life].frozen {
+        let process = self.process_at[node];
+        if !self.processes[process].alive || self.processes[process].frozen {
             return false;
         }
         let request = send.request;
@@ -135,19 +135,23 @@
             attempt: None,
             redirects: 0,
         };
-        self.lives[life].requests.insert(request, state);
-        let until = self.now + send.patience;
-        self.truth.admitted(send, self.now);
+        self.processes[process].requests.insert(request, state);
+        let until = self.now + send.timeout;
+        self.oracle.on_admitted(send, self.now);
         let event = GuardEvent::Admit {
             request,
             key: send.key,
             fingerprint: KeyFingerprint(send.body),
             executor: send.executor,
-            deadline: until.saturating_sub(self.lives[life].started),
+            deadline: until.saturating_sub(self.processes[process].started),
         };
-        self.tell(life, event);
-        self.schedule(life, send.patience, FleetEvent::GiveUp(request));
-        self.schedule(life, send.patience + ms(50), FleetEvent::Deadline(request));
+        self.handle_event(process, event);
+        self.schedule(process, send.timeout, FleetEvent::GiveUp(request));
+        self.schedule(
+            process,
+            send.timeout + ms(50),
+            FleetEvent::Deadline(request),
+        );
         true
     }
 }
--- a/crates/guard/tests/testsuite/fleet.rs
+++ b/crates/guard/tests/testsuite/fleet.rs
@@ -12,7 +12,7 @@
     GuardMessage, GuardNode, GuardSettings, KeyId, KeyTime, WorkOutcome, WorkRefusal,
 };
 
-use crate::truth::FleetTruth;
+use crate::oracle::FleetOracle;
 
 /// Wall-clock time at virtual time zero.
 pub const EPOCH: Duration = Duration::from_secs(1_000_000);
@@ -106,7 +106,7 @@
 
 /// One process of a node, identified by its instance.
 #[derive(Debug)]
-pub struct NodeLife {
+pub struct NodeProcess {
     pub index: usize,
     pub instance: InstanceId,
     pub guard: GuardNode,
@@ -114,7 +114,7 @@
     pub alive: bool,
     pub frozen: bool,
     /// Whether a later process has taken over the address, so that this one receives nothing.
-    pub deaf: bool,
+    pub superseded: bool,
     pub backlog: Vec<FleetEvent>,
     wake_at: Duration,
     log: LogReader,
@@ -128,8 +128,9 @@
 /// Simulated fleet.
 pub struct FakeFleet {
     pub now: Duration,
-    pub lives: Vec<NodeLife>,
-    pub address: Vec<usize>,
+    pub processes: Vec<NodeProcess>,
+    /// Index of the current process of each node.
+    pub process_at: Vec<usize>,
     domains: usize,
     settings: GuardSettings,
     queue: BTreeMap<(Duration, u64), (usize, FleetEvent)>,
@@ -142,7 +143,7 @@
     pub log_up: bool,
     /// Nodes that are cut off from the log.
     pub log_cuts: BTreeSet<usize>,
-    pub truth: FleetTruth,
+    pub oracle: FleetOracle,
     pub trace: Vec<String>,
     pub tracing: bool,
     pub messages: u64,
@@ -164,8 +165,8 @@
     pub fn new(nodes: usize, domains: usize, settings: GuardSettings, seed: u64) -> Self {
         let mut fleet = Self {
             now: Duration::ZERO,
-            lives: Vec::new(),
-            address: Vec::new(),
+            processes: Vec::new(),
+            process_at: Vec::new(),
             domains,
             settings,
             queue: BTreeMap::new(),
@@ -177,15 +178,15 @@
             log: Vec::new(),
             log_up: true,
             log_cuts: BTreeSet::new(),
-            truth: FleetTruth::default(),
+            oracle: FleetOracle::default(),
             trace: Vec::new(),
             tracing: false,
             messages: 0,
             wall_spread: 0,
         };
         for index in 0..nodes {
-            fleet.address.push(index);
-            fleet.start_life(index, 1);
+            fleet.process_at.push(index);
+            fleet.start_process(index, 1);
         }
         fleet
     }
@@ -201,7 +202,7 @@
         DomainName::new(&format!("d{}", index % self.domains))
     }
 
-    pub fn start_life(&mut self, index: usize, incarnation: u64) {
+    pub fn start_process(&mut self, index: usize, incarnation: u64) {
         let instance = InstanceId {
             node: NodeId(index as u64),
             incarnation: NodeIncarnation(incarnation),
@@ -214,14 +215,14 @@
             wall_at_start: EPOCH + self.now + skew,
         };
         let seed = self.rng.random();
-        let life = NodeLife {
+        let process = NodeProcess {
             index,
             instance,
             guard: GuardNode::new(identity, self.settings.clone(), seed),
             started: self.now,
             alive: true,
             frozen: false,
-            deaf: false,
+            superseded: false,
             backlog: Vec::new(),
             wake_at: Duration::MAX,
             log: LogReader::default(),
@@ -230,52 +231,52 @@
             drained_at: None,
             disturbed_at: None,
         };
-        let new = self.lives.len();
-        self.lives.push(life);
-        self.address[index] = new;
-        self.meet(new);
+        let new = self.processes.len();
+        self.processes.push(process);
+        self.process_at[index] = new;
+        self.announce_process(new);
         self.schedule(new, ms(1), FleetEvent::LogPoll);
         self.schedule(new, ms(0), FleetEvent::Wake);
     }
 
     /// Reports the new process and the others to each other as up.
-    fn meet(&mut self, new: usize) {
-        for other in 0..self.lives.len() {
-            if other == new || !self.lives[other].alive || self.lives[other].deaf {
+    fn announce_process(&mut self, new: usize) {
+        for other in 0..self.processes.len() {
+            if other == new || !self.processes[other].alive || self.processes[other].superseded {
                 continue;
             }
-            self.tell_up(other, new);
-            self.tell_up(new, other);
+            self.report_up(other, new);
+            self.report_up(new, other);
         }
     }
 
-    pub fn tell_up(&mut self, listener: usize, subject: usize) {
-        let instance = self.lives[subject].instance;
-        let domain = self.domain(self.lives[subject].index);
+    pub fn report_up(&mut self, listener: usize, subject: usize) {
+        let instance = self.processes[subject].instance;
+        let domain = self.domain(self.processes[subject].index);
         let delay = ms(self.rng.random_range(1..=200));
         let event = GuardEvent::MemberUp { instance, domain };
         self.schedule(listener, delay, FleetEvent::Guard(Box::new(event)));
     }
 
-    pub fn tell_down(&mut self, listener: usize, subject: usize, delay: Duration) {
-        let instance = self.lives[subject].instance;
+    pub fn report_down(&mut self, listener: usize, subject: usize, delay: Duration) {
+        let instance = self.processes[subject].instance;
         let event = GuardEvent::MemberDown { instance };
         self.schedule(listener, delay, FleetEvent::Guard(Box::new(event)));
     }
 
-    pub fn tell_all_down(&mut self, subject: usize) {
-        for listener in 0..self.lives.len() {
-            if listener != subject && self.lives[listener].alive {
+    pub fn report_down_to_all(&mut self, subject: usize) {
+        for listener in 0..self.processes.len() {
+            if listener != subject && self.processes[listener].alive {
                 let delay = ms(self.rng.random_range(300..=900));
-                self.tell_down(listener, subject, delay);
+                self.report_down(listener, subject, delay);
             }
         }
     }
 
-    pub fn tell_all_up(&mut self, subject: usize) {
-        for listener in 0..self.lives.len() {
-            if listener != subject && self.lives[listener].alive {
-                self.tell_up(listener, subject);
+    pub fn report_up_to_all(&mut self, subject: usize) {
+        for listener in 0..self.processes.len() {
+            if listener != subject && self.processes[listener].alive {
+                self.report_up(listener, subject);
             }
         }
     }
@@ -287,27 +288,29 @@
         }
     }
 
-    pub fn schedule(&mut self, life: usize, delay: Duration, event: FleetEvent) {
+    pub fn schedule(&mut self, process: usize, delay: Duration, event: FleetEvent) {
         self.sequence += 1;
         let at = self.now + delay;
-        self.queue.insert((at, self.sequence), (life, event));
+        self.queue.insert((at, self.sequence), (process, event));
     }
 
     /// Returns the index of the process with this instance.
-    pub fn life_of(&self, instance: InstanceId) -> Option<usize> {
-        self.lives.iter().position(|life| life.instance == instance)
+    pub fn process_of(&self, instance: InstanceId) -> Option<usize> {
+        self.processes
+            .iter()
+            .position(|process| process.instance == instance)
     }
 
     pub fn instance(&self, node: usize) -> InstanceId {
-        self.lives[self.address[node]].instance
+        self.processes[self.process_at[node]].instance
     }
 
     pub fn transmit(&mut self, from: usize, to: InstanceId, packet: &FleetPacket) {
         self.messages += u64::from(matches!(packet, FleetPacket::Guard(_)));
-        let Some(target) = self.life_of(to) else {
+        let Some(target) = self.process_of(to) else {
             return;
         };
-        let link = (self.lives[from].index, self.lives[target].index);
+        let link = (self.processes[from].index, self.processes[target].index);
         let (low, high) = self.faults.delay;
         let copies = 1 + u64::from(self.rng.random_bool(self.faults.repeat));
         for _ in 0..copies {
@@ -315,7 +318,7 @@
             if self.cuts.contains(&link) || self.rng.random_bool(self.faults.drop) {
                 continue;
             }
-            let from = self.lives[from].instance;
+            let from = self.processes[from].instance;
             self.schedule(target, delay, FleetEvent::Packet(from, packet.clone()));
         }
     }
@@ -328,145 +331,149 @@
                 break;
             }
             self.now = at;
-            if let Some((life, event)) = self.queue.remove(&(at, sequence)) {
-                self.take(life, event);
+            if let Some((process, event)) = self.queue.remove(&(at, sequence)) {
+                self.process_event(process, event);
             }
         }
         self.now = end;
     }
 
-    fn take(&mut self, life: usize, event: FleetEvent) {
+    fn process_event(&mut self, process: usize, event: FleetEvent) {
         if let FleetEvent::Deadline(request) = &event {
-            let disturbed = self.lives[life].disturbed_at;
-            self.truth.check_deadline(*request, self.now, disturbed);
+            let disturbed = self.processes[process].disturbed_at;
+            self.oracle.check_deadline(*request, self.now, disturbed);
             return;
         }
         let packet = matches!(event, FleetEvent::Packet(..));
-        if !self.lives[life].alive || (packet && self.lives[life].deaf) {
+        if !self.processes[process].alive || (packet && self.processes[process].superseded) {
             return;
         }
-        if self.lives[life].frozen {
-            self.lives[life].backlog.push(event);
+        if self.processes[process].frozen {
+            self.processes[process].backlog.push(event);
             return;
         }
         match event {
             FleetEvent::Packet(from, FleetPacket::Guard(message)) => {
-                self.tell(life, GuardEvent::Message { from, message });
+                self.handle_event(process, GuardEvent::Message { from, message });
             }
             FleetEvent::Packet(_, FleetPacket::Dispatch(ticket)) => {
                 let attempt = ticket.attempt;
-                self.lives[life].tickets.insert(attempt, ticket.clone());
-                self.tell(life, GuardEvent::Offered { ticket });
+                self.processes[process]
+                    .tickets
+                    .insert(attempt, ticket.clone());
+                self.handle_event(process, GuardEvent::Offered { ticket });
             }
             FleetEvent::Packet(_, FleetPacket::Result(attempt, result)) => {
-                self.take_result(life, attempt, &result);
+                self.on_result(process, attempt, &result);
             }
-            FleetEvent::Guard(event) => self.tell(life, *event),
+            FleetEvent::Guard(event) => self.handle_event(process, *event),
             FleetEvent::Wake => {
-                self.lives[life].wake_at = Duration::MAX;
-                self.tell(life, GuardEvent::Tick);
+                self.processes[process].wake_at = Duration::MAX;
+                self.handle_event(process, GuardEvent::Tick);
             }
-            FleetEvent::LogPoll => self.poll_log(life),
-            FleetEvent::WorkDone(attempt, outcome) => self.end_work(life, attempt, outcome),
+            FleetEvent::LogPoll => self.poll_log(process),
+            FleetEvent::WorkDone(attempt, outcome) => self.end_work(process, attempt, outcome),
             FleetEvent::DispatchTimeout(attempt) => {
-                let waiting = self.lives[life].requests.get(&attempt.request);
+                let waiting = self.processes[process].requests.get(&attempt.request);
                 if waiting.is_some_and(|state| state.attempt == Some(attempt)) {
-                    self.settle(life, attempt.request, DispatchOutcome::Lost);
+                    self.settle(process, attempt.request, DispatchOutcome::Lost);
                 }
             }
             FleetEvent::GiveUp(request) => {
-                let waiting = self.lives[life].requests.get(&request);
+                let waiting = self.processes[process].requests.get(&request);
                 if waiting.is_some_and(|state| state.attempt.is_some()) {
-                    self.settle(life, request, DispatchOutcome::Lost);
+                    self.settle(process, request, DispatchOutcome::Lost);
                 }
             }
             FleetEvent::Deadline(_) => {}
         }
     }
 
-    fn reaches_log(&self, life: usize) -> bool {
-        self.log_up && !self.log_cuts.contains(&self.lives[life].index)
+    fn reaches_log(&self, process: usize) -> bool {
+        self.log_up && !self.log_cuts.contains(&self.processes[process].index)
     }
 
-    fn poll_log(&mut self, life: usize) {
-        self.schedule(life, LOG_POLL, FleetEvent::LogPoll);
-        if !self.reaches_log(life) {
-            if std::mem::take(&mut self.lives[life].log.current) {
-                self.tell(life, GuardEvent::LogLost);
+    fn poll_log(&mut self, process: usize) {
+        self.schedule(process, LOG_POLL, FleetEvent::LogPoll);
+        if !self.reaches_log(process) {
+            if std::mem::take(&mut self.processes[process].log.current) {
+                self.handle_event(process, GuardEvent::LogLost);
             }
             return;
         }
-        while self.lives[life].log.offset < self.log.len() {
-            let records = self.log[self.lives[life].log.offset].clone();
-            self.lives[life].log.offset += 1;
-            self.tell(life, GuardEvent::LogFounding { records });
+        while self.processes[process].log.offset < self.log.len() {
+            let records = self.log[self.processes[process].log.offset].clone();
+            self.processes[process].log.offset += 1;
+            self.handle_event(process, GuardEvent::LogFounding { records });
         }
-        if !self.lives[life].log.current {
-            self.lives[life].log.current = true;
-            self.tell(life, GuardEvent::LogCurrent { whole: true });
+        if !self.processes[process].log.current {
+            self.processes[process].log.current = true;
+            self.handle_event(process, GuardEvent::LogCurrent { whole: true });
         }
     }
 
     /// Passes an event to a guard and carries out the resulting commands.
-    pub fn tell(&mut self, life: usize, event: GuardEvent) {
-        let now = self.now.saturating_sub(self.lives[life].started);
-        let happened = self.tracing.then(|| crate::brief::event(&event));
+    pub fn handle_event(&mut self, process: usize, event: GuardEvent) {
+        let now = self.now.saturating_sub(self.processes[process].started);
+        let event_text = self.tracing.then(|| crate::trace_text::event(&event));
         let mut out = Vec::new();
-        self.lives[life].guard.handle(now, event, &mut out);
-        if let Some(happened) = happened {
-            self.trace_turn(life, &happened, &out);
+        self.processes[process].guard.handle(now, event, &mut out);
+        if let Some(event_text) = event_text {
+            self.trace_event(process, &event_text, &out);
         }
         for command in out {
-            self.obey(life, command);
+            self.execute(process, command);
         }
-        let wake = self.lives[life].guard.next_wake();
-        let wake = self.lives[life].started + wake.unwrap_or(Duration::MAX / 2);
-        if wake < self.lives[life].wake_at {
+        let wake = self.processes[process].guard.next_wake();
+        let wake = self.processes[process].started + wake.unwrap_or(Duration::MAX / 2);
+        if wake < self.processes[process].wake_at {
             let delay = wake.saturating_sub(self.now);
-            self.lives[life].wake_at = wake;
-            self.schedule(life, delay, FleetEvent::Wake);
+            self.processes[process].wake_at = wake;
+            self.schedule(process, delay, FleetEvent::Wake);
         }
     }
 
-    fn trace_turn(&mut self, life: usize, happened: &str, out: &[GuardCommand]) {
-        let lines: Vec<String> = out.iter().filter_map(crate::brief::command).collect();
-        if lines.is_empty() && (happened.is_empty() || happened.starts_with("Exchange")) {
+    fn trace_event(&mut self, process: usize, event_text: &str, out: &[GuardCommand]) {
+        let lines: Vec<String> = out.iter().filter_map(crate::trace_text::command).collect();
+        if lines.is_empty() && (event_text.is_empty() || event_text.starts_with("Exchange")) {
             return;
         }
-        let name = self.lives[life].instance_name();
-        self.trace
-            .push(format!("{:>7} {name} <- {happened}", self.now.as_millis()));
+        let name = self.processes[process].instance_name();
+        self.trace.push(format!(
+            "{:>7} {name} <- {event_text}",
+            self.now.as_millis()
+        ));
         for line in lines {
             self.trace.push(format!("           -> {line}"));
         }
     }
 
-    fn obey(&mut self, life: usize, command: GuardCommand) {
+    fn execute(&mut self, process: usize, command: GuardCommand) {
         match command {
-            GuardCommand::Grant { request, ticket } => self.dispatch(life, request, ticket),
+            GuardCommand::Grant { request, ticket } => self.dispatch(process, request, ticket),
             GuardCommand::Answer { request, verdict } => {
-                self.lives[life].requests.remove(&request);
-                self.truth.answered(request, self.now, &verdict);
+                self.processes[process].requests.remove(&request);
+                self.oracle.on_answered(request, self.now, &verdict);
             }
-            GuardCommand::Reoffer { request } => self.redirect(life, request),
+            GuardCommand::Reoffer { request } => self.redirect(process, request),
             GuardCommand::Send { to, message } => {
-                self.transmit(life, to, &FleetPacket::Guard(message));
+                self.transmit(process, to, &FleetPacket::Guard(message));
             }
             GuardCommand::AppendFounding { records } => {
-                if self.reaches_log(life) {
+                if self.reaches_log(process) {
                     self.log.push(records);
                 }
             }
-            GuardCommand::RunWork { ticket } => self.run_work(life, &ticket),
+            GuardCommand::RunWork { ticket } => self.run_work(process, &ticket),
             GuardCommand::RefuseWork { attempt, refusal } => {
                 let result = match refusal {
                     WorkRefusal::Repeated => WorkResult::Repeated,
                     WorkRefusal::NotRun | WorkRefusal::WrongInstance => WorkResult::NotRun,
                 };
-                self.reply(life, attempt, result);
+                self.reply(process, attempt, result);
             }
-            GuardCommand::Drained => self.lives[life].drained_at = Some(self.now),
-            GuardCommand::Note(note) => self.truth.noted(&note),
+            GuardCommand::Drained => self.processes[process].drained_at = Some(self.now),
+            GuardCommand::Note(note) => self.oracle.on_note(&note),
         }
     }
 
@@ -487,11 +494,11 @@
     pub key: KeyId,
     pub body: u128,
     pub executor: InstanceId,
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
-impl NodeLife {
+impl NodeProcess {
     pub fn instance_name(&self) -> String {
-        crate::brief::instance(self.instance)
+        crate::trace_text::instance(self.instance)
     }
 }
--- a/crates/guard/tests/testsuite/main.rs
+++ b/crates/guard/tests/testsuite/main.rs
@@ -1,12 +1,12 @@
 //! Tests of the at-most-once guard.
 
-mod brief;
 mod engine;
 mod faults;
 mod fleet;
 mod losses;
+mod oracle;
 mod random;
 mod sends;
 mod session;
 mod shares;
-mod truth;
+mod trace_text;
--- a/crates/guard/tests/testsuite/truth.rs
+++ b/crates/guard/tests/testsuite/oracle.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug)]
-pub struct SendTruth {
+pub struct SendRecord {
     pub key: KeyId,
     pub at: Duration,
     pub answer: Option<SendAnswer>,
@@ -25,25 +25,25 @@
 
 /// All sends, answers and runs of a simulated fleet, and the violations found among them.
 #[derive(Debug, Default)]
-pub struct FleetTruth {
-    pub sends: BTreeMap<RequestId, SendTruth>,
+pub struct FleetOracle {
+    pub sends: BTreeMap<RequestId, SendRecord>,
     pub runs: BTreeMap<KeyId, Vec<(AttemptId, Duration)>>,
     pub violations: Vec<String>,
     /// Number of guard notes of each kind, which shows the coverage of a session.
     pub reached: BTreeMap<&'static str, u64>,
 }
 
-impl FleetTruth {
-    pub fn admitted(&mut self, send: &CallerSend, at: Duration) {
-        let truth = SendTruth {
+impl FleetOracle {
+    pub fn on_admitted(&mut self, send: &CallerSend, at: Duration) {
+        let oracle = SendRecord {
             key: send.key,
             at,
             answer: None,
         };
-        self.sends.insert(send.request, truth);
+        self.sends.insert(send.request, oracle);
     }
 
-    pub fn noted(&mut self, note: &GuardNote) {
+    pub fn on_note(&mut self, note: &GuardNote) {
         let kind = match note {
             GuardNote::AnsweredUnknown { .. } => "answered unknown",
             GuardNote::KeyClosed { .. } => "key closed",
@@ -62,7 +62,7 @@
         *self.reached.entry(kind).or_default() += 1;
     }
 
-    pub fn ran(&mut self, key: KeyId, attempt: AttemptId, at: Duration) {
+    pub fn on_run(&mut self, key: KeyId, attempt: AttemptId, at: Duration) {
         let runs = self.runs.entry(key).or_default();
         runs.push((attempt, at));
         if runs.len() > 1 {
@@ -79,7 +79,7 @@
         }
     }
 
-    pub fn settled(&mut self, request: RequestId, at: Duration, outcome: DispatchOutcome) {
+    pub fn on_settled(&mut self, request: RequestId, at: Duration, outcome: DispatchOutcome) {
         let run = match outcome {
             DispatchOutcome::NotRun => RunState::NotRun,
             DispatchOutcome::Ran => RunState::Ran,
@@ -89,7 +89,7 @@
         self.answer(request, SendAnswer { at, run, text }, false);
     }
 
-    pub fn answered(&mut self, request: RequestId, at: Duration, verdict: &AnswerVerdict) {
+    pub fn on_answered(&mut self, request: RequestId, at: Duration, verdict: &AnswerVerdict) {
         let (run, reused) = match verdict {
             AnswerVerdict::ReplyKept { .. } | AnswerVerdict::ReplyGone => (RunState::Ran, false),
             AnswerVerdict::Refuse(refusal) => (refusal.run, refusal.code == RefusalCode::KeyReused),
@@ -160,7 +160,7 @@
             .and_then(|send| send.answer.as_ref())
     }
 
-    pub fn text_of(&self, request: RequestId) -> String {
+    pub fn answer_text(&self, request: RequestId) -> String {
         self.answer_of(request)
             .map_or_else(|| "no answer".to_owned(), |answer| answer.text.clone())
     }
--- a/crates/guard/tests/testsuite/random.rs
+++ b/crates/guard/tests/testsuite/random.rs
@@ -33,15 +33,15 @@
     };
     let mut caller = RandomCaller::default();
     for _ in 0..steps {
-        act(&mut fleet, &mut caller);
+        apply_random_step(&mut fleet, &mut caller);
         let pause = fleet.rng.random_range(1..=400);
         fleet.run_for(ms(pause));
-        if !fleet.truth.violations.is_empty() {
+        if !fleet.oracle.violations.is_empty() {
             return fleet;
         }
     }
     heal(&mut fleet);
-    check_fresh(&mut fleet);
+    check_fresh_keys(&mut fleet);
     fleet
 }
 
@@ -73,16 +73,16 @@
                 key,
                 body: 1,
                 executor: fleet.instance(0),
-                patience: ms(0),
+                timeout: ms(0),
             }
         };
         send.request = RequestId(fleet.rng.random());
         send.executor = fleet.any_executor();
-        send.patience = ms(fleet.rng.random_range(300..=6_000));
+        send.timeout = ms(fleet.rng.random_range(300..=6_000));
         if fleet.rng.random_bool(0.02) {
             send.body = 2;
         }
-        let node = fleet.rng.random_range(0..fleet.address.len());
+        let node = fleet.rng.random_range(0..fleet.process_at.len());
         if fleet.send(node, &send) {
             send.body = 1;
             self.sent.push(send);
@@ -90,12 +90,12 @@
     }
 }
 
-fn act(fleet: &mut FakeFleet, caller: &mut RandomCaller) {
-    let node = fleet.rng.random_range(0..fleet.address.len());
-    let other = fleet.rng.random_range(0..fleet.address.len());
-    let life = fleet.address[node];
-    let alive = fleet.lives[life].alive;
-    let frozen = fleet.lives[life].frozen;
+fn apply_random_step(fleet: &mut FakeFleet, caller: &mut RandomCaller) {
+    let node = fleet.rng.random_range(0..fleet.process_at.len());
+    let other = fleet.rng.random_range(0..fleet.process_at.len());
+    let process = fleet.process_at[node];
+    let alive = fleet.processes[process].alive;
+    let frozen = fleet.processes[process].frozen;
     match fleet.rng.random_range(0..100) {
         0..=59 => {
             for _ in 0..fleet.rng.random_range(1..=3) {
@@ -106,7 +106,7 @@
         62 if fleet.rng.random_bool(0.5) => replace_all_but(fleet, node),
         63 => {
             for victim in [node, other] {
-                if fleet.lives[fleet.address[victim]].alive {
+                if fleet.processes[fleet.process_at[victim]].alive {
                     fleet.kill(victim);
                 }
             }
@@ -114,8 +114,8 @@
         64..=70 if !alive || frozen => fleet.replace(node),
         71..=74 if alive && !frozen => fleet.freeze(node),
         75..=81 => {
-            let lives = fleet.lives.len();
-            for frozen in 0..lives {
+            let processes = fleet.processes.len();
+            for frozen in 0..processes {
                 if fleet.rng.random_bool(0.5) {
                     fleet.thaw(frozen);
                 }
@@ -125,26 +125,26 @@
             fleet.note(&format!("cut n{node} to n{other}"));
             fleet.cuts.insert((node, other));
             if fleet.rng.random_bool(0.5) {
-                let listener = fleet.address[other];
-                fleet.tell_down(listener, life, ms(700));
+                let listener = fleet.process_at[other];
+                fleet.report_down(listener, process, ms(700));
             }
         }
-        84..=85 => split(fleet),
+        84..=85 => partition(fleet),
         86..=90 => {
             fleet.note("cuts healed");
             fleet.cuts.clear();
             fleet.log_cuts.clear();
-            for subject in 0..fleet.address.len() {
-                let life = fleet.address[subject];
-                if fleet.lives[life].alive && !fleet.lives[life].frozen {
-                    fleet.tell_all_up(life);
+            for subject in 0..fleet.process_at.len() {
+                let process = fleet.process_at[subject];
+                if fleet.processes[process].alive && !fleet.processes[process].frozen {
+                    fleet.report_up_to_all(process);
                 }
             }
         }
         91..=93 => fleet.set_log(false),
         94..=95 => fleet.set_log(true),
         96..=97 if alive && !frozen => fleet.drain(node),
-        98..=99 if fleet.lives[life].drained_at.is_some() && alive => {
+        98..=99 if fleet.processes[process].drained_at.is_some() && alive => {
             fleet.kill(node);
             fleet.replace(node);
         }
@@ -154,15 +154,15 @@
 
 /// Replaces every node but one at once, without state.
 fn replace_all_but(fleet: &mut FakeFleet, kept: usize) {
-    for node in (0..fleet.address.len()).filter(|node| *node != kept) {
+    for node in (0..fleet.process_at.len()).filter(|node| *node != kept) {
         fleet.kill(node);
         fleet.replace(node);
     }
 }
 
 /// Partitions the fleet in two. One side may lose its connection to the log as well.
-fn split(fleet: &mut FakeFleet) {
-    let nodes = fleet.address.len();
+fn partition(fleet: &mut FakeFleet) {
+    let nodes = fleet.process_at.len();
     let side: Vec<bool> = (0..nodes).map(|_| fleet.rng.random_bool(0.4)).collect();
     fleet.note(&format!("split {side:?}"));
     let cut_log = fleet.rng.random_bool(0.5);
@@ -172,10 +172,10 @@
         }
         for right in (0..nodes).filter(|node| !side[*node]) {
             fleet.cuts.extend([(left, right), (right, left)]);
-            let lives = (fleet.address[left], fleet.address[right]);
+            let processes = (fleet.process_at[left], fleet.process_at[right]);
             let delay = ms(fleet.rng.random_range(300..=900));
-            fleet.tell_down(lives.0, lives.1, delay);
-            fleet.tell_down(lives.1, lives.0, delay);
+            fleet.report_down(processes.0, processes.1, delay);
+            fleet.report_down(processes.1, processes.0, delay);
         }
     }
 }
@@ -189,13 +189,13 @@
     fleet.cuts.clear();
     fleet.log_cuts.clear();
     fleet.set_log(true);
-    for life in 0..fleet.lives.len() {
-        fleet.thaw(life);
+    for process in 0..fleet.processes.len() {
+        fleet.thaw(process);
     }
-    for node in 0..fleet.address.len() {
-        let life = fleet.address[node];
-        if fleet.lives[life].alive && fleet.lives[life].drained_at.is_none() {
-            fleet.tell_all_up(life);
+    for node in 0..fleet.process_at.len() {
+        let process = fleet.process_at[node];
+        if fleet.processes[process].alive && fleet.processes[process].drained_at.is_none() {
+            fleet.report_up_to_all(process);
         } else {
             fleet.kill(node);
             fleet.replace(node);
@@ -205,7 +205,7 @@
 }
 
 /// Checks that requests with fresh keys run at every node.
-fn check_fresh(fleet: &mut FakeFleet) {
+fn check_fresh_keys(fleet: &mut FakeFleet) {
     let mut requests = Vec::new();
     for count in 0..24 {
         let send = CallerSend {
@@ -213,10 +213,10 @@
             key: fleet.fresh_key(fleet.rng.clone().random()),
             body: 1,
             executor: fleet.any_executor(),
-            patience: ms(4_000),
+            timeout: ms(4_000),
         };
         let _skip: u64 = fleet.rng.random();
-        let node = count % fleet.address.len();
+        let node = count % fleet.process_at.len();
         if fleet.send(node, &send) {
             requests.push(send.request);
         }
@@ -224,11 +224,11 @@
     }
     fleet.run_for(ms(5_000));
     for request in requests {
-        let ran = fleet.truth.answer_of(request).map(|answer| answer.run);
+        let ran = fleet.oracle.answer_of(request).map(|answer| answer.run);
         if ran != Some(RunState::Ran) {
-            let text = fleet.truth.text_of(request);
+            let text = fleet.oracle.answer_text(request);
             let line = format!("healed fleet refuses a fresh key: {request} {text}");
-            fleet.truth.violations.push(line);
+            fleet.oracle.violations.push(line);
         }
     }
 }
@@ -238,7 +238,7 @@
     let (mut good, mut bad) = (0, steps);
     while bad - good > 1 {
         let middle = good.midpoint(bad);
-        if session(seed, middle, false).truth.violations.is_empty() {
+        if session(seed, middle, false).oracle.violations.is_empty() {
             good = middle;
         } else {
             bad = middle;
@@ -247,7 +247,7 @@
     bad
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_setting(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).unwrap_or_default();
     text.parse().unwrap_or(default)
 }
@@ -260,22 +260,22 @@
 /// shortened session is written to `guard-trace.txt` in the temporary directory of the target.
 #[test]
 fn random_faults_never_run_a_key_twice() {
-    let first = setting("GUARD_SEED", 1);
-    let seeds = setting("GUARD_SEEDS", 40);
-    let steps = usize::try_from(setting("GUARD_STEPS", 120)).unwrap_or(120);
+    let first = env_setting("GUARD_SEED", 1);
+    let seeds = env_setting("GUARD_SEEDS", 40);
+    let steps = usize::try_from(env_setting("GUARD_STEPS", 120)).unwrap_or(120);
     let mut answers: BTreeMap<String, u64> = BTreeMap::new();
     let mut reached: BTreeMap<&str, u64> = BTreeMap::new();
     let mut failed = Vec::new();
     for seed in first..first + seeds {
         let fleet = session(seed, steps, false);
-        for send in fleet.truth.sends.values() {
+        for send in fleet.oracle.sends.values() {
             let text = send.answer.as_ref().map_or("none", |answer| &answer.text);
             *answers.entry(text.to_owned()).or_default() += 1;
         }
-        for (kind, count) in &fleet.truth.reached {
+        for (kind, count) in &fleet.oracle.reached {
             *reached.entry(kind).or_default() += count;
         }
-        if let Some(line) = fleet.truth.violations.first() {
+        if let Some(line) = fleet.oracle.violations.first() {
             println!("seed {seed}: {line}");
             failed.push(seed);
         }
@@ -290,7 +290,10 @@
             trace,
         )
         .unwrap_or_default();
-        println!("seed {seed} at {short} steps: {:?}", fleet.truth.violations);
+        println!(
+            "seed {seed} at {short} steps: {:?}",
+            fleet.oracle.violations
+        );
     }
     assert_eq!(failed, Vec::<u64>::new());
 }
--- a/crates/guard/tests/testsuite/session.rs
+++ b/crates/guard/tests/testsuite/session.rs
@@ -29,7 +29,7 @@
 
     /// Returns the nodes with a seat according to node `at`.
     pub fn seats(&self, at: usize) -> Vec<usize> {
-        let guard = &self.fleet.lives[self.fleet.address[at]].guard;
+        let guard = &self.fleet.processes[self.fleet.process_at[at]].guard;
         let entry = guard.map().get(RangeId(0));
         let seats = entry.map(|entry| entry.seats.clone()).unwrap_or_default();
         let node = |seat: &sycamorelink_core::InstanceId| usize::try_from(seat.node.0);
@@ -39,7 +39,7 @@
     /// Returns the nodes without a seat according to node `at`.
     pub fn others(&self, at: usize) -> Vec<usize> {
         let seats = self.seats(at);
-        let nodes = 0..self.fleet.address.len();
+        let nodes = 0..self.fleet.process_at.len();
         nodes.filter(|node| !seats.contains(node)).collect()
     }
 
@@ -48,8 +48,8 @@
     }
 
     /// Sends request `id` to the ingress with a given executor, and fails if the ingress is down.
-    pub fn send(&mut self, id: u128, key: KeyId, ingress: usize, executor: usize, patience: u64) {
-        self.send_body(id, key, 1, ingress, executor, patience);
+    pub fn send(&mut self, id: u128, key: KeyId, ingress: usize, executor: usize, timeout: u64) {
+        self.send_body(id, key, 1, ingress, executor, timeout);
     }
 
     pub fn send_body(
@@ -59,14 +59,14 @@
         body: u128,
         ingress: usize,
         executor: usize,
-        patience: u64,
+        timeout: u64,
     ) {
         let send = CallerSend {
             request: RequestId(id),
             key,
             body,
             executor: self.fleet.instance(executor),
-            patience: ms(patience),
+            timeout: ms(timeout),
         };
         assert!(
             self.fleet.send(ingress, &send),
@@ -88,18 +88,18 @@
     }
 
     /// Drains a node, and starts a new process at its address once it is drained.
-    pub fn roll(&mut self, node: usize) {
+    pub fn drain_and_replace(&mut self, node: usize) {
         self.fleet.drain(node);
         for _ in 0..100 {
             self.wait(100);
-            if self.fleet.lives[self.fleet.address[node]]
+            if self.fleet.processes[self.fleet.process_at[node]]
                 .drained_at
                 .is_some()
             {
                 break;
             }
         }
-        let drained = self.fleet.lives[self.fleet.address[node]]
+        let drained = self.fleet.processes[self.fleet.process_at[node]]
             .drained_at
             .is_some();
         assert!(drained, "n{node} does not drain");
@@ -109,22 +109,22 @@
     }
 
     pub fn answer(&self, id: u128) -> String {
-        self.fleet.truth.text_of(RequestId(id))
+        self.fleet.oracle.answer_text(RequestId(id))
     }
 
     /// Returns the trace, the answers and the runs as text. Fails if the oracle found a violation.
-    pub fn close(&self) -> String {
-        let truth = &self.fleet.truth;
-        assert_eq!(truth.violations, Vec::<String>::new());
+    pub fn finish(&self) -> String {
+        let oracle = &self.fleet.oracle;
+        assert_eq!(oracle.violations, Vec::<String>::new());
         let mut lines = self.fleet.trace.clone();
-        for request in truth.sends.keys() {
+        for request in oracle.sends.keys() {
             lines.push(format!(
                 "answer {:x}: {}",
                 request.0,
-                truth.text_of(*request)
+                oracle.answer_text(*request)
             ));
         }
-        for (key, runs) in &truth.runs {
+        for (key, runs) in &oracle.runs {
             lines.push(format!("key {key} ran {} time(s)", runs.len()));
         }
         lines.join("\n")
--- a/crates/guard/tests/testsuite/shares.rs
+++ b/crates/guard/tests/testsuite/shares.rs
@@ -15,24 +15,24 @@
 use crate::fleet::{BackendBehaviour, CallerSend, EPOCH, FakeFleet, LinkFaults, ms, test_settings};
 
 /// Interval between two bookings, in milliseconds.
-const PAUSE: u64 = 5;
+const BOOKING_INTERVAL: u64 = 5;
 /// Number of bookings in one run.
 const BOOKINGS: u64 = 4_000;
 /// Number of bookings before the failure.
 const FAILURE_AT: u64 = 1_000;
 /// Deadline of a caller, in milliseconds.
-const PATIENCE: u64 = 5_000;
+const CALLER_TIMEOUT: u64 = 5_000;
 
 /// Answers to the callers in one run.
 #[derive(Debug, Default)]
 struct ShareCount {
-    through: u64,
+    succeeded: u64,
     not_run: u64,
     unknown: u64,
     /// Answered "unknown" although the booking ran: its executor was lost while it was in flight.
     in_flight: u64,
     /// Without an answer: the daemon that accepted the request was lost.
-    cut_off: u64,
+    unanswered: u64,
     messages: u64,
 }
 
@@ -60,12 +60,12 @@
         if number == FAILURE_AT {
             fail(&mut fleet);
         }
-        sent.extend(book(&mut fleet, nodes));
-        fleet.run_for(ms(PAUSE));
+        sent.extend(send_booking(&mut fleet, nodes));
+        fleet.run_for(ms(BOOKING_INTERVAL));
     }
     let messages = fleet.messages - before;
-    fleet.run_for(ms(PATIENCE + 1_000));
-    assert_eq!(fleet.truth.violations, Vec::<String>::new());
+    fleet.run_for(ms(CALLER_TIMEOUT + 1_000));
+    assert_eq!(fleet.oracle.violations, Vec::<String>::new());
     let mut count = ShareCount {
         messages,
         ..ShareCount::default()
@@ -76,7 +76,7 @@
     count
 }
 
-fn book(fleet: &mut FakeFleet, nodes: usize) -> Option<RequestId> {
+fn send_booking(fleet: &mut FakeFleet, nodes: usize) -> Option<RequestId> {
     let node = fleet.rng.random_range(0..nodes);
     let hash = fleet.rng.random();
     let send = CallerSend {
@@ -84,35 +84,35 @@
         key: fleet.fresh_key(hash),
         body: 1,
         executor: fleet.any_executor(),
-        patience: ms(PATIENCE),
+        timeout: ms(CALLER_TIMEOUT),
     };
     fleet.send(node, &send).then_some(send.request)
 }
 
 impl ShareCount {
     fn add(&mut self, fleet: &FakeFleet, request: RequestId) {
-        let send = &fleet.truth.sends[&request];
-        match fleet.truth.answer_of(request).map(|answer| answer.run) {
-            Some(RunState::Ran) => self.through += 1,
+        let send = &fleet.oracle.sends[&request];
+        match fleet.oracle.answer_of(request).map(|answer| answer.run) {
+            Some(RunState::Ran) => self.succeeded += 1,
             Some(RunState::NotRun) => self.not_run += 1,
-            Some(RunState::Unknown) if fleet.truth.runs.contains_key(&send.key) => {
+            Some(RunState::Unknown) if fleet.oracle.runs.contains_key(&send.key) => {
                 self.in_flight += 1;
             }
             Some(RunState::Unknown) => self.unknown += 1,
-            None => self.cut_off += 1,
+            None => self.unanswered += 1,
         }
     }
 
     fn line(&self, name: &str) -> String {
-        let answered = self.through + self.not_run + self.unknown + self.in_flight;
+        let answered = self.succeeded + self.not_run + self.unknown + self.in_flight;
         let share = |part: u64| f64::from(u32::try_from(part * 100_000 / answered).unwrap_or(0));
         format!(
             "| {name} | {answered} | {:.2}% | {:.2}% | {:.2}% | {} | {} | {:.1} |",
-            share(self.through) / 1_000.0,
+            share(self.succeeded) / 1_000.0,
             share(self.not_run) / 1_000.0,
             share(self.unknown) / 1_000.0,
             self.in_flight,
-            self.cut_off,
+            self.unanswered,
             share(self.messages) / 100_000.0,
         )
     }
@@ -186,8 +186,14 @@
         killed.unknown, 0,
         "unknown only in flight on the lost instance"
     );
-    assert_eq!(quiet.through, BOOKINGS, "nothing fails, nothing is refused");
-    assert_eq!(log.through, BOOKINGS, "the log takes no part in a booking");
+    assert_eq!(
+        quiet.succeeded, BOOKINGS,
+        "nothing fails, nothing is refused"
+    );
+    assert_eq!(
+        log.succeeded, BOOKINGS,
+        "the log takes no part in a booking"
+    );
 }
 
 /// Measures the memory per key at a seat, without and with a reply of 200 bytes. The figures are
@@ -208,7 +214,7 @@
         ..test_settings()
     };
     let mut fleet = FakeFleet::founded(1, 1, settings, 5);
-    let guard = &mut fleet.lives[0].guard;
+    let guard = &mut fleet.processes[0].guard;
     let from = guard.identity().instance;
     let stamp_ms = u64::try_from(EPOCH.as_millis()).unwrap_or_default();
     let mut out = Vec::new();
--- a/crates/guard/tests/testsuite/brief.rs
+++ b/crates/guard/tests/testsuite/trace_text.rs
@@ -5,12 +5,12 @@
 use sycamorelink_guard::store::RecordedOutcome;
 use sycamorelink_guard::{GuardCommand, GuardEvent, GuardMessage, GuardNote, RangeEntry};
 
-use crate::truth::verdict_text;
+use crate::oracle::verdict_text;
 
 pub fn instance(id: InstanceId) -> String {
     match id.incarnation.0 {
         1 => format!("n{}", id.node.0),
-        life => format!("n{}#{life}", id.node.0),
+        incarnation => format!("n{}#{incarnation}", id.node.0),
     }
 }
 
