--- a/crates/guard/src/change.rs
+++ b/crates/guard/src/change.rs
@@ -2,8 +2,8 @@
 //!
 //! Safety rests on four rules:
 //!
-//! 1. A majority of the seats accepts the same seats for the next generation, so there
-//!    is only one.
+//! 1. A majority of the seats accepts the same seats for the next generation, so there is only
+//!    one.
 //! 2. At most one seat leaves at a time, and at least one stays. A seat that has adopted the next
 //!    generation no longer grants under the previous one, and a dispatch needs the grants of all
 //!    seats. Therefore no two generations can complete dispatches at the same time, and the seat
@@ -63,6 +63,7 @@
     pub(crate) ballot: RangeBallot,
     cause: ChangeCause,
     wanted: Vec<InstanceId>,
+    /// Value accepted before by each promising seat, and whether the seat holds the records.
     pub(crate) promises: BTreeMap<InstanceId, (AcceptedSeats, bool)>,
     /// Seats proposed in the second phase; `None` during the first phase.
     pub(crate) value: Option<Vec<InstanceId>>,
--- a/crates/guard/src/client.rs
+++ b/crates/guard/src/client.rs
@@ -31,6 +31,7 @@
 pub(crate) struct KeyClient {
     requests: BTreeMap<RequestId, ClientRequest>,
     by_key: BTreeMap<KeyId, BTreeSet<RequestId>>,
+    /// Timers of the requests, ordered by expiry.
     timers: BTreeSet<(Duration, RequestId)>,
     pub(crate) admitted: u64,
     pub(crate) granted: u64,
--- a/crates/guard/src/custody.rs
+++ b/crates/guard/src/custody.rs
@@ -33,6 +33,7 @@
 /// Progress of a custody transfer at the new seat.
 #[derive(Debug, Default)]
 pub(crate) struct CustodyFetch {
+    /// Last key received; `None` before the first chunk.
     after: Option<KeyId>,
     tries: u32,
     request_at: Duration,
--- a/crates/guard/src/founding.rs
+++ b/crates/guard/src/founding.rs
@@ -43,6 +43,7 @@
 #[derive(Debug)]
 struct PollRound {
     generation: RangeGeneration,
+    /// Whether the poll has reached its second phase, in which members fence the epoch.
     fence: bool,
     answered: BTreeSet<InstanceId>,
     tries: u32,
@@ -70,9 +71,12 @@
     records: BTreeMap<RangeId, FoundingRecord>,
     /// Time since which this node has read the log up to its end; `None` if it has not.
     current_since: Option<Duration>,
+    /// Whether the log was read from the first record ever written.
     whole: bool,
     rounds: BTreeMap<RangeId, PollRound>,
+    /// Lost ranges with the generation that was lost.
     closed: BTreeMap<RangeId, RangeGeneration>,
+    /// Earliest repetition of the append that founds a new fleet.
     first_append_at: Duration,
     refresh_at: Duration,
     scan_at: Duration,
@@ -199,7 +203,7 @@
         self.closed = lost;
     }
 
-    /// Founds all lost ranges that are ready again, in a single append.
+    /// Founds all lost ranges whose polls are complete, in a single append.
     ///
     /// The log accepts two appends per second from a node. After the loss of a node with seats of
     /// many ranges, one append per range would keep the last ranges closed for half a minute.
--- a/crates/guard/src/ledger.rs
+++ b/crates/guard/src/ledger.rs
@@ -33,6 +33,7 @@
     stamp_ms: u64,
     state: WorkState,
     ticket: Option<DispatchTicket>,
+    /// Nodes to notify when the attempt ends.
     waiters: Vec<InstanceId>,
 }
 
--- a/crates/guard/src/request.rs
+++ b/crates/guard/src/request.rs
@@ -86,10 +86,13 @@
     pub(crate) executor: InstanceId,
     pub(crate) deadline: Duration,
     pub(crate) stamp_ms: u64,
+    /// Number of the current attempt, which increases with each new attempt.
     pub(crate) number: u16,
+    /// Attempts of this and other requests for the key that certainly never run.
     pub(crate) dead: Vec<AttemptId>,
     pub(crate) phase: RequestPhase,
     pub(crate) tries: u32,
+    /// Time at which the timer of the request expires.
     pub(crate) wake: Duration,
 }
 
--- a/crates/guard/src/seat.rs
+++ b/crates/guard/src/seat.rs
@@ -157,7 +157,8 @@
         let fenced = context.shared.is_fenced(range, claim.generation.epoch);
         // If a newer process runs under the same node name, other members consider this one ended
         // and may found its ranges again, while claims still arrive over open connections. Without
-        // this check both sides would grant. Node names must be unique all the same.
+        // this check both sides would grant. Node names must still be unique, because this process
+        // stops granting only once it learns of the newer one.
         let superseded = context.shared.members.is_gone(context.me());
         let seat = self.seats.get_mut(&range);
         let serving = |seat: &&mut RangeSeat| {
