--- a/crates/guard/src/turn.rs
+++ b/crates/guard/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a node sees while it handles one event.
+//! State shared by the components of a node, and the context in which they handle one event.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,25 +15,26 @@
 use crate::message::GuardMessage;
 use crate::settings::{GuardIdentity, GuardSettings};
 
-/// State that the parts share.
+/// State that the components share.
 #[derive(Debug)]
-pub(crate) struct NodeView {
+pub(crate) struct SharedState {
     pub(crate) identity: GuardIdentity,
     pub(crate) settings: GuardSettings,
     pub(crate) members: MemberTable,
     pub(crate) map: RangeMap,
-    /// Epochs this node promised to take no part in any more, by range; see [`crate::founding`].
+    /// Highest fenced epoch of each range. This node promised not to take part in it any longer;
+    /// see [`crate::founding`].
     pub(crate) fenced: BTreeMap<RangeId, u32>,
     pub(crate) draining: bool,
     pub(crate) rng: SmallRng,
-    /// Messages of this node to itself.
+    /// Messages from this node to itself.
     pub(crate) inbox: VecDeque<GuardMessage>,
 }
 
-impl NodeView {
+impl SharedState {
     pub(crate) fn new(identity: GuardIdentity, settings: GuardSettings, seed: u64) -> Self {
         let mut members = MemberTable::default();
-        members.up(identity.instance, identity.domain.clone());
+        members.mark_up(identity.instance, identity.domain.clone());
         Self {
             identity,
             settings,
@@ -46,67 +47,69 @@
         }
     }
 
-    /// Whether this node promised to take no part in an epoch of a range any more. It still learns
-    /// of later generations of that epoch: a founder that did not would poll for ever about one
-    /// that the others know to be past.
+    /// Returns whether this node promised not to take part in an epoch of a range any longer.
+    ///
+    /// The node still adopts later generations of that epoch. Otherwise a founder would poll
+    /// forever about a generation that the other members know to be replaced.
     pub(crate) fn is_fenced(&self, range: RangeId, epoch: u32) -> bool {
         self.fenced
             .get(&range)
             .is_some_and(|fenced| *fenced >= epoch)
     }
 
-    /// Promises to take no part in an epoch of a range any more.
+    /// Promises not to take part in an epoch of a range any longer.
     pub(crate) fn fence(&mut self, range: RangeId, epoch: u32) {
         let fenced = self.fenced.entry(range).or_insert(epoch);
         *fenced = epoch.max(*fenced);
     }
 }
 
-/// One event being handled.
+/// Context of handling one event.
 #[derive(Debug)]
-pub(crate) struct GuardTurn<'a> {
+pub(crate) struct GuardContext<'a> {
     pub(crate) now: Duration,
-    pub(crate) view: &'a mut NodeView,
+    pub(crate) shared: &'a mut SharedState,
     pub(crate) out: &'a mut Vec<GuardCommand>,
 }
 
-impl GuardTurn<'_> {
-    /// This life of this node.
+impl GuardContext<'_> {
+    /// Returns the instance of this node.
     pub(crate) const fn me(&self) -> InstanceId {
-        self.view.identity.instance
+        self.shared.identity.instance
     }
 
-    /// Wall-clock time by this node's clock, in milliseconds since the Unix epoch.
+    /// Returns the wall-clock time of this node, in milliseconds since the Unix epoch.
     pub(crate) fn wall_ms(&self) -> u64 {
-        millis(self.view.identity.wall_at_start + self.now)
+        millis(self.shared.identity.wall_at_start + self.now)
     }
 
-    /// The range of a key.
+    /// Returns the range of a key.
     pub(crate) fn range_of(&self, key: KeyId) -> RangeId {
-        key.range(self.view.settings.ranges)
+        key.range(self.shared.settings.ranges)
     }
 
-    /// The newest known entry for a key.
+    /// Returns the newest known entry for the range of a key.
     pub(crate) fn entry_of(&self, key: KeyId) -> Option<RangeEntry> {
-        self.view.map.get(self.range_of(key)).cloned()
+        self.shared.map.get(self.range_of(key)).cloned()
     }
 
     pub(crate) fn send(&mut self, to: InstanceId, message: GuardMessage) {
         if to == self.me() {
-            self.view.inbox.push_back(message);
+            self.shared.inbox.push_back(message);
         } else {
             self.out.push(GuardCommand::Send { to, message });
         }
     }
 
-    /// Sends through another member, so that a cut between the two nodes is no obstacle.
-    pub(crate) fn send_around(&mut self, to: InstanceId, message: GuardMessage) {
+    /// Sends a message through a random third member, in case the direct link is cut. Sends
+    /// directly if no third member is up.
+    pub(crate) fn send_relayed(&mut self, to: InstanceId, message: GuardMessage) {
         let me = self.me();
-        let others = self.view.members.up_members();
-        let way = others
+        let others = self.shared.members.up_members();
+        let relay = others
             .filter(|other| *other != me && *other != to)
-            .choose(&mut self.view.rng);
-        let Some(way) = way.filter(|_| to != me) else {
+            .choose(&mut self.shared.rng);
+        let Some(relay) = relay.filter(|_| to != me) else {
             self.send(to, message);
             return;
         };
@@ -115,13 +118,13 @@
             target: to,
             message: Box::new(message),
         };
-        self.send(way, message);
+        self.send(relay, message);
     }
 
-    /// Sends the first time directly, then by turns around and directly.
-    pub(crate) fn send_try(&mut self, tries: u32, to: InstanceId, message: GuardMessage) {
+    /// Sends a message directly on even `tries` and through a relay on odd ones.
+    pub(crate) fn send_alternating(&mut self, tries: u32, to: InstanceId, message: GuardMessage) {
         if tries % 2 == 1 {
-            self.send_around(to, message);
+            self.send_relayed(to, message);
         } else {
             self.send(to, message);
         }
@@ -131,19 +134,20 @@
         self.out.push(GuardCommand::Note(note));
     }
 
-    /// When to send again after so many tries: doubling up to eight times the first wait, with up
-    /// to a quarter of random delay, so that two nodes do not stay in step.
-    pub(crate) fn next_try(&mut self, tries: u32) -> Duration {
-        let wait = self.view.settings.resend_after * (1 << tries.min(MAX_DOUBLINGS));
-        let spread = self.view.rng.random_range(0..=millis(wait) / 4);
+    /// Returns the time of the next send after `tries` sends. The delay doubles up to eight times
+    /// `resend_after`, plus a random jitter of up to a quarter, so that two nodes do not keep
+    /// sending in lockstep.
+    pub(crate) fn next_resend(&mut self, tries: u32) -> Duration {
+        let wait = self.shared.settings.resend_after * (1 << tries.min(MAX_RESEND_DOUBLINGS));
+        let spread = self.shared.rng.random_range(0..=millis(wait) / 4);
         self.now + wait + Duration::from_millis(spread)
     }
 }
 
-/// Doublings of the wait between two tries.
-const MAX_DOUBLINGS: u32 = 3;
+/// Maximum number of times that the delay between two sends doubles.
+const MAX_RESEND_DOUBLINGS: u32 = 3;
 
-/// Whole milliseconds.
+/// Converts a duration to whole milliseconds.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/guard/src/request.rs
+++ b/crates/guard/src/request.rs
@@ -1,6 +1,6 @@
-//! One request at its ingress: what it is at, and how each message moves it.
+//! State machine of one request at its ingress.
 //!
-//! The rival part, when two sends of one key meet, is in [`crate::contest`].
+//! The transitions for two concurrent sends of the same key are in [`crate::contest`].
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,50 +10,50 @@
 
 use crate::ballot::majority;
 use crate::command::{AnswerVerdict, DispatchTicket, GuardCommand};
+use crate::context::{GuardContext, millis};
 use crate::key::{KeyFingerprint, KeyId};
 use crate::map::{RangeEntry, RangeGeneration};
 use crate::message::{AttemptHolder, ClaimRequest, GuardMessage, SeatVerdict};
-use crate::turn::{GuardTurn, millis};
 
-/// Another send of the same key that a seat named.
+/// Another send of the same key, reported by a seat.
 #[derive(Clone, Debug)]
 pub(crate) struct RivalState {
     pub(crate) holder: AttemptHolder,
-    /// Questions to its ingress without an answer.
-    pub(crate) silent: u32,
-    /// Its ingress answered that the request is over there.
-    pub(crate) unheard: bool,
+    /// Number of queries that were not answered.
+    pub(crate) unanswered: u32,
+    /// Whether its ingress answered that it no longer holds the request.
+    pub(crate) unknown_at_ingress: bool,
 }
 
 impl RivalState {
     pub(crate) const fn new(holder: AttemptHolder) -> Self {
         Self {
             holder,
-            silent: 0,
-            unheard: false,
+            unanswered: 0,
+            unknown_at_ingress: false,
         }
     }
 }
 
-/// Collecting grants.
+/// Progress of collecting the grants for one attempt.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimRound {
-    /// The generation asked; None while the range's seats are unknown.
+    /// Generation whose seats are asked; `None` while the seats of the range are unknown.
     pub(crate) entry: Option<RangeEntry>,
     /// Seats that granted.
     pub(crate) granted: BTreeSet<InstanceId>,
-    /// Seats that found the key's time too far ahead.
+    /// Seats that rejected the key because its time is too far in the future.
     pub(crate) ahead: BTreeSet<InstanceId>,
     pub(crate) rival: Option<RivalState>,
 }
 
 impl ClaimRound {
-    /// Whether it is certain that no attempt of this key ran.
+    /// Returns whether certainly no attempt of this key has run.
     ///
-    /// A majority of one generation found the key empty, or held by dead attempts only. The next
-    /// generation keeps one of these seats, which now guards the key for this request; an earlier
-    /// generation is complete in the memory of each. One seat alone would not do: it may have been
-    /// replaced without knowing.
+    /// A majority of one generation must have found the key unused, or held only by dead attempts.
+    /// The next generation keeps at least one of these seats, which now holds the key for this
+    /// request, and each of them has all records of earlier generations. A single seat is not
+    /// enough, because it may have been replaced without its knowledge.
     fn is_clean(&self) -> bool {
         let clean = self.granted.len() + self.ahead.len();
         let seats = self.entry.as_ref().map(|entry| entry.seats.len());
@@ -61,23 +61,23 @@
     }
 }
 
-/// What a request is at.
+/// Phase of a request.
 #[derive(Debug)]
 pub(crate) enum RequestPhase {
-    /// Collecting grants for the present attempt.
+    /// The ingress collects grants for the current attempt.
     Claiming(ClaimRound),
-    /// Waiting for another send of the same key. The present attempt is not claimed yet, the lower
-    /// numbers are dead.
+    /// The request waits for another send of the same key. The current attempt is not claimed yet,
+    /// and those with lower numbers are dead.
     Joining(RivalState),
-    /// The ticket is out.
+    /// The engine has the ticket and dispatches the request.
     Dispatched(DispatchTicket),
-    /// The dispatch's outcome was lost; asking the executor.
+    /// The outcome of the dispatch was lost, and the ingress queries the executor.
     Resolving(DispatchTicket),
-    /// The attempt is fenced; waiting for `Redirect` or `Settled`.
+    /// The attempt is fenced, and the ingress waits for `Redirect` or `Settled`.
     Reoffered,
 }
 
-/// One request.
+/// Request that the ingress has admitted and not finished.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) request: RequestId,
@@ -86,15 +86,18 @@
     pub(crate) executor: InstanceId,
     pub(crate) deadline: Duration,
     pub(crate) stamp_ms: u64,
+    /// Number of the current attempt, which increases with each new attempt.
     pub(crate) number: u16,
+    /// Attempts of this and other requests for the key that certainly never run.
     pub(crate) dead: Vec<AttemptId>,
     pub(crate) phase: RequestPhase,
     pub(crate) tries: u32,
+    /// Time at which the timer of the request expires.
     pub(crate) wake: Duration,
 }
 
 impl ClientRequest {
-    /// The present attempt.
+    /// Returns the id of the current attempt.
     pub(crate) const fn attempt(&self) -> AttemptId {
         AttemptId {
             request: self.request,
@@ -111,32 +114,32 @@
         }
     }
 
-    /// Declares the present attempt dead: it was not dispatched, or its executor surely did not run
-    /// it, and it will never be dispatched again. Its grants are void.
-    pub(crate) fn bury(&mut self, turn: &mut GuardTurn<'_>) {
+    /// Declares the current attempt dead and releases its grants. The caller ensures that the
+    /// attempt has not run and will not be dispatched again.
+    pub(crate) fn declare_dead(&mut self, context: &mut GuardContext<'_>) {
         let attempt = self.attempt();
         self.dead.push(attempt);
         self.number += 1;
         let key = self.key;
-        let seats = turn.entry_of(key).map(|entry| entry.seats);
+        let seats = context.entry_of(key).map(|entry| entry.seats);
         for seat in seats.unwrap_or_default() {
-            turn.send(seat, GuardMessage::Release { key, attempt });
+            context.send(seat, GuardMessage::Release { key, attempt });
         }
     }
 
-    /// Starts to collect grants for the present attempt.
-    pub(crate) fn claim(&mut self, turn: &mut GuardTurn<'_>) {
+    /// Starts to collect grants for the current attempt.
+    pub(crate) fn claim(&mut self, context: &mut GuardContext<'_>) {
         let round = ClaimRound {
-            entry: turn.entry_of(self.key),
+            entry: context.entry_of(self.key),
             ..ClaimRound::default()
         };
         self.phase = RequestPhase::Claiming(round);
         self.tries = 0;
-        self.send_claims(turn);
+        self.send_claims(context);
     }
 
-    /// Asks every seat that has not granted yet.
-    pub(crate) fn send_claims(&mut self, turn: &mut GuardTurn<'_>) {
+    /// Sends a claim to every seat that has not granted yet.
+    pub(crate) fn send_claims(&mut self, context: &mut GuardContext<'_>) {
         let RequestPhase::Claiming(round) = &self.phase else {
             return;
         };
@@ -147,40 +150,40 @@
             key: self.key,
             fingerprint: self.fingerprint,
             generation: entry.generation,
-            holder: self.holder(turn.me()),
+            holder: self.holder(context.me()),
             dead: self.dead.clone(),
         };
         for seat in &entry.seats {
             if !round.granted.contains(seat) {
-                turn.send_try(self.tries, *seat, GuardMessage::Claim(claim.clone()));
+                context.send_alternating(self.tries, *seat, GuardMessage::Claim(claim.clone()));
             }
         }
     }
 
-    fn ticket(&self, turn: &GuardTurn<'_>, entry: &RangeEntry) -> DispatchTicket {
+    fn ticket(&self, context: &GuardContext<'_>, entry: &RangeEntry) -> DispatchTicket {
         DispatchTicket {
             key: self.key,
             fingerprint: self.fingerprint,
             attempt: self.attempt(),
-            ingress: turn.me(),
+            ingress: context.me(),
             executor: self.executor,
             range: entry.range,
             generation: entry.generation,
             seats: entry.seats.clone(),
             stamp_ms: self.stamp_ms,
-            expires_ms: turn.wall_ms() + millis(self.deadline.saturating_sub(turn.now)),
+            expires_ms: context.wall_ms() + millis(self.deadline.saturating_sub(context.now)),
         }
     }
 }
 
-/// What handling a message did to a request.
+/// Result of an event for a request.
 #[derive(Debug)]
 pub(crate) enum RequestStep {
-    /// It goes on.
+    /// Keep the request.
     Keep,
-    /// It is answered and over.
+    /// Answer the caller and remove the request.
     Answer(AnswerVerdict),
-    /// It is over without an answer.
+    /// Remove the request without an answer.
     Drop,
 }
 
@@ -202,27 +205,27 @@
 }
 
 impl ClientRequest {
-    pub(crate) fn wake_up(&mut self, turn: &mut GuardTurn<'_>) -> RequestStep {
-        if turn.now >= self.deadline {
+    pub(crate) fn on_timer(&mut self, context: &mut GuardContext<'_>) -> RequestStep {
+        if context.now >= self.deadline {
             return self.expire();
         }
         self.tries += 1;
         match &self.phase {
             RequestPhase::Claiming(round) => {
                 let contested = round.rival.is_some();
-                self.send_claims(turn);
+                self.send_claims(context);
                 if contested {
-                    return self.ask_rival(turn);
+                    return self.query_rival(context);
                 }
                 RequestStep::Keep
             }
-            RequestPhase::Joining(_) => self.ask_rival(turn),
-            RequestPhase::Resolving(_) => self.resolve(turn),
+            RequestPhase::Joining(_) => self.query_rival(context),
+            RequestPhase::Resolving(_) => self.resolve(context),
             RequestPhase::Dispatched(_) | RequestPhase::Reoffered => RequestStep::Keep,
         }
     }
 
-    /// The truth at the deadline.
+    /// Determines the answer when the deadline has passed.
     fn expire(&self) -> RequestStep {
         match &self.phase {
             RequestPhase::Claiming(round) if round.is_clean() => {
@@ -239,9 +242,9 @@
         }
     }
 
-    pub(crate) fn take_verdict(
+    pub(crate) fn on_verdict(
         &mut self,
-        turn: &mut GuardTurn<'_>,
+        context: &mut GuardContext<'_>,
         from: InstanceId,
         generation: RangeGeneration,
         verdict: SeatVerdict,
@@ -258,12 +261,12 @@
         match verdict {
             SeatVerdict::Granted => {
                 round.granted.insert(from);
-                if round.granted.len() == entry.seats.len() && turn.now < self.deadline {
-                    self.dispatch(turn, &entry);
+                if round.granted.len() == entry.seats.len() && context.now < self.deadline {
+                    self.dispatch(context, &entry);
                 }
                 RequestStep::Keep
             }
-            SeatVerdict::Held(holder) => self.meet_rival(turn, holder),
+            SeatVerdict::Held(holder) => self.on_rival(context, holder),
             SeatVerdict::Ran(reply) => RequestStep::ran(reply),
             SeatVerdict::Closed => RequestStep::unknown(RefusalCode::UpstreamFailed),
             SeatVerdict::Reused => RequestStep::not_run(RefusalCode::KeyReused),
@@ -277,16 +280,16 @@
             }
             SeatVerdict::NotServing => {
                 let entries = vec![entry];
-                turn.send(from, GuardMessage::Map { entries });
+                context.send(from, GuardMessage::Map { entries });
                 RequestStep::Keep
             }
         }
     }
 
-    fn dispatch(&mut self, turn: &mut GuardTurn<'_>, entry: &RangeEntry) {
-        let ticket = self.ticket(turn, entry);
+    fn dispatch(&mut self, context: &mut GuardContext<'_>, entry: &RangeEntry) {
+        let ticket = self.ticket(context, entry);
         self.phase = RequestPhase::Dispatched(ticket.clone());
         let request = self.request;
-        turn.out.push(GuardCommand::Grant { request, ticket });
+        context.out.push(GuardCommand::Grant { request, ticket });
     }
 }
--- a/crates/guard/tests/testsuite/sends.rs
+++ b/crates/guard/tests/testsuite/sends.rs
@@ -1,4 +1,4 @@
-//! Failures around one key: slow and lost replies, resends at once, cuts, crashes.
+//! Failures that concern one key: slow and lost replies, concurrent sends, cuts, crashes.
 
 use insta::assert_snapshot;
 use sycamorelink_core::{AttemptId, CustomerName, RequestId};
@@ -8,11 +8,11 @@
 use crate::fleet::{EPOCH, ms};
 use crate::session::FaultSession;
 
-/// The backend server takes longer than the caller waits. The caller is told "unknown" and sends
-/// the booking again through another daemon. That one finds the attempt at the seats, waits for its
+/// The backend server takes longer than the caller waits. The caller gets "unknown" and resends the
+/// booking through another daemon, which learns of the attempt from the seats, waits for its
 /// executor and returns the reply of the first run.
 #[test]
-fn resend_after_a_slow_reply_joins_the_first_run() {
+fn resend_after_slow_reply_waits_for_first_run() {
     let mut session = FaultSession::open(5);
     session.fleet.backend.service = (600, 600);
     let others = session.others(0);
@@ -21,28 +21,28 @@
     session.wait(350);
     session.send(0xa2, key, others[1], 1, 2_000);
     session.wait(2_500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// A caller's library sends the same booking through two daemons at the same moment, and each holds
-/// the grant of one seat. The lower attempt goes on, the other withdraws and joins it: one run, and
-/// both callers get its reply.
+/// A caller sends the same booking through two daemons at the same time, and each of them holds the
+/// grant of one seat. The attempt with the lower id continues, the other is withdrawn and its
+/// request waits. The booking runs once, and both sends get the reply.
 #[test]
-fn two_sends_at_once_run_once() {
+fn concurrent_sends_run_once() {
     let mut session = FaultSession::open(5);
     let seats = session.seats(0);
     let key = session.key(1);
     session.send(0xb2, key, seats[0], 0, 2_000);
     session.send(0xb1, key, seats[1], 1, 2_000);
     session.wait(2_500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// The run ends but its reply never reaches the ingress (one-way cut). The ingress asks the
-/// executor by another way and answers with the reply. Later the executor is gone, and a resend
-/// still gets the reply: the seats kept it.
+/// The booking runs, but a one-way cut keeps its reply from the ingress. The ingress queries the
+/// executor through a relay and answers with the reply. After the executor is lost, a resend still
+/// gets the reply from the seats.
 #[test]
-fn lost_reply_is_kept_by_the_seats() {
+fn lost_reply_is_stored_at_seats() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
@@ -55,27 +55,27 @@
     session.wait(1_000);
     session.send(0xc2, key, others[1], 0, 2_000);
     session.wait(500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// The dispatch never arrives (one-way cut). The ingress has the executor fence the attempt, by
-/// another way, and only then tries another executor.
+/// A one-way cut keeps the dispatch from the executor. The ingress has the attempt fenced through a
+/// relay before it tries another executor.
 #[test]
-fn lost_dispatch_is_fenced_before_the_next() {
+fn lost_dispatch_is_fenced_before_redirect() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
     session.fleet.cuts.insert((others[0], others[1]));
     session.send(0xd1, key, others[0], others[1], 4_000);
     session.wait(4_500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// A dispatch is under way for long, its ingress is paused, and the caller sends the booking again
-/// through another daemon. That one has the executor fence the attempt and runs the booking
-/// elsewhere. When the first dispatch arrives at last, the executor refuses it.
+/// A dispatch is delayed, its ingress is paused, and the caller resends the booking through another
+/// daemon. That daemon has the attempt fenced and runs the booking at another executor. The first
+/// executor must refuse the delayed dispatch.
 #[test]
-fn late_dispatch_meets_the_fence() {
+fn late_dispatch_of_fenced_attempt_is_refused() {
     let mut session = FaultSession::open(6);
     let others = session.others(0);
     let key = session.key(1);
@@ -87,13 +87,13 @@
     session.fleet.freeze(others[0]);
     session.send(0xab, key, others[2], others[2], 2_000);
     session.wait(4_000);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// The last grant arrives in the very moment the caller gives up. Nothing is dispatched any more:
-/// the answer is "not run".
+/// The last grant arrives exactly at the deadline. The ingress must not dispatch the request, and
+/// answers "not run".
 #[test]
-fn grant_at_the_deadline_is_too_late() {
+fn grant_at_deadline_is_not_dispatched() {
     let mut session = FaultSession::open(5);
     let seats = session.seats(0);
     let ingress = session.others(0)[0];
@@ -102,7 +102,7 @@
     }
     let key = session.key(1);
     session.send(0xba, key, ingress, ingress, 40);
-    let life = session.fleet.address[ingress];
+    let process = session.fleet.process_at[ingress];
     let deadline = session.fleet.now + ms(40);
     let mut out = Vec::new();
     for (seat, early) in seats.into_iter().zip([2, 1, 0]) {
@@ -116,11 +116,11 @@
             generation: RangeGeneration::default(),
             verdict: SeatVerdict::Granted,
         };
-        let guard = &mut session.fleet.lives[life].guard;
+        let guard = &mut session.fleet.processes[process].guard;
         let event = GuardEvent::Message { from, message };
         guard.handle(deadline.saturating_sub(ms(early)), event, &mut out);
     }
-    let texts: Vec<String> = out.iter().filter_map(crate::brief::command).collect();
+    let texts: Vec<String> = out.iter().filter_map(crate::trace_text::command).collect();
     assert!(
         texts.contains(&"Answer ba: not-run guards-unreachable".to_owned()),
         "{texts:?}"
@@ -131,10 +131,10 @@
     );
 }
 
-/// The dispatch was lost, and the executor's answer that it fenced the attempt arrives as the caller
-/// gives up. There is no time for another executor: one answer, "not run", and no offer to retry.
+/// The dispatch was lost, and the executor's confirmation of the fence arrives exactly at the
+/// deadline. The ingress answers "not run" once and must not offer the request to another executor.
 #[test]
-fn fence_at_the_deadline_is_the_answer() {
+fn fence_at_deadline_answers_not_run() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
@@ -151,13 +151,13 @@
         },
         state: WorkState::Fenced,
     };
-    let life = session.fleet.address[others[0]];
+    let process = session.fleet.process_at[others[0]];
     let event = GuardEvent::Message { from, message };
     let mut out = Vec::new();
-    session.fleet.lives[life]
+    session.fleet.processes[process]
         .guard
         .handle(deadline, event, &mut out);
-    let texts: Vec<String> = out.iter().filter_map(crate::brief::command).collect();
+    let texts: Vec<String> = out.iter().filter_map(crate::trace_text::command).collect();
     assert!(
         texts.contains(&"Answer ca: not-run deadline-exceeded".to_owned()),
         "{texts:?}"
@@ -168,10 +168,10 @@
     );
 }
 
-/// The ingress cannot reach one seat, and another seat cannot reach the ingress. Claims and answers
-/// go around through other daemons, and the booking goes through.
+/// The ingress cannot reach one seat, and another seat cannot reach the ingress. Claims and replies
+/// are relayed through other daemons, and the booking runs.
 #[test]
-fn one_way_cuts_are_no_obstacle() {
+fn one_way_cuts_are_bypassed_by_relays() {
     let mut session = FaultSession::open(5);
     let seats = session.seats(0);
     let ingress = session.others(0)[0];
@@ -180,13 +180,13 @@
     session.fleet.cuts.insert((seats[1], ingress));
     session.send(0xe1, key, ingress, ingress, 3_000);
     session.wait(3_500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// The backend server crashes while it runs the booking. Nobody can know whether it took effect:
-/// the caller is told "unknown", a resend too, and it never runs again.
+/// The backend server crashes while it runs the booking, so the effect of the booking is unknown.
+/// The send and its resend are answered "unknown", and the booking never runs again.
 #[test]
-fn crash_of_the_backend_server_closes_the_key() {
+fn backend_server_crash_closes_the_key() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
@@ -196,13 +196,13 @@
     session.fleet.backend.crash = 0.0;
     session.send(0xf2, key, others[1], 0, 2_000);
     session.wait(500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// The executor's instance is lost while it runs the booking, and another starts at its address
-/// with nothing kept. The caller is told "unknown"; a resend is never run.
+/// The executor's instance is lost while it runs the booking, and another one starts at its address
+/// without state. The caller gets "unknown", and a resend never runs.
 #[test]
-fn executor_lost_in_flight_is_unknown_for_good() {
+fn lost_executor_makes_key_unknown() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
@@ -215,13 +215,13 @@
     session.wait(4_000);
     session.send(0x12, key, others[0], 0, 2_000);
     session.wait(500);
-    assert_snapshot!(session.close());
+    assert_snapshot!(session.finish());
 }
 
-/// Every backend server refuses the booking before it starts. The caller is told "not run", and
-/// the released key runs on the next send.
+/// Every backend server refuses the booking before it starts. The caller gets "not run", and the
+/// released key runs on the next send.
 #[test]
-fn refused_key_runs_on_the_next_send() {
+fn refused_key_runs_on_next_send() {
     let mut session = FaultSession::open(5);
     let others = session.others(0);
     let key = session.key(1);
@@ -233,12 +233,12 @@
     session.send(0x22, key, others[1], 0, 2_000);
     session.wait(500);
     assert_eq!(session.answer(0x22), "ran by the executor");
-    session.close();
+    session.finish();
 }
 
-/// A caller uses a key again for another booking, another customer happens to use the same text,
-/// and a third sends a key that is days old. The first is refused as not run under this send, the
-/// second runs, the third is "unknown": its first send may have been forgotten.
+/// A caller reuses a key for another booking, another customer uses the same key text, and a third
+/// caller sends a key older than the retention. The first is refused as "not run", the second runs,
+/// and the third is "unknown" because the record of an earlier send may have been dropped.
 #[test]
 fn reused_foreign_and_expired_keys() {
     let mut session = FaultSession::open(5);
@@ -260,5 +260,5 @@
     assert_eq!(session.answer(0x32), "not-run key-reused");
     assert_eq!(session.answer(0x33), "ran by the executor");
     assert_eq!(session.answer(0x34), "unknown key-expired");
-    session.close();
+    session.finish();
 }
--- a/crates/guard/tests/testsuite/session.rs
+++ b/crates/guard/tests/testsuite/session.rs
@@ -1,4 +1,4 @@
-//! One scripted session, and its golden file.
+//! Scripted session with a simulated fleet, and its trace for a snapshot.
 
 use sycamorelink_core::RequestId;
 use sycamorelink_guard::{GuardSettings, KeyId, RangeId};
@@ -10,12 +10,12 @@
 }
 
 impl FaultSession {
-    /// A founded fleet with one range, so that every key has the same seats.
+    /// Creates a founded fleet with one range, so that every key has the same seats.
     pub fn open(nodes: usize) -> Self {
         Self::with_keys(nodes, GuardSettings::default().max_keys)
     }
 
-    /// The same with little memory.
+    /// Creates the same fleet with a limit on the keys of each node.
     pub fn with_keys(nodes: usize, max_keys: usize) -> Self {
         let settings = GuardSettings {
             ranges: 1,
@@ -27,19 +27,19 @@
         Self { fleet }
     }
 
-    /// Nodes with a seat, as node `at` knows.
+    /// Returns the nodes with a seat according to node `at`.
     pub fn seats(&self, at: usize) -> Vec<usize> {
-        let guard = &self.fleet.lives[self.fleet.address[at]].guard;
+        let guard = &self.fleet.processes[self.fleet.process_at[at]].guard;
         let entry = guard.map().get(RangeId(0));
         let seats = entry.map(|entry| entry.seats.clone()).unwrap_or_default();
         let node = |seat: &sycamorelink_core::InstanceId| usize::try_from(seat.node.0);
         seats.iter().filter_map(|seat| node(seat).ok()).collect()
     }
 
-    /// Nodes without a seat, as node `at` knows.
+    /// Returns the nodes without a seat according to node `at`.
     pub fn others(&self, at: usize) -> Vec<usize> {
         let seats = self.seats(at);
-        let nodes = 0..self.fleet.address.len();
+        let nodes = 0..self.fleet.process_at.len();
         nodes.filter(|node| !seats.contains(node)).collect()
     }
 
@@ -47,9 +47,9 @@
         self.fleet.fresh_key(number << 96)
     }
 
-    /// A caller sends request `id` to a node, which chooses an executor.
-    pub fn send(&mut self, id: u128, key: KeyId, ingress: usize, executor: usize, patience: u64) {
-        self.send_body(id, key, 1, ingress, executor, patience);
+    /// Sends request `id` to the ingress with a given executor, and fails if the ingress is down.
+    pub fn send(&mut self, id: u128, key: KeyId, ingress: usize, executor: usize, timeout: u64) {
+        self.send_body(id, key, 1, ingress, executor, timeout);
     }
 
     pub fn send_body(
@@ -59,14 +59,14 @@
         body: u128,
         ingress: usize,
         executor: usize,
-        patience: u64,
+        timeout: u64,
     ) {
         let send = CallerSend {
             request: RequestId(id),
             key,
             body,
             executor: self.fleet.instance(executor),
-            patience: ms(patience),
+            timeout: ms(timeout),
         };
         assert!(
             self.fleet.send(ingress, &send),
@@ -78,7 +78,7 @@
         self.fleet.run_for(ms(span));
     }
 
-    /// Cuts a node off from others, both ways.
+    /// Cuts the links between a node and others in both directions.
     pub fn isolate(&mut self, node: usize, from: &[usize]) {
         for other in from.iter().copied().filter(|other| *other != node) {
             self.fleet.cuts.insert((node, other));
@@ -87,19 +87,19 @@
         self.fleet.note(&format!("n{node} cut off from {from:?}"));
     }
 
-    /// Drains a node, and starts another life at its address once it is drained.
-    pub fn roll(&mut self, node: usize) {
+    /// Drains a node, and starts a new process at its address once it is drained.
+    pub fn drain_and_replace(&mut self, node: usize) {
         self.fleet.drain(node);
         for _ in 0..100 {
             self.wait(100);
-            if self.fleet.lives[self.fleet.address[node]]
+            if self.fleet.processes[self.fleet.process_at[node]]
                 .drained_at
                 .is_some()
             {
                 break;
             }
         }
-        let drained = self.fleet.lives[self.fleet.address[node]]
+        let drained = self.fleet.processes[self.fleet.process_at[node]]
             .drained_at
             .is_some();
         assert!(drained, "n{node} does not drain");
@@ -109,22 +109,22 @@
     }
 
     pub fn answer(&self, id: u128) -> String {
-        self.fleet.truth.text_of(RequestId(id))
+        self.fleet.oracle.answer_text(RequestId(id))
     }
 
-    /// The session as text: what happened, the answers and the runs. Checks that all was true.
-    pub fn close(&self) -> String {
-        let truth = &self.fleet.truth;
-        assert_eq!(truth.violations, Vec::<String>::new());
+    /// Returns the trace, the answers and the runs as text. Fails if the oracle found a violation.
+    pub fn finish(&self) -> String {
+        let oracle = &self.fleet.oracle;
+        assert_eq!(oracle.violations, Vec::<String>::new());
         let mut lines = self.fleet.trace.clone();
-        for request in truth.sends.keys() {
+        for request in oracle.sends.keys() {
             lines.push(format!(
                 "answer {:x}: {}",
                 request.0,
-                truth.text_of(*request)
+                oracle.answer_text(*request)
             ));
         }
-        for (key, runs) in &truth.runs {
+        for (key, runs) in &oracle.runs {
             lines.push(format!("key {key} ran {} time(s)", runs.len()));
         }
         lines.join("\n")
--- a/crates/guard/tests/testsuite/shares.rs
+++ b/crates/guard/tests/testsuite/shares.rs
@@ -1,4 +1,5 @@
-//! Shares of bookings through, refused and unknown under one failure at a time, and their cost.
+//! Shares of bookings that succeed, are refused or end as unknown under a single failure, and the
+//! cost of a booking in messages.
 //!
 //! `cargo test -p sycamorelink-guard shares -- --nocapture` prints the tables.
 
@@ -13,29 +14,29 @@
 
 use crate::fleet::{BackendBehaviour, CallerSend, EPOCH, FakeFleet, LinkFaults, ms, test_settings};
 
-/// Pause between two bookings, in milliseconds.
-const PAUSE: u64 = 5;
-/// Bookings of one run.
+/// Interval between two bookings, in milliseconds.
+const BOOKING_INTERVAL: u64 = 5;
+/// Number of bookings in one run.
 const BOOKINGS: u64 = 4_000;
-/// Bookings before the failure.
+/// Number of bookings before the failure.
 const FAILURE_AT: u64 = 1_000;
-/// How long a caller waits, in milliseconds.
-const PATIENCE: u64 = 5_000;
+/// Deadline of a caller, in milliseconds.
+const CALLER_TIMEOUT: u64 = 5_000;
 
-/// What callers got in one run.
+/// Answers to the callers in one run.
 #[derive(Debug, Default)]
 struct ShareCount {
-    through: u64,
+    succeeded: u64,
     not_run: u64,
     unknown: u64,
-    /// Unknown because the executor was lost with the booking in flight.
+    /// Answered "unknown" although the booking ran: its executor was lost while it was in flight.
     in_flight: u64,
-    /// The daemon that took the request was lost with it.
-    cut_off: u64,
+    /// Without an answer: the daemon that accepted the request was lost.
+    unanswered: u64,
     messages: u64,
 }
 
-/// Bookings at a steady rate, while `fail` breaks something once.
+/// Sends bookings at a steady rate and calls `fail` once during the run.
 fn measure<F>(nodes: usize, fail: F) -> ShareCount
 where
     F: Fn(&mut FakeFleet),
@@ -59,12 +60,12 @@
         if number == FAILURE_AT {
             fail(&mut fleet);
         }
-        sent.extend(book(&mut fleet, nodes));
-        fleet.run_for(ms(PAUSE));
+        sent.extend(send_booking(&mut fleet, nodes));
+        fleet.run_for(ms(BOOKING_INTERVAL));
     }
     let messages = fleet.messages - before;
-    fleet.run_for(ms(PATIENCE + 1_000));
-    assert_eq!(fleet.truth.violations, Vec::<String>::new());
+    fleet.run_for(ms(CALLER_TIMEOUT + 1_000));
+    assert_eq!(fleet.oracle.violations, Vec::<String>::new());
     let mut count = ShareCount {
         messages,
         ..ShareCount::default()
@@ -75,7 +76,7 @@
     count
 }
 
-fn book(fleet: &mut FakeFleet, nodes: usize) -> Option<RequestId> {
+fn send_booking(fleet: &mut FakeFleet, nodes: usize) -> Option<RequestId> {
     let node = fleet.rng.random_range(0..nodes);
     let hash = fleet.rng.random();
     let send = CallerSend {
@@ -83,42 +84,43 @@
         key: fleet.fresh_key(hash),
         body: 1,
         executor: fleet.any_executor(),
-        patience: ms(PATIENCE),
+        timeout: ms(CALLER_TIMEOUT),
     };
     fleet.send(node, &send).then_some(send.request)
 }
 
 impl ShareCount {
     fn add(&mut self, fleet: &FakeFleet, request: RequestId) {
-        let send = &fleet.truth.sends[&request];
-        match fleet.truth.answer_of(request).map(|answer| answer.run) {
-            Some(RunState::Ran) => self.through += 1,
+        let send = &fleet.oracle.sends[&request];
+        match fleet.oracle.answer_of(request).map(|answer| answer.run) {
+            Some(RunState::Ran) => self.succeeded += 1,
             Some(RunState::NotRun) => self.not_run += 1,
-            Some(RunState::Unknown) if fleet.truth.runs.contains_key(&send.key) => {
+            Some(RunState::Unknown) if fleet.oracle.runs.contains_key(&send.key) => {
                 self.in_flight += 1;
             }
             Some(RunState::Unknown) => self.unknown += 1,
-            None => self.cut_off += 1,
+            None => self.unanswered += 1,
         }
     }
 
     fn line(&self, name: &str) -> String {
-        let answered = self.through + self.not_run + self.unknown + self.in_flight;
+        let answered = self.succeeded + self.not_run + self.unknown + self.in_flight;
         let share = |part: u64| f64::from(u32::try_from(part * 100_000 / answered).unwrap_or(0));
         format!(
             "| {name} | {answered} | {:.2}% | {:.2}% | {:.2}% | {} | {} | {:.1} |",
-            share(self.through) / 1_000.0,
+            share(self.succeeded) / 1_000.0,
             share(self.not_run) / 1_000.0,
             share(self.unknown) / 1_000.0,
             self.in_flight,
-            self.cut_off,
+            self.unanswered,
             share(self.messages) / 100_000.0,
         )
     }
 }
 
-/// One failure at a time, in a fleet of nine daemons in three failure domains with 64 ranges. The
-/// log is down in all but the first and the last two; callers wait up to five seconds.
+/// Measures the shares under one failure at a time, in a fleet of nine daemons in three failure
+/// domains with 64 ranges. The log is down in all runs but the first and the last; callers wait up
+/// to five seconds.
 #[test]
 fn shares_by_failure() {
     let down = |fleet: &mut FakeFleet| fleet.set_log(false);
@@ -184,12 +186,19 @@
         killed.unknown, 0,
         "unknown only in flight on the lost instance"
     );
-    assert_eq!(quiet.through, BOOKINGS, "nothing fails, nothing is refused");
-    assert_eq!(log.through, BOOKINGS, "the log takes no part in a booking");
+    assert_eq!(
+        quiet.succeeded, BOOKINGS,
+        "nothing fails, nothing is refused"
+    );
+    assert_eq!(
+        log.succeeded, BOOKINGS,
+        "the log takes no part in a booking"
+    );
 }
 
-/// Memory of one key remembered by a seat, without and with a reply of 200 bytes. The figures hold
-/// only when the test runs alone: `cargo test -p sycamorelink-guard bytes_per_key -- --nocapture`.
+/// Measures the memory per key at a seat, without and with a reply of 200 bytes. The figures are
+/// valid only if the test runs alone:
+/// `cargo test -p sycamorelink-guard bytes_per_key -- --nocapture`.
 #[test]
 fn bytes_per_key() {
     let (_kept, without) = fill_seat(None);
@@ -205,7 +214,7 @@
         ..test_settings()
     };
     let mut fleet = FakeFleet::founded(1, 1, settings, 5);
-    let guard = &mut fleet.lives[0].guard;
+    let guard = &mut fleet.processes[0].guard;
     let from = guard.identity().instance;
     let stamp_ms = u64::try_from(EPOCH.as_millis()).unwrap_or_default();
     let mut out = Vec::new();
@@ -233,7 +242,7 @@
     (fleet, bytes)
 }
 
-/// Resident memory of this process, as the kernel tells; zero where it does not.
+/// Returns the resident memory of this process in bytes, or zero where `/proc` is not available.
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
