--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::end_shares::{EndShares, RunEnd};
+use crate::outcome_shares::{EndShares, RunEnd};
 use crate::run_times::RunTimes;
 use crate::sample::SampleKind;
 
--- a/crates/policy/src/eject.rs
+++ b/crates/policy/src/eject.rs
@@ -4,9 +4,9 @@
 
 use crate::facts::UpstreamPhase;
 use crate::finding::PoolFinding;
-use crate::judge::in_play;
 use crate::pool::ServicePool;
 use crate::record::ServiceState;
+use crate::tick::in_play;
 
 /// Most doublings of an ejection.
 pub(crate) const STRIKES_MAX: u8 = 8;
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -9,12 +9,12 @@
 
 use crate::baseline::PoolBaseline;
 use crate::facts::{UpstreamFacts, UpstreamPhase, UpstreamStanding, UpstreamView};
+use crate::failing_share::UsualShare;
 use crate::floor::{FloorLedger, FloorRule, FloorStatus};
 use crate::record::{EvidenceView, ServiceState, UpstreamRecord, highest};
 use crate::score::ScoreKind;
 use crate::settings::PoolSettings;
 use crate::trials::FIRST_AVOIDED;
-use crate::usual::UsualShare;
 
 /// Floor before a contract sets one: half of the known slots.
 const FLOOR_SHARE: f64 = 0.5;
--- a/crates/policy/src/trials.rs
+++ b/crates/policy/src/trials.rs
@@ -19,9 +19,9 @@
 use rand::Rng;
 use sycamorelink_core::UpstreamId;
 
-use crate::choice::COST_JITTER;
 use crate::pool::ServicePool;
 use crate::record::UpstreamRecord;
+use crate::selection::COST_JITTER;
 
 /// Share of avoided upstreams up to which a second one is drawn when the first is in use. Where four of five
 /// requests must not repeat, an even part of the others is one in two seconds, and a server that is whole
