--- a/crates/policy/tests/call_rates.rs
+++ b/crates/policy/tests/call_rates.rs
@@ -1,7 +1,7 @@
-//! Which runs make calls, learned from when calls begin.
+//! Attribution of calls to the open runs of a backend server.
 //!
-//! Load: a server with eight slots runs look-ups, each of which makes two calls at its start, and as many
-//! bookings, which make none. A fifth of the look-ups are repeats.
+//! Load: a server with eight slots runs look-ups, each of which makes two calls at its start, and
+//! as many bookings, which make none. A fifth of the look-ups are repeats.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -9,18 +9,19 @@
 
 const LOOK_UP: u64 = 1;
 const BOOKING: u64 = 2;
-/// Time of a run, in seconds.
+/// Length of a run, in seconds.
 const RUN_SECONDS: f64 = 0.3;
 
-// Repeats of a large service call a small one. Put down to all runs alike, half of their calls were
-// charged to nobody, and the small service went a fifth beyond its bound on repeats.
+// Guards against attributing calls evenly to all open runs. Half of the calls of repeated look-ups
+// then went uncharged, and a small service that is called by a large one got a fifth more repeats
+// than its retry budget allows.
 #[test]
-fn calls_of_repeated_runs_are_not_put_down_to_work_that_calls_nobody() {
+fn calls_of_repeated_runs_are_not_attributed_to_work_without_calls() {
     let mut random = SmallRng::seed_from_u64(1);
     let mut rates = CallRates::default();
-    let (mut charged, mut alike) = (0.0, 0.0);
-    for begun in 0..600 {
-        let repeat = begun % 5 == 0;
+    let (mut charged, mut evenly_split) = (0.0, 0.0);
+    for run in 0..600 {
+        let repeat = run % 5 == 0;
         let others = (0..random.random_range(0..6)).map(|_| OpenWork {
             kind: if random.random() { LOOK_UP } else { BOOKING },
             repeat: false,
@@ -32,9 +33,9 @@
         let open: Vec<OpenWork> = others.chain([own]).collect();
         for _ in 0..2 {
             let share = rates.called(&open);
-            if begun >= 100 {
+            if run >= 100 {
                 charged += if repeat { share } else { 0.0 };
-                alike += if repeat {
+                evenly_split += if repeat {
                     1.0 / f64::from(open_count(&open))
                 } else {
                     0.0
@@ -44,7 +45,10 @@
         rates.ran(LOOK_UP, RUN_SECONDS);
         rates.ran(BOOKING, RUN_SECONDS);
     }
-    assert!(charged > alike * 1.25, "{charged} against {alike} calls");
+    assert!(
+        charged > evenly_split * 1.25,
+        "{charged} against {evenly_split} calls"
+    );
 }
 
 fn open_count(open: &[OpenWork]) -> u8 {
@@ -52,14 +56,14 @@
 }
 
 #[test]
-fn without_open_runs_a_call_is_nobodys() {
+fn call_without_open_runs_is_not_attributed() {
     assert!(CallRates::default().called(&[]).abs() < f64::EPSILON);
 }
 
-// A booking runs beside look-ups that call, and calls nobody itself. Some runs tell so; before any, it is
-// taken to call, so that its repeats are bounded from the first on.
+// A kind of work counts as making calls until some of its runs made none, so that its repeats are
+// bounded from the first one on.
 #[test]
-fn work_that_calls_nobody_is_known_after_some_runs() {
+fn work_without_calls_is_recognised_after_some_runs() {
     let mut rates = CallRates::default();
     assert!(rates.makes_calls(BOOKING));
     let open = [LOOK_UP, LOOK_UP, BOOKING].map(|kind| OpenWork {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A pool with upstreams, virtual time and replies on demand.
+//! Test fixture: a pool of upstreams with a virtual clock and scripted replies.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
     UpstreamSample,
 };
 
-/// Usual latency of the bench's service.
+/// Usual latency of the fixture's service.
 pub const USUAL: Duration = Duration::from_millis(100);
 
-/// Percentages of the usual latency that healthy replies take in turn.
-const SPREAD: [u32; 7] = [60, 80, 90, 100, 115, 135, 180];
+/// Latencies of successive healthy replies, in percent of the usual latency.
+const LATENCY_PERCENTAGES: [u32; 7] = [60, 80, 90, 100, 115, 135, 180];
 
-/// One node's pool under test.
+/// Pool of one node, with its virtual clock and the findings so far.
 pub struct PoolBench {
     pub pool: ServicePool,
     pub now: Duration,
     pub findings: Vec<PoolFinding>,
     pub count: u64,
-    turn: usize,
+    reply_count: usize,
 }
 
-/// The id of an upstream by its number. Number and node are the same.
+/// Returns the id of an upstream. Its number is also the id of its node.
 pub fn upstream(number: u64) -> UpstreamId {
     UpstreamId {
         node: NodeId(number),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Facts of an upstream in one of three failure domains.
+/// Returns facts that spread the upstreams over three failure domains.
 pub fn facts(number: u64, phase: UpstreamPhase) -> UpstreamFacts {
     UpstreamFacts {
         slots: 5,
@@ -41,7 +41,7 @@
 }
 
 impl PoolBench {
-    /// A pool of `count` ready upstreams that have served 20 s of healthy requests.
+    /// Creates a pool of `count` ready upstreams that have served healthy requests for 20 s.
     pub fn warmed(count: u64, settings: PoolSettings) -> Self {
         let mut pool = ServicePool::new(settings, 7);
         for number in 0..count {
@@ -53,26 +53,27 @@
             now: Duration::ZERO,
             findings: Vec::new(),
             count,
-            turn: 0,
+            reply_count: 0,
         };
         bench.run(Duration::from_secs(20), |_| SampleKind::Served);
         bench.findings.clear();
         bench
     }
 
-    /// One reply of an upstream now, as its caller and the node beside it see it.
+    /// Records one reply of an upstream at the present time, both as a caller and as the upstream's
+    /// own node.
     pub fn reply(&mut self, number: u64, kind: SampleKind, latency: Duration) {
         let id = upstream(number);
-        let begun = self.now.saturating_sub(latency);
+        let started_at = self.now.saturating_sub(latency);
         let sample = UpstreamSample::new(kind, latency).service_time(latency);
-        self.pool.sent(begun, id);
+        self.pool.sent(started_at, id);
         self.pool.observe(self.now, id, &sample);
-        self.pool.started_here(begun, id);
+        self.pool.started_here(started_at, id);
         self.pool.ended_here(self.now, id, &sample);
     }
 
-    /// Runs for a time: each 100 ms each upstream gives two replies of the kind that `kind_of`
-    /// says, unless it is ejected, and the pool ticks.
+    /// Advances the clock by `time` in steps of 100 ms. In each step every upstream that isn't
+    /// ejected gives two replies of the kind that `kind_of` returns, and the pool ticks.
     pub fn run<F>(&mut self, time: Duration, kind_of: F)
     where
         F: Fn(u64) -> SampleKind,
@@ -82,24 +83,25 @@
             self.now += Duration::from_millis(100);
             for number in 0..self.count {
                 for _ in 0..2 {
-                    self.reply_in_turn(number, kind_of(number));
+                    self.give_reply(number, kind_of(number));
                 }
             }
             self.pool.tick(self.now, &mut self.findings);
         }
     }
 
-    fn reply_in_turn(&mut self, number: u64, kind: SampleKind) {
+    fn give_reply(&mut self, number: u64, kind: SampleKind) {
         let standing = self.pool.standing(upstream(number));
         if standing.is_none_or(|standing| standing.ejected.is_some()) {
             return;
         }
-        self.turn += 1;
-        let latency = USUAL * SPREAD[self.turn % SPREAD.len()] / 100;
+        self.reply_count += 1;
+        let latency =
+            USUAL * LATENCY_PERCENTAGES[self.reply_count % LATENCY_PERCENTAGES.len()] / 100;
         self.reply(number, kind, latency);
     }
 
-    /// Numbers of the upstreams that are ejected.
+    /// Returns the numbers of the ejected upstreams.
     pub fn ejected(&self) -> Vec<u64> {
         self.pool
             .standings()
@@ -109,7 +111,7 @@
             .collect()
     }
 
-    /// Weight of an upstream.
+    /// Returns the weight of an upstream, or 0 if it is unknown.
     pub fn weight(&self, number: u64) -> f64 {
         self.pool
             .standing(upstream(number))
--- a/crates/policy/tests/detection.rs
+++ b/crates/policy/tests/detection.rs
@@ -1,4 +1,5 @@
-//! Whose fault it is: the upstream's, the connection's, the request's, this node's or nobody's.
+//! Attribution of a fault: to the upstream, the connection, the request, this node or a shared
+//! cause.
 
 mod common;
 
@@ -10,7 +11,7 @@
     EjectionCause, PoolFinding, PoolSettings, SampleKind, UpstreamPhase, UpstreamSample,
 };
 
-/// Share of picks that go to an upstream.
+/// Returns the share of picks that select an upstream.
 fn share(bench: &mut PoolBench, number: u64) -> f64 {
     let picks: u32 = 2_000;
     let hits = (0..picks)
@@ -19,10 +20,10 @@
     f64::from(u32::try_from(hits).unwrap_or(picks)) / f64::from(picks)
 }
 
-/// One upstream answers ten times later than its peers and never fails. Callers see late replies
-/// only. It is ejected as slow, and its peers stay.
+/// One upstream answers ten times later than its peers and never fails. It is ejected as slow, and
+/// its peers stay in service.
 #[test]
-fn a_slow_upstream_is_ejected_as_slow() {
+fn slow_upstream_is_ejected_as_slow() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for _ in 0..80 {
         bench.reply(3, SampleKind::Served, USUAL * 10);
@@ -39,25 +40,24 @@
     assert_eq!(cause, Some(EjectionCause::Slow));
 }
 
-/// One upstream truncates a third of its replies. It loses its weight before it is ejected: the
-/// first finding is a shift.
+/// One upstream truncates a third of its replies. It must be shifted before it is ejected.
 #[test]
-fn weight_goes_before_removal() {
+fn upstream_is_shifted_before_it_is_ejected() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     while bench.ejected().is_empty() {
         bench.reply(2, SampleKind::Wrong, USUAL);
         bench.run(Duration::from_millis(100), |_| SampleKind::Served);
     }
-    let place = |wanted: fn(&PoolFinding) -> bool| bench.findings.iter().position(wanted);
-    let shifted = place(|finding| matches!(finding, PoolFinding::Shifted { .. }));
-    let ejected = place(|finding| matches!(finding, PoolFinding::Ejected { .. }));
+    let position = |is_match: fn(&PoolFinding) -> bool| bench.findings.iter().position(is_match);
+    let shifted = position(|finding| matches!(finding, PoolFinding::Shifted { .. }));
+    let ejected = position(|finding| matches!(finding, PoolFinding::Ejected { .. }));
     assert!(shifted < ejected, "{:?}", bench.findings);
 }
 
-/// This node is cut off: it gets no reply from anybody while its peers, who are heard, complain of
-/// nobody. It is the suspect: it tells its peers nothing and ejects nobody.
+/// This node is cut off: every upstream is silent to it, while its peers report no fault. It must
+/// treat itself as the suspect, report nothing and eject no upstream.
 #[test]
-fn a_cut_observer_suspects_itself() {
+fn isolated_node_suspects_itself() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     bench.pool.merge(bench.now, NodeId(99), &[]);
     for _ in 0..100 {
@@ -67,19 +67,20 @@
             bench.pool.observe(bench.now, upstream(number), &sample);
         }
         bench.pool.tick(bench.now, &mut bench.findings);
-        let told = bench.pool.report(bench.now);
-        assert!(told.is_empty(), "{told:?}");
+        let report = bench.pool.report(bench.now);
+        assert!(report.is_empty(), "{report:?}");
     }
     assert_eq!(bench.ejected(), Vec::<u64>::new());
-    let suspect = |finding: &PoolFinding| matches!(finding, PoolFinding::ObserverSuspect { .. });
-    assert!(bench.findings.iter().any(suspect));
+    let is_observer_suspect =
+        |finding: &PoolFinding| matches!(finding, PoolFinding::ObserverSuspect { .. });
+    assert!(bench.findings.iter().any(is_observer_suspect));
 }
 
-/// A connection goes silent: two requests on it never end, while the upstream is well. The pool
-/// asks for a new connection; once that answers, nothing is held against the upstream, even when
-/// the old requests are given up later.
+/// A connection goes silent while the upstream is healthy, and two requests on it never end. The
+/// pool must request a probe. Once a new connection answers, nothing counts against the upstream,
+/// even when the old requests time out later.
 #[test]
-fn a_silent_connection_is_not_the_upstreams_fault() {
+fn silent_connection_does_not_count_against_the_upstream() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     let sent_at = bench.now;
     bench.pool.sent(sent_at, upstream(1));
@@ -88,8 +89,8 @@
         1 => SampleKind::Refused,
         _ => SampleKind::Served,
     });
-    let asked = |finding: &PoolFinding| matches!(finding, PoolFinding::ConnectionSuspect { id, .. } if *id == upstream(1));
-    assert!(bench.findings.iter().any(asked));
+    let is_probe_request = |finding: &PoolFinding| matches!(finding, PoolFinding::ConnectionSuspect { id, .. } if *id == upstream(1));
+    assert!(bench.findings.iter().any(is_probe_request));
     bench.pool.connection_replaced(bench.now, upstream(1));
     let late = UpstreamSample::new(SampleKind::Silent, bench.now.saturating_sub(sent_at));
     bench.pool.observe(bench.now, upstream(1), &late);
@@ -101,10 +102,10 @@
     assert_eq!(suspicion, Some(0.0));
 }
 
-/// A backend server hangs, yet every new connection to the node beside it works. Taking evidence
-/// back each time would hide it for good; it is taken back once, then the silence counts.
+/// A backend server hangs, but every new connection to its node works. If each new connection
+/// cancelled the evidence, the hang would never be detected; it is cancelled only once.
 #[test]
-fn a_hanging_upstream_does_not_hide_behind_new_connections() {
+fn hung_upstream_is_detected_despite_new_connections() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for _ in 0..10 {
         bench.now += Duration::from_millis(500);
@@ -116,11 +117,11 @@
     assert!(bench.weight(1) < 0.1);
 }
 
-/// One request ends each backend server that runs it, and four other requests are lost with each.
-/// Its caller sends it again and again; from the third time on it is known. Nobody loses weight for
-/// it, neither for the lost ones nor for what is known to be the request's doing.
+/// One request crashes each backend server that runs it, and four other requests are lost with
+/// each. From its third attempt on it is known as the cause. No upstream may lose weight for it or
+/// for the lost requests.
 #[test]
-fn a_crash_request_costs_nobody_its_weight() {
+fn crash_request_does_not_reduce_any_weight() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for round in 0..8 {
         let number = round.min(2);
@@ -136,19 +137,22 @@
         bench.now += Duration::from_millis(1_100);
         bench.pool.tick(bench.now, &mut bench.findings);
     }
-    let blamed = |finding: &PoolFinding| {
+    let takes_weight = |finding: &PoolFinding| {
         matches!(
             finding,
             PoolFinding::Shifted { .. } | PoolFinding::Ejected { .. }
         )
     };
-    assert!(!bench.findings.iter().any(blamed), "{:?}", bench.findings);
+    assert!(
+        !bench.findings.iter().any(takes_weight),
+        "{:?}",
+        bench.findings
+    );
 }
 
-/// An upstream announces that it leaves. Not one request more goes there, even when it is the only
-/// one that is not excluded.
+/// A leaving upstream must not get any request, even when it is the only one that isn't excluded.
 #[test]
-fn a_leaving_upstream_is_never_picked() {
+fn leaving_upstream_is_never_picked() {
     let mut bench = PoolBench::warmed(2, PoolSettings::default());
     let leaving = facts(0, UpstreamPhase::Leaving);
     bench.pool.upsert(bench.now, upstream(0), &leaving);
@@ -156,9 +160,10 @@
     assert_eq!(bench.pool.pick(bench.now, &[upstream(1)]), None);
 }
 
-/// An upstream that restarts has no past and starts slowly: full load on a cold one fails.
+/// A restarted upstream has no history and starts with little load, because a cold one fails under
+/// full load.
 #[test]
-fn a_restarted_upstream_starts_slowly() {
+fn restarted_upstream_starts_with_low_weight() {
     let mut bench = PoolBench::warmed(4, PoolSettings::default());
     for phase in [UpstreamPhase::Starting, UpstreamPhase::Ready] {
         bench.pool.upsert(bench.now, upstream(0), &facts(0, phase));
@@ -170,7 +175,7 @@
     assert!(early < 0.05 && late > 0.15, "{early} then {late}");
 }
 
-/// An upstream fails whenever it is let back in. Each ejection lasts longer than the one before.
+/// An upstream fails after each readmission. Each ejection must last longer than the one before.
 #[test]
 fn flapping_lengthens_ejections() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
@@ -192,9 +197,9 @@
     assert!(gaps.is_sorted(), "{gaps:?}");
 }
 
-/// An ejected upstream is well again. It is tried with few requests, then gets its share back.
+/// A recovered upstream first gets few requests, then its full share.
 #[test]
-fn a_recovered_upstream_is_readmitted_slowly() {
+fn recovered_upstream_is_readmitted_gradually() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     bench.run(Duration::from_secs(5), |number| match number {
         0 => SampleKind::Failed,
@@ -207,6 +212,6 @@
     assert!(bench.weight(0) < 0.1);
     bench.run(Duration::from_secs(12), |_| SampleKind::Served);
     assert!(bench.weight(0) > 0.99);
-    let readmitted = |finding: &PoolFinding| matches!(finding, PoolFinding::Readmitted { .. });
-    assert!(bench.findings.iter().any(readmitted));
+    let is_readmission = |finding: &PoolFinding| matches!(finding, PoolFinding::Readmitted { .. });
+    assert!(bench.findings.iter().any(is_readmission));
 }
--- a/crates/policy/tests/exchange.rs
+++ b/crates/policy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Evidence between nodes.
+//! Exchange of evidence between nodes.
 
 mod common;
 
@@ -11,7 +11,7 @@
     UpstreamPhase, UpstreamSample,
 };
 
-const SICK: EvidenceScores = EvidenceScores {
+const FAULTY: EvidenceScores = EvidenceScores {
     failing: 3_000,
     wrong: 0,
     silent: 0,
@@ -25,18 +25,18 @@
         role,
         strikes: 0,
         samples: 20,
-        scores: SICK,
+        scores: FAULTY,
     }
 }
 
-/// The node beside an upstream sees it fail. A caller that has sent nothing there takes its weight
-/// away as soon as it is told, however often and in whatever order it is told.
+/// The upstream's own node reports that it fails. A caller without any attempt there takes its
+/// weight at once; repeated reports don't add up.
 #[test]
-fn the_node_beside_is_believed_about_its_upstream() {
+fn report_of_the_upstreams_own_node_takes_its_weight() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for _ in 0..3 {
-        let news = [evidence(3, EvidenceRole::Beside)];
-        bench.pool.merge(bench.now, NodeId(3), &news);
+        let report = [evidence(3, EvidenceRole::Beside)];
+        bench.pool.merge(bench.now, NodeId(3), &report);
     }
     assert!(bench.weight(3) < 0.1);
     let suspicion = bench
@@ -48,10 +48,10 @@
     assert_eq!(bench.ejected(), Vec::<u64>::new(), "before it is confirmed");
 }
 
-/// A node that errs or lies claims to stand beside somebody else's upstreams, and complains of them
-/// as a caller. One such node moves little.
+/// A faulty or malicious node reports other nodes' upstreams, both as their own node and as a
+/// caller. One such node must not move weight or eject.
 #[test]
-fn one_peer_alone_ejects_nobody() {
+fn one_peer_alone_ejects_no_upstream() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for _ in 0..50 {
         let claims: Vec<_> = (0..2)
@@ -69,29 +69,29 @@
     assert!((0..8).all(|number| bench.weight(number) > 0.99));
 }
 
-/// Three callers cannot reach an upstream whose own node sees nothing wrong: the way there is
-/// broken. Together they take its weight.
+/// Four callers report an upstream whose own node sees no fault: the network path to it is broken.
+/// Together they take its weight.
 #[test]
 fn several_callers_together_shift_an_upstream() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
     for peer in 50..54 {
-        let news = [evidence(3, EvidenceRole::Caller)];
-        bench.pool.merge(bench.now, NodeId(peer), &news);
+        let report = [evidence(3, EvidenceRole::Caller)];
+        bench.pool.merge(bench.now, NodeId(peer), &report);
     }
     assert!(bench.weight(3) < 0.1);
 }
 
-/// A caller's node is replaced while an upstream flaps. The new one would start with the shortest
-/// ejection; the node beside the upstream tells it of the earlier ones.
+/// A calling node is replaced while an upstream flaps. The upstream's own node reports the earlier
+/// ejections, so the new node doesn't start again with the shortest one.
 #[test]
-fn a_new_node_learns_of_earlier_ejections() {
+fn new_node_adopts_earlier_ejections() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
-    let mut news = evidence(3, EvidenceRole::Beside);
-    news.strikes = 3;
+    let mut report = evidence(3, EvidenceRole::Beside);
+    report.strikes = 3;
     for _ in 0..30 {
         bench.now += Duration::from_millis(100);
-        news.scores.failing += 60;
-        bench.pool.merge(bench.now, NodeId(3), &[news]);
+        report.scores.failing += 60;
+        bench.pool.merge(bench.now, NodeId(3), &[report]);
         bench.pool.tick(bench.now, &mut bench.findings);
     }
     let until = bench
@@ -102,12 +102,12 @@
     assert!(left > Some(Duration::from_mins(1)), "{left:?}");
 }
 
-/// The score of an upstream creeps up in steps that are each too small to tell. The sum is told
-/// all the same, and so is the way back.
+/// A score rises in steps that are each too small to report. The sum must still be reported, and so
+/// must the fall.
 #[test]
-fn no_crossing_hides_between_reports() {
+fn small_changes_add_up_to_a_report() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for round in 0..120 {
         bench.now += Duration::from_millis(100);
         let kind = if round < 40 && round % 4 == 0 {
@@ -121,22 +121,23 @@
             .started_here(bench.now.saturating_sub(USUAL), upstream(2));
         bench.pool.ended_here(bench.now, upstream(2), &sample);
         bench.pool.tick(bench.now, &mut bench.findings);
-        told.extend(
+        reported.extend(
             bench
                 .pool
                 .report(bench.now)
                 .iter()
-                .map(|news| news.scores.failing),
+                .map(|report| report.scores.failing),
         );
     }
-    assert!(told.iter().any(|score| *score >= 1_200), "{told:?}");
-    assert!(told.last() < told.iter().max(), "{told:?}");
+    assert!(reported.iter().any(|score| *score >= 1_200), "{reported:?}");
+    assert!(reported.last() < reported.iter().max(), "{reported:?}");
 }
 
-/// A daemon is replaced while an upstream is sick. The new one meets all upstreams in the same second;
-/// taking them all for cold would leave it no weight to take, and its callers would get the sick one.
+/// A daemon is replaced while an upstream is faulty. The new one learns of all upstreams in the
+/// same second; if it took all of them for warming up, it would have no weight to take, and callers
+/// would still get the faulty one.
 #[test]
-fn a_new_node_acts_on_what_it_is_told() {
+fn new_node_applies_reported_evidence() {
     let now = Duration::from_secs(100);
     let mut pool = ServicePool::new(PoolSettings::default(), 7);
     for number in 0..8 {
@@ -149,9 +150,9 @@
     assert!(weight < Some(0.1), "{weight:?}");
 }
 
-/// An upstream that joins a running service is cold: it starts with a tenth.
+/// An upstream that joins a running service starts with a tenth of its weight.
 #[test]
-fn a_joining_upstream_starts_slowly() {
+fn joining_upstream_starts_with_low_weight() {
     let mut bench = PoolBench::warmed(4, PoolSettings::default());
     let joining = facts(4, UpstreamPhase::Ready);
     bench.pool.upsert(bench.now, upstream(4), &joining);
--- a/crates/policy/tests/floor.rs
+++ b/crates/policy/tests/floor.rs
@@ -1,4 +1,4 @@
-//! The floor: ejections and weights never take more than it leaves.
+//! Capacity floor: ejections and weights never take more capacity than the floor allows.
 
 mod common;
 
@@ -9,30 +9,31 @@
 use proptest::test_runner::RngSeed;
 use sycamorelink_policy::{PoolFinding, PoolSettings, SampleKind, UpstreamPhase};
 
-const FAULT: Duration = Duration::from_secs(20);
+const FAULT_TIME: Duration = Duration::from_secs(20);
 
-/// What the caller sees: errors from every upstream. All of them fail at once, so none is worse
-/// than the others and ejecting any would only take capacity.
+/// All upstreams fail at once. None is worse than the others, so ejecting any would only reduce
+/// capacity.
 #[test]
-fn all_sick_at_once_ejects_nobody() {
+fn no_upstream_is_ejected_when_all_fail_at_once() {
     let mut bench = PoolBench::warmed(6, PoolSettings::default());
-    bench.run(FAULT, |_| SampleKind::Failed);
+    bench.run(FAULT_TIME, |_| SampleKind::Failed);
     assert_eq!(bench.ejected(), Vec::<u64>::new());
-    let shared = |finding: &PoolFinding| matches!(finding, PoolFinding::SharedCause { .. });
-    assert!(bench.findings.iter().any(shared));
+    let is_shared_cause =
+        |finding: &PoolFinding| matches!(finding, PoolFinding::SharedCause { .. });
+    assert!(bench.findings.iter().any(is_shared_cause));
     assert!(bench.pool.pick(bench.now, &[]).is_some());
 }
 
-/// Half of six upstreams alternate between good and bad each second. Every caller sees errors, and
-/// every flap is a new reason to eject. In every step half of the slots stay in service.
+/// Half of six upstreams alternate between failing and healthy each second, and each failure is a
+/// reason to eject. At every step half of the slots must stay in service.
 #[test]
-fn half_flapping_keeps_the_floor_in_every_step() {
+fn floor_holds_while_half_of_the_upstreams_flap() {
     let mut bench = PoolBench::warmed(6, PoolSettings::default());
     for second in 0..60 {
-        let bad = second % 2 == 0;
+        let failing = second % 2 == 0;
         for _ in 0..10 {
             bench.run(Duration::from_millis(100), |number| {
-                if bad && number < 3 {
+                if failing && number < 3 {
                     SampleKind::Failed
                 } else {
                     SampleKind::Served
@@ -47,13 +48,13 @@
     assert!(!bench.ejected().is_empty());
 }
 
-/// Four of six are bad one after the other, the floor is two thirds. The two worst go, the two
-/// least bad stay and the pool says so.
+/// Three of six upstreams are faulty, and the floor is two thirds. The two with the highest scores
+/// are ejected; the third stays in service, which the pool reports.
 #[test]
-fn the_least_bad_stay_at_the_floor() {
+fn floor_keeps_the_upstreams_with_the_lowest_scores() {
     let mut bench = PoolBench::warmed(6, PoolSettings::default());
     bench.pool.set_floor(0.66, 4);
-    bench.run(FAULT, |number| match number {
+    bench.run(FAULT_TIME, |number| match number {
         0 | 1 => SampleKind::Failed,
         _ => SampleKind::Served,
     });
@@ -67,12 +68,12 @@
     assert!(bench.pool.floor_status().kept());
 }
 
-/// A contract raises the floor while two upstreams are ejected. Ejections that the new floor does
-/// not allow end in the same call, before any request is lost for want of capacity.
+/// A contract raises the floor while two upstreams are ejected. Ejections that the new floor
+/// doesn't allow must end in the same call, before a request is lost for lack of capacity.
 #[test]
-fn a_raised_floor_ends_ejections_at_once() {
+fn raised_floor_ends_ejections_at_once() {
     let mut bench = PoolBench::warmed(8, PoolSettings::default());
-    bench.run(FAULT, |number| match number {
+    bench.run(FAULT_TIME, |number| match number {
         0 | 1 => SampleKind::Failed,
         _ => SampleKind::Served,
     });
@@ -81,19 +82,19 @@
     assert_eq!(bench.ejected().len(), 1);
     bench.pool.set_floor(1.0, 8);
     assert_eq!(bench.ejected(), Vec::<u64>::new());
-    bench.run(FAULT, |number| match number {
+    bench.run(FAULT_TIME, |number| match number {
         0 | 1 => SampleKind::Failed,
         _ => SampleKind::Served,
     });
     assert_eq!(bench.ejected(), Vec::<u64>::new());
 }
 
-/// An upstream leaves while others are ejected. The capacity it takes along is brought back from
-/// the ejected ones.
+/// Upstreams leave while others are ejected. The lost capacity must be replaced by ending
+/// ejections.
 #[test]
-fn leaving_upstreams_bring_ejected_ones_back() {
+fn leaving_upstreams_are_replaced_by_ejected_ones() {
     let mut bench = PoolBench::warmed(6, PoolSettings::default());
-    bench.run(FAULT, |number| match number {
+    bench.run(FAULT_TIME, |number| match number {
         0 | 1 => SampleKind::Failed,
         _ => SampleKind::Served,
     });
@@ -106,12 +107,12 @@
     assert!(status.kept(), "{status:?}");
 }
 
-/// A whole failure domain fails. A quarter of its slots stay in service, so that its recovery is
-/// seen and the last upstream of a domain is never given up.
+/// All upstreams of a failure domain fail. A quarter of its slots stay in service, so that its
+/// recovery is detected.
 #[test]
-fn a_domain_keeps_a_quarter_of_its_slots() {
+fn failing_domain_keeps_a_quarter_of_its_slots() {
     let mut bench = PoolBench::warmed(12, PoolSettings::default());
-    bench.run(FAULT, |number| {
+    bench.run(FAULT_TIME, |number| {
         if number % 3 == 0 {
             SampleKind::Failed
         } else {
@@ -130,9 +131,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever replies come, in whatever order, the floor holds after every tick.
+    /// The floor holds after every tick, for any sequence of replies.
     #[test]
-    fn no_stream_of_replies_breaks_the_floor(
+    fn floor_holds_for_any_sequence_of_replies(
         steps in proptest::collection::vec((0_u64..6, 0_u8..5, 1_u64..4_000), 200..600),
         share in 0.3_f64..1.0,
     ) {
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedges: only what is certain to be correct.
+//! Decisions on retries and hedges: only what is certainly correct.
 
 use std::time::Duration;
 
@@ -33,10 +33,10 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A payout may have run when its reply was lost. Sending it again could pay twice, so no state but
-/// a certain "not run" allows it, whatever time is left.
+/// A payout may have run when its reply was lost, and a retry could pay twice. Only a certain "not
+/// run" may allow a retry, however much time is left.
 #[test]
-fn a_payout_that_may_have_run_is_never_sent_again() {
+fn payout_that_may_have_run_is_not_retried() {
     let plan = RetryPlan::new(false, Duration::from_hours(1));
     for run in [RunState::Ran, RunState::Unknown] {
         let decision = plan.decide(Duration::ZERO, &AttemptOutcome::new(run), USUAL);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn attempts_end_and_never_repeat_a_place() {
+fn attempts_are_limited_and_exclude_tried_upstreams() {
     let mut plan = RetryPlan::new(true, DEADLINE);
     for node in 0..4 {
         plan.tried(upstream(node));
@@ -60,9 +60,9 @@
     assert!(matches!(decision, RetryDecision::Stop(_)));
 }
 
-/// A request that has ended backend servers is not sent to the next one.
+/// A request that crashes backend servers must not be sent to the next one.
 #[test]
-fn a_crash_request_is_not_retried() {
+fn crash_request_is_not_retried() {
     let plan = RetryPlan::new(true, DEADLINE);
     let mut outcome = AttemptOutcome::new(RunState::Unknown);
     outcome.request_fault = true;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn hedges_wait_for_the_usual_latency_and_keep_the_deadline() {
+fn hedges_wait_for_the_usual_latency_and_respect_the_deadline() {
     let plan = RetryPlan::new(true, DEADLINE);
     let at = plan.hedge_at(Duration::from_secs(1), Some(USUAL));
     assert_eq!(at, Some(Duration::from_millis(1_100)));
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which upstream a caller's node chooses by expected cost.
+//! Selection of an upstream by expected cost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use sycamorelink_core::{DomainName, NodeId, UpstreamId};
 use sycamorelink_policy::{LoadHint, PoolSettings, ServicePool, UpstreamFacts, UpstreamPhase};
 
-/// Any kind of work.
+/// Kind of work of all requests; its value doesn't matter.
 const KIND: u64 = 1;
 
 fn upstream(number: u64) -> UpstreamId {
@@ -38,31 +38,31 @@
     picks
 }
 
-/// Two of six servers have just answered and are known to be sound; of the others nobody has heard. All
-/// get their share: a server that joined, or that was quiet for a while, must not stand idle.
+/// Two of six servers were just reported as healthy, and the others have sent no report. All must
+/// get their share: a server that joined, or that was idle for a while, must not stay idle.
 #[test]
-fn an_upstream_without_news_gets_its_share() {
+fn upstream_without_a_report_gets_its_share() {
     let mut pool = pool_of(6);
     let now = Duration::from_secs(30);
     for number in 0..2 {
-        let sound = LoadHint {
+        let healthy = LoadHint {
             slots: 4,
             ..LoadHint::default()
         };
-        pool.hint(now, upstream(number), sound.with_failing(0.005));
+        pool.hint(now, upstream(number), healthy.with_failing(0.005));
     }
     let picks = picks(&mut pool, now);
     assert!((0..6).all(|number| picks[&number] > 50), "{picks:?}");
 }
 
-/// One of six servers turned suspect and said so: the others are chosen, until the news is old.
+/// One of six servers was reported as suspect. The others are selected until the report is old.
 #[test]
-fn a_suspect_upstream_is_left_alone_until_the_news_is_old() {
+fn suspect_upstream_is_avoided_until_its_report_is_old() {
     let mut pool = pool_of(6);
-    let told = Duration::from_secs(30);
+    let reported_at = Duration::from_secs(30);
     let suspect = LoadHint::default().with_failing(0.9);
-    pool.hint(told, upstream(3), suspect);
-    assert!(!picks(&mut pool, told).contains_key(&3));
-    let later = told + Duration::from_mins(1);
+    pool.hint(reported_at, upstream(3), suspect);
+    assert!(!picks(&mut pool, reported_at).contains_key(&3));
+    let later = reported_at + Duration::from_mins(1);
     assert!(picks(&mut pool, later).contains_key(&3));
 }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in JSON, their defaults and what is refused.
+//! Settings in JSON, their defaults and their validation.
 
 use sycamorelink_policy::{Leaning, PoolSettings};
 
@@ -23,8 +23,8 @@
     }
 }
 
-/// Settings that contradict each other would make a pool that ejects before it shifts, never
-/// ejects, or lets one peer eject. All of it is told at once.
+/// Contradictory settings would give a pool that ejects before it shifts weight, never ejects, or
+/// lets one peer eject. All violations must be reported at once.
 #[test]
 fn contradictory_settings_are_refused() -> Result<(), serde_json::Error> {
     let settings: PoolSettings = serde_json::from_str(
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly hundreds of callers' nodes, which know nothing of each other's choices, spread work.
+//! Even distribution of work by hundreds of calling nodes that select upstreams independently.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,26 +6,26 @@
 use sycamorelink_core::{DomainName, NodeId, UpstreamId, stable_hash};
 use sycamorelink_policy::{PoolSettings, ServicePool, UpstreamFacts, UpstreamPhase};
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: u64 = 6;
-/// Requests that each caller's node sends.
+/// Requests that each calling node sends.
 const REQUESTS: u32 = 40;
-/// Most that the busiest upstream may get, in means over all.
-const BUSIEST: f64 = 2.0;
+/// Upper bound of the busiest upstream's requests, as a multiple of the mean.
+const MAX_BUSIEST_OVER_MEAN: f64 = 2.0;
 
 fn domain(number: u64) -> DomainName {
     DomainName::new(&format!("d{}", number % DOMAINS))
 }
 
-/// A pool as every node of a failure domain makes it: upstreams in the order of their ids, which are hashes
-/// of names and say nothing of the domain.
+/// Creates the pool of a node in one failure domain. Upstreams are added in the order of their ids,
+/// which are hashes of names and independent of the domain.
 fn pool_in(near: u64, upstreams: u64) -> ServicePool {
     let mut pool = ServicePool::new(PoolSettings::default(), near);
     pool.prefer(domain(near));
-    let named: BTreeMap<u64, u64> = (0..upstreams)
+    let number_by_id: BTreeMap<u64, u64> = (0..upstreams)
         .map(|number| (stable_hash(&[&number.to_be_bytes()]), number))
         .collect();
-    for (id, number) in named {
+    for (id, number) in number_by_id {
         let facts = UpstreamFacts {
             slots: 8,
             domain: domain(number),
@@ -50,19 +50,20 @@
             *runs.entry(picked).or_default() += 1;
         }
     }
-    let most = runs.values().copied().max().unwrap_or_default();
+    let max = runs.values().copied().max().unwrap_or_default();
     let sum: u32 = runs.values().sum();
-    f64::from(most) * f64::from(u32::try_from(upstreams).unwrap_or(u32::MAX)) / f64::from(sum)
+    f64::from(max) * f64::from(u32::try_from(upstreams).unwrap_or(u32::MAX)) / f64::from(sum)
 }
 
-// Guards against a few full upstreams beside hundreds of idle ones: all nodes list the upstreams in the same
-// order, and those behind a row of others' failure domains were met by most looks.
+// Guards against a few overloaded upstreams beside hundreds of idle ones. All nodes list the
+// upstreams in the same order; when each compared a contiguous range, an upstream that follows a
+// series of upstreams in other domains was selected too often.
 #[test]
-fn no_upstream_gets_twice_its_share_at_any_size() {
+fn no_upstream_gets_twice_its_share_at_any_fleet_size() {
     for (nodes, upstreams) in [(96, 60), (300, 252), (983, 816), (983, 167)] {
         let busiest = busiest_over_mean(nodes, upstreams);
         assert!(
-            busiest < BUSIEST,
+            busiest < MAX_BUSIEST_OVER_MEAN,
             "{nodes} nodes, {upstreams} upstreams: {busiest:.2}"
         );
     }
