--- a/crates/limits/src/admission/estimate.rs
+++ b/crates/limits/src/admission/estimate.rs
@@ -1,31 +1,31 @@
-//! Service time learned from finished work, and times to come back.
+//! Service time estimates and `retry_after` hints for refused callers.
 
 use std::time::Duration;
 
-/// Weight of the newest service time is one part in this many.
-const SMOOTHING: u32 = 16;
-/// Longest time that a refusal names.
-const LONGEST_HINT: Duration = Duration::from_secs(30);
+/// Inverse of the weight that the newest sample has in the moving average.
+const SMOOTHING_DIVISOR: u32 = 16;
+/// Upper bound of the `retry_after` hint in a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Smoothed mean of the service time.
+/// Exponentially weighted moving average of the service time.
 #[derive(Debug)]
 pub struct ServiceEstimate {
     mean: Duration,
 }
 
 impl ServiceEstimate {
-    /// Starts from an assumption.
+    /// Creates an estimate that starts from an assumed service time.
     #[must_use]
-    pub const fn new(first: Duration) -> Self {
-        Self { mean: first }
+    pub const fn new(assumed: Duration) -> Self {
+        Self { mean: assumed }
     }
 
-    /// Learns from finished work.
-    pub fn learn(&mut self, elapsed: Duration) {
-        self.mean = (self.mean * (SMOOTHING - 1) + elapsed) / SMOOTHING;
+    /// Records the service time of finished work.
+    pub fn record(&mut self, elapsed: Duration) {
+        self.mean = (self.mean * (SMOOTHING_DIVISOR - 1) + elapsed) / SMOOTHING_DIVISOR;
     }
 
-    /// Expected cost of work whose caller side expects `expected`, or nothing.
+    /// Returns the expected cost of work: `expected` if the caller gave one, else the average.
     #[must_use]
     pub fn cost(&self, expected: Duration) -> Duration {
         if expected.is_zero() {
@@ -36,21 +36,23 @@
     }
 }
 
-/// Times to come back, spread so that refused callers return at the pace of the backend server.
+/// Source of `retry_after` hints that are spaced at the rate of the backend server.
 ///
-/// Failure: all callers refused within one second come back in the same moment. Symptom: the queue
-/// is full again and most are refused again. One return for each service time is all that the
-/// slots can take, so times that far apart suffice.
+/// Callers refused within the same second would otherwise all retry at the same moment, fill the
+/// queue again and mostly be refused again. The hints are one service time apart, which is as fast
+/// as the slots can take the retries.
 #[derive(Debug, Default)]
-pub struct ReturnHint {
+pub struct RetryPacer {
     last: Duration,
 }
 
-impl ReturnHint {
-    /// Gives the next time, no sooner than `drained` from now and `pace` after the last one given.
-    pub fn next(&mut self, now: Duration, drained: Duration, pace: Duration) -> Duration {
-        let next = (now + drained).max(self.last + pace);
-        self.last = next.min(now + LONGEST_HINT);
+impl RetryPacer {
+    /// Returns the time until the next retry.
+    ///
+    /// The retry is at least `drain_time` from now and at least `spacing` after the previous hint.
+    pub fn next(&mut self, now: Duration, drain_time: Duration, spacing: Duration) -> Duration {
+        let next = (now + drain_time).max(self.last + spacing);
+        self.last = next.min(now + MAX_RETRY_AFTER);
         self.last.saturating_sub(now)
     }
 }
--- a/crates/limits/src/admission/gate.rs
+++ b/crates/limits/src/admission/gate.rs
@@ -1,11 +1,11 @@
-//! The slot gate.
+//! Slot gate: admission control in front of one backend server.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sycamorelink_core::{CustomerName, RefusalCode};
 
-use super::estimate::{ReturnHint, ServiceEstimate};
+use super::estimate::{RetryPacer, ServiceEstimate};
 use super::lane::{LaneKey, LaneSet, QueuedWork};
 use super::reserve::SlotReserve;
 use super::{GateCommand, GateDecision, GateLoad, GateSettings, WorkClass, WorkId};
@@ -19,18 +19,18 @@
     since: Duration,
 }
 
-/// Admission for one backend server.
+/// Admission control for one backend server.
 #[derive(Debug)]
 pub struct SlotGate {
     settings: GateSettings,
     started_at: Duration,
     running: BTreeMap<WorkId, RunningWork>,
     lanes: LaneSet,
-    late: Vec<WorkId>,
+    expired: Vec<WorkId>,
     estimate: ServiceEstimate,
-    hint: ReturnHint,
+    pacer: RetryPacer,
     reserve: SlotReserve,
-    slow_since: Option<Duration>,
+    above_target_since: Option<Duration>,
     overloaded: bool,
     closed: bool,
 }
@@ -46,18 +46,20 @@
             started_at: now,
             running: BTreeMap::new(),
             lanes: LaneSet::default(),
-            late: Vec::new(),
+            expired: Vec::new(),
             estimate,
-            hint: ReturnHint::default(),
+            pacer: RetryPacer::default(),
             reserve: SlotReserve::default(),
-            slow_since: None,
+            above_target_since: None,
             overloaded: false,
             closed: false,
         }
     }
 
-    /// Takes over how much longer the backend server stays cold, where it says so: a gate that is
-    /// made for a server long at work opens all slots at once.
+    /// Shortens the warm-up to the remaining time that the backend server reports, if any.
+    ///
+    /// A gate that is created for a server that has been running for a long time opens all slots at
+    /// once.
     #[must_use]
     pub fn warm_up_left(mut self, now: Duration, left: Option<Duration>) -> Self {
         if let Some(left) = left {
@@ -67,18 +69,19 @@
         self
     }
 
-    /// Whether new work is refused because the backend server leaves.
+    /// Returns whether new work is refused because the backend server is shutting down.
     #[must_use]
     pub const fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Offers a request. An id that is already here is refused.
+    /// Decides whether a request runs, waits or is refused. Refuses an id that already runs or
+    /// waits.
     pub fn offer(&mut self, now: Duration, work: WorkId, class: WorkClass) -> GateDecision {
         if self.closed {
             return refused(RefusalCode::Draining, None);
         }
-        if self.running.contains_key(&work) || self.lanes.holds(work) {
+        if self.running.contains_key(&work) || self.lanes.contains(work) {
             return refused(RefusalCode::Overloaded, None);
         }
         if class.deadline <= now {
@@ -86,86 +89,100 @@
         }
         let key = LaneKey::of(work, &class);
         let cost = self.estimate.cost(class.expected);
-        if self.may_start(now, &class.customer) {
-            self.start(now, class.customer, key, cost);
+        if self.can_start(now, &class.customer) {
+            self.start_now(now, class.customer, key, cost);
             return GateDecision::Run;
         }
-        let wait = self.wait_for(now, &class.customer, &key, cost);
+        let wait = self.expected_wait(now, &class.customer, &key, cost);
         let meets_deadline = now + wait + cost <= class.deadline;
-        if !meets_deadline || !self.has_room(now, &class.customer, cost) {
+        if !meets_deadline || !self.can_queue(now, &class.customer, cost) {
             let retry_after = self.retry_after(now, cost);
             return refused(RefusalCode::Overloaded, Some(retry_after));
         }
         let queued = QueuedWork { cost };
         self.lanes.push(class.customer, key, queued);
-        self.note_delay(now);
+        self.update_overload(now);
         GateDecision::Queued
     }
 
-    /// The class of work that is of full worth only when it starts within `patience`: it is refused
-    /// rather than kept waiting longer.
+    /// Returns `class` with its deadline moved up so that the work starts within `max_wait`.
+    ///
+    /// For work that loses its value if it starts later: the gate refuses it instead of queueing it
+    /// for longer.
     #[must_use]
     pub fn start_within(
         &self,
         now: Duration,
         class: WorkClass,
-        patience: Option<Duration>,
+        max_wait: Option<Duration>,
     ) -> WorkClass {
-        let Some(patience) = patience else {
+        let Some(max_wait) = max_wait else {
             return class;
         };
-        let latest = now + patience + self.estimate.cost(class.expected);
+        let latest = now + max_wait + self.estimate.cost(class.expected);
         WorkClass {
             deadline: class.deadline.min(latest),
             ..class
         }
     }
 
-    /// Frees the slot of work that ended without telling how long work takes.
+    /// Frees the slot of work that ended without a valid service time sample.
     pub fn released(&mut self, now: Duration, work: WorkId, out: &mut Vec<GateCommand>) {
-        if let Some(done) = self.running.remove(&work) {
-            let took = now.saturating_sub(done.since);
-            self.lanes.ended(&done.customer, &done.key, done.cost, took);
+        if let Some(finished_work) = self.running.remove(&work) {
+            let elapsed = now.saturating_sub(finished_work.since);
+            self.lanes.ended(
+                &finished_work.customer,
+                &finished_work.key,
+                finished_work.cost,
+                elapsed,
+            );
         }
         self.tick(now, out);
     }
 
-    /// Frees the slot of finished work and starts what waits.
+    /// Frees the slot of finished work, records its service time and starts queued work.
     pub fn finished(&mut self, now: Duration, work: WorkId, out: &mut Vec<GateCommand>) {
-        if let Some(done) = self.running.remove(&work) {
-            let took = now.saturating_sub(done.since);
-            self.estimate.learn(took);
-            self.lanes.ended(&done.customer, &done.key, done.cost, took);
+        if let Some(finished_work) = self.running.remove(&work) {
+            let elapsed = now.saturating_sub(finished_work.since);
+            self.estimate.record(elapsed);
+            self.lanes.ended(
+                &finished_work.customer,
+                &finished_work.key,
+                finished_work.cost,
+                elapsed,
+            );
         }
         self.tick(now, out);
     }
 
-    /// Forgets work that its caller gave up. True means that it was queued and is now gone,
-    /// certainly not run. Work that runs keeps its slot until [`Self::finished`], because the
-    /// backend server is busy until it has taken note of the cancellation.
+    /// Removes queued work that its caller cancelled.
+    ///
+    /// Returns true if the work was queued, in which case it has not run. Running work keeps its
+    /// slot until [`Self::finished`], because the backend server stays busy until it has processed
+    /// the cancellation.
     pub fn cancel(&mut self, _now: Duration, work: WorkId) -> bool {
         self.lanes.remove(work)
     }
 
-    /// Refuses queued work that can no longer meet its deadline and starts what fits.
+    /// Refuses queued work that can no longer meet its deadline, and starts work in free slots.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<GateCommand>) {
-        self.refuse_late(now, out);
-        while self.has_slot(now) {
-            let most = self.reserve.most(self.open_slots(now));
-            let Some(next) = self.lanes.pop(most) else {
+        self.refuse_expired(now, out);
+        while self.has_free_slot(now) {
+            let max_running = self.reserve.max_running(self.open_slots(now));
+            let Some(next) = self.lanes.pop(max_running) else {
                 break;
             };
             let work = next.key.work();
-            self.run(now, next.customer, next.key, next.queued.cost);
+            self.occupy_slot(now, next.customer, next.key, next.queued.cost);
             out.push(GateCommand::Start { work });
         }
-        self.note_delay(now);
+        self.update_overload(now);
     }
 
-    fn refuse_late(&mut self, now: Duration, out: &mut Vec<GateCommand>) {
-        let mut late = std::mem::take(&mut self.late);
-        self.lanes.remove_late(now, &mut late);
-        for work in late.drain(..) {
+    fn refuse_expired(&mut self, now: Duration, out: &mut Vec<GateCommand>) {
+        let mut expired = std::mem::take(&mut self.expired);
+        self.lanes.remove_expired(now, &mut expired);
+        for work in expired.drain(..) {
             let cost = self.estimate.cost(Duration::ZERO);
             let retry_after = Some(self.retry_after(now, cost));
             let code = RefusalCode::Overloaded;
@@ -175,34 +192,34 @@
                 retry_after,
             });
         }
-        self.late = late;
+        self.expired = expired;
     }
 
-    /// Refuses new work from now on; what runs or waits is finished.
+    /// Refuses new work from now on. Running and queued work is still finished.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Takes new work again for a backend server that started cold at `now`.
+    /// Accepts new work again, for a backend server that started cold at `now`.
     pub fn reopen(&mut self, now: Duration) {
         self.closed = false;
         self.started_at = now;
         self.estimate = ServiceEstimate::new(self.settings.first_service_time);
     }
 
-    /// Whether nothing runs or waits.
+    /// Returns whether no work runs or waits.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.lanes.len() == 0
     }
 
-    /// Whether queue delay has been above the target for some time.
+    /// Returns whether the queue delay has been above the target for `overload_after`.
     #[must_use]
     pub const fn is_overloaded(&self) -> bool {
         self.overloaded
     }
 
-    /// The load at present.
+    /// Returns the present load.
     #[must_use]
     pub fn load(&self, now: Duration) -> GateLoad {
         GateLoad {
@@ -213,11 +230,10 @@
         }
     }
 
-    /// Slots open at present: one at a cold start, then evenly more until all are.
+    /// Returns the number of open slots: one at a cold start, then linearly more up to all slots.
     ///
-    /// Failure: a backend server that starts cold gets a full load at once. Symptom: its first
-    /// requests all time out together. Opening the slots one after the other lets each request
-    /// warm it for the next.
+    /// With all slots open at once, the first requests to a cold backend server would all time out
+    /// together. Opening the slots gradually lets each request warm the server up for the next.
     fn open_slots(&self, now: Duration) -> u32 {
         let age = now.saturating_sub(self.started_at);
         let slots = self.settings.slots;
@@ -229,23 +245,25 @@
         1 + u32::try_from(opened).unwrap_or(slots)
     }
 
-    fn has_slot(&self, now: Duration) -> bool {
+    fn has_free_slot(&self, now: Duration) -> bool {
         self.running.len() < self.open_slots(now) as usize
     }
 
-    /// Whether a new request of this customer runs at once: a slot is free and nobody who may have
-    /// it waits.
-    fn may_start(&self, now: Duration, customer: &CustomerName) -> bool {
-        let most = self.reserve.most(self.open_slots(now));
-        self.has_slot(now) && self.lanes.running_of(customer) < most && !self.lanes.may_pop(most)
+    /// Returns whether a new request of this customer may run at once: a slot is free and no queued
+    /// work is eligible for it.
+    fn can_start(&self, now: Duration, customer: &CustomerName) -> bool {
+        let max_running = self.reserve.max_running(self.open_slots(now));
+        self.has_free_slot(now)
+            && self.lanes.running_of(customer) < max_running
+            && !self.lanes.can_pop(max_running)
     }
 
-    fn start(&mut self, now: Duration, customer: CustomerName, key: LaneKey, cost: Duration) {
+    fn start_now(&mut self, now: Duration, customer: CustomerName, key: LaneKey, cost: Duration) {
         self.lanes.started(&customer, &key, cost);
-        self.run(now, customer, key, cost);
+        self.occupy_slot(now, customer, key, cost);
     }
 
-    fn run(&mut self, now: Duration, customer: CustomerName, key: LaneKey, cost: Duration) {
+    fn occupy_slot(&mut self, now: Duration, customer: CustomerName, key: LaneKey, cost: Duration) {
         let running = self.lanes.running_of(&customer);
         let slots = self.open_slots(now);
         self.reserve.started(now, &customer, running, slots);
@@ -258,8 +276,8 @@
         self.running.insert(key.work(), work);
     }
 
-    /// Expected wait of a new request.
-    fn wait_for(
+    /// Returns the expected queueing time of a new request.
+    fn expected_wait(
         &self,
         now: Duration,
         customer: &CustomerName,
@@ -267,11 +285,12 @@
         cost: Duration,
     ) -> Duration {
         let ahead = self.lanes.cost_ahead(customer, key, cost);
-        (self.running_cost(now) + ahead) / self.open_slots(now)
+        (self.remaining_cost(now) + ahead) / self.open_slots(now)
     }
 
-    /// Service time left of what runs. Work beyond its expected cost counts an eighth of it.
-    fn running_cost(&self, now: Duration) -> Duration {
+    /// Returns the remaining service time of all running work. Work that exceeds its expected cost
+    /// counts as one eighth of that cost.
+    fn remaining_cost(&self, now: Duration) -> Duration {
         let left = |work: &RunningWork| {
             let elapsed = now.saturating_sub(work.since);
             work.cost.saturating_sub(elapsed).max(work.cost / 8)
@@ -279,47 +298,48 @@
         self.running.values().map(left).sum()
     }
 
-    /// Whether the queue takes one more of this customer.
+    /// Returns whether the queue accepts one more request of this customer.
     ///
-    /// Failure: one customer's flood fills the queue. Symptom: others are refused though their
-    /// turn would come at once. A customer may queue no more than what is still free, so that
-    /// there is always room for others.
-    fn has_room(&self, now: Duration, customer: &CustomerName, cost: Duration) -> bool {
+    /// A customer may queue no more requests than there are free places, so that a flood from one
+    /// customer cannot fill the queue and get the requests of others refused.
+    fn can_queue(&self, now: Duration, customer: &CustomerName, cost: Duration) -> bool {
         let limit = self.settings.queue as usize;
         let free = limit.saturating_sub(self.lanes.len());
-        if free == 0 || self.lanes.len_of(customer) >= free {
+        if free == 0 || self.lanes.queued_of(customer) >= free {
             return false;
         }
-        !self.overloaded || self.keeps_target(now, customer, cost)
+        !self.overloaded || self.meets_target_delay(now, customer, cost)
     }
 
-    /// Whether the queue with one more would still be worked off within the target delay, or the
-    /// customer's part of it within its part of the delay.
-    fn keeps_target(&self, now: Duration, customer: &CustomerName, cost: Duration) -> bool {
+    /// Returns whether the queue with one more request drains within the target delay, or the
+    /// customer's part of the queue within its part of that delay.
+    fn meets_target_delay(&self, now: Duration, customer: &CustomerName, cost: Duration) -> bool {
         let target = self.settings.target_delay * self.open_slots(now);
-        let lanes = u32::try_from(self.lanes.waiting_count()).unwrap_or(u32::MAX);
-        let own = self.lanes.cost_of(customer) + cost;
+        let lanes = u32::try_from(self.lanes.waiting_customer_count()).unwrap_or(u32::MAX);
+        let own = self.lanes.queued_cost_of(customer) + cost;
         own <= target / lanes.max(1) || self.lanes.total_cost() + cost <= target
     }
 
-    /// Takes note of how long the queue takes. Overload is a queue that stayed above the target
-    /// delay for some time; a short burst may use the whole queue. It is over when the queue has
-    /// fallen to half of the target, so that it does not come and go with each request.
-    fn note_delay(&mut self, now: Duration) {
+    /// Updates the overload state from the present queue delay.
+    ///
+    /// Overload begins when the delay has been above the target for `overload_after`, so that a
+    /// short burst may use the whole queue. Overload ends when the delay falls below half of the
+    /// target, so that the state does not flap with each request.
+    fn update_overload(&mut self, now: Duration) {
         let delay = self.lanes.total_cost() / self.open_slots(now);
         if delay < self.settings.target_delay / 2 {
-            self.slow_since = None;
+            self.above_target_since = None;
             self.overloaded = false;
         } else if delay > self.settings.target_delay {
-            let since = *self.slow_since.get_or_insert(now);
+            let since = *self.above_target_since.get_or_insert(now);
             self.overloaded |= now >= since + self.settings.overload_after;
         }
     }
 
     fn retry_after(&mut self, now: Duration, cost: Duration) -> Duration {
         let slots = self.open_slots(now);
-        let drained = (self.running_cost(now) + self.lanes.total_cost()) / slots;
-        self.hint.next(now, drained, cost / slots)
+        let drain_time = (self.remaining_cost(now) + self.lanes.total_cost()) / slots;
+        self.pacer.next(now, drain_time, cost / slots)
     }
 }
 
--- a/crates/limits/src/admission/lane.rs
+++ b/crates/limits/src/admission/lane.rs
@@ -1,8 +1,9 @@
-//! Queued work by customer, taken in the order of weighted fair queueing.
+//! Queued work by customer, scheduled by weighted fair queueing.
 //!
-//! Each customer with work here has a lane. A lane's virtual time is the service time it was given,
-//! divided by the weight of the work. The lane with the least virtual time goes next, so that a
-//! customer who asks for little waits for one slot to free and not behind a flood.
+//! Each customer with running or queued work has a lane. The virtual time of a lane is the service
+//! time that the customer has used, divided by the weight of the work. The lane with the least
+//! virtual time goes next, so that a customer with few requests waits for one slot to become free
+//! and not behind the flood of another customer.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,10 +13,10 @@
 
 use super::{WorkClass, WorkId};
 
-/// Greatest priority that still adds weight.
-const GREATEST_WEIGHT: u8 = 9;
+/// Highest priority that still adds weight.
+const MAX_WEIGHT_PRIORITY: u8 = 9;
 
-/// Order of work within a lane: greater priority, then earlier deadline, then as it came.
+/// Order of work within a lane: higher priority first, then earlier deadline, then smaller id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaneKey {
     priority: Reverse<u8>,
@@ -24,7 +25,7 @@
 }
 
 impl LaneKey {
-    /// The key of work.
+    /// Returns the key of the given work.
     #[must_use]
     pub const fn of(work: WorkId, class: &WorkClass) -> Self {
         Self {
@@ -34,32 +35,32 @@
         }
     }
 
-    /// The work.
+    /// Returns the id of the work.
     #[must_use]
     pub const fn work(&self) -> WorkId {
         self.work
     }
 
     fn weight(&self) -> u32 {
-        u32::from(self.priority.0.min(GREATEST_WEIGHT)) + 1
+        u32::from(self.priority.0.min(MAX_WEIGHT_PRIORITY)) + 1
     }
 }
 
-/// Work that waits.
+/// Work that waits for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct QueuedWork {
     /// Expected service time.
     pub cost: Duration,
 }
 
-/// Work that left the queue to run.
+/// Work that has left the queue to run.
 #[derive(Debug, Clone)]
 pub struct NextWork {
-    /// Whose.
+    /// Customer that the work belongs to.
     pub customer: CustomerName,
-    /// Which.
+    /// Position and id of the work in its lane.
     pub key: LaneKey,
-    /// Its cost and wait.
+    /// Expected cost of the work.
     pub queued: QueuedWork,
 }
 
@@ -71,56 +72,58 @@
     virtual_time: Duration,
 }
 
-/// The lanes of one gate.
+/// Lanes of one gate.
 #[derive(Debug, Default)]
 pub struct LaneSet {
     lanes: BTreeMap<CustomerName, CustomerLane>,
-    places: BTreeMap<WorkId, (CustomerName, LaneKey)>,
+    locations: BTreeMap<WorkId, (CustomerName, LaneKey)>,
     virtual_time: Duration,
 }
 
 impl LaneSet {
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// Whether this work waits.
+    /// Returns whether this work is queued.
     #[must_use]
-    pub fn holds(&self, work: WorkId) -> bool {
-        self.places.contains_key(&work)
+    pub fn contains(&self, work: WorkId) -> bool {
+        self.locations.contains_key(&work)
     }
 
-    /// Requests of one customer that wait.
+    /// Returns the number of queued requests of one customer.
     #[must_use]
-    pub fn len_of(&self, customer: &CustomerName) -> usize {
+    pub fn queued_of(&self, customer: &CustomerName) -> usize {
         self.lanes.get(customer).map_or(0, |lane| lane.queued.len())
     }
 
-    /// Customers with work that waits.
+    /// Returns the number of customers with queued work.
     #[must_use]
-    pub fn waiting_count(&self) -> usize {
+    pub fn waiting_customer_count(&self) -> usize {
         let lanes = self.lanes.values();
         lanes.filter(|lane| !lane.queued.is_empty()).count()
     }
 
-    /// Service time of what waits of one customer.
+    /// Returns the expected service time of the queued work of one customer.
     #[must_use]
-    pub fn cost_of(&self, customer: &CustomerName) -> Duration {
+    pub fn queued_cost_of(&self, customer: &CustomerName) -> Duration {
         self.lanes
             .get(customer)
             .map_or(Duration::ZERO, |lane| lane.cost)
     }
 
-    /// Service time of all that waits.
+    /// Returns the expected service time of all queued work.
     #[must_use]
     pub fn total_cost(&self) -> Duration {
         self.lanes.values().map(|lane| lane.cost).sum()
     }
 
-    /// Service time of what goes before a new request of a customer: what its own lane puts before
-    /// it, and of every other lane at most as much again.
+    /// Returns the expected service time of the work that runs before a new request of a customer.
+    ///
+    /// Counts the work ahead of the request in its own lane and, for every other lane, at most as
+    /// much as the own lane needs up to and including the request.
     #[must_use]
     pub fn cost_ahead(&self, customer: &CustomerName, key: &LaneKey, cost: Duration) -> Duration {
         let own = self.lanes.get(customer).map_or(Duration::ZERO, |lane| {
@@ -133,19 +136,19 @@
             .sum::<Duration>()
     }
 
-    /// Adds work.
+    /// Adds work to the queue.
     pub fn push(&mut self, customer: CustomerName, key: LaneKey, queued: QueuedWork) {
-        let floor = self.virtual_time;
+        let min_virtual_time = self.virtual_time;
         let lane = self.lanes.entry(customer.clone()).or_default();
-        lane.virtual_time = lane.virtual_time.max(floor);
+        lane.virtual_time = lane.virtual_time.max(min_virtual_time);
         lane.cost += queued.cost;
         lane.queued.insert(key, queued);
-        self.places.insert(key.work, (customer, key));
+        self.locations.insert(key.work, (customer, key));
     }
 
-    /// Removes work that waits.
+    /// Removes queued work. Returns false if the work is not queued.
     pub fn remove(&mut self, work: WorkId) -> bool {
-        let Some((customer, key)) = self.places.remove(&work) else {
+        let Some((customer, key)) = self.locations.remove(&work) else {
             return false;
         };
         if let Some(lane) = self.lanes.get_mut(&customer)
@@ -157,32 +160,35 @@
         true
     }
 
-    /// Requests of one customer that run.
+    /// Returns the number of running requests of one customer.
     #[must_use]
     pub fn running_of(&self, customer: &CustomerName) -> u32 {
         self.lanes.get(customer).map_or(0, |lane| lane.running)
     }
 
-    /// Whether any work waits of a customer who runs less than `most`.
+    /// Returns whether there is queued work of a customer with fewer than `max_running` running
+    /// requests.
     #[must_use]
-    pub fn may_pop(&self, most: u32) -> bool {
+    pub fn can_pop(&self, max_running: u32) -> bool {
         let mut lanes = self.lanes.values();
-        lanes.any(|lane| !lane.queued.is_empty() && lane.running < most)
+        lanes.any(|lane| !lane.queued.is_empty() && lane.running < max_running)
     }
 
-    /// Takes the work that goes next and counts it as running. Customers who run `most` wait.
-    pub fn pop(&mut self, most: u32) -> Option<NextWork> {
+    /// Removes the next work from the queue and counts it as running.
+    ///
+    /// Skips customers that already have `max_running` running requests.
+    pub fn pop(&mut self, max_running: u32) -> Option<NextWork> {
         let waiting = self
             .lanes
             .iter()
-            .filter(|(_, lane)| !lane.queued.is_empty() && lane.running < most);
+            .filter(|(_, lane)| !lane.queued.is_empty() && lane.running < max_running);
         let (customer, _) = waiting.min_by_key(|(name, lane)| (lane.virtual_time, *name))?;
         let customer = customer.clone();
         let lane = self.lanes.get_mut(&customer)?;
         let (key, queued) = lane.queued.pop_first()?;
         lane.cost = lane.cost.saturating_sub(queued.cost);
         self.virtual_time = self.virtual_time.max(lane.virtual_time);
-        self.places.remove(&key.work);
+        self.locations.remove(&key.work);
         self.started(&customer, &key, queued.cost);
         Some(NextWork {
             customer,
@@ -191,29 +197,31 @@
         })
     }
 
-    /// Counts work that runs, and charges its expected cost to the customer.
+    /// Counts work as running and charges its expected cost to the customer.
     pub fn started(&mut self, customer: &CustomerName, key: &LaneKey, cost: Duration) {
-        let floor = self.virtual_time;
+        let min_virtual_time = self.virtual_time;
         let lane = self.lanes.entry(customer.clone()).or_default();
         lane.running += 1;
-        lane.virtual_time = lane.virtual_time.max(floor) + cost / key.weight();
+        lane.virtual_time = lane.virtual_time.max(min_virtual_time) + cost / key.weight();
     }
 
-    /// Counts the end of work, and corrects the charge to what it really took. A lane does not fall
-    /// behind the virtual time by that, or it would go before a customer who has just come.
+    /// Counts the end of work and corrects the charge to the actual service time.
+    ///
+    /// The correction does not move a lane below the common virtual time. Otherwise the lane would
+    /// get ahead of a customer that has just arrived.
     pub fn ended(
         &mut self,
         customer: &CustomerName,
         key: &LaneKey,
         charged: Duration,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        let floor = self.virtual_time;
+        let min_virtual_time = self.virtual_time;
         if let Some(lane) = self.lanes.get_mut(customer) {
             lane.running = lane.running.saturating_sub(1);
-            let time = lane.virtual_time + took / key.weight();
+            let time = lane.virtual_time + elapsed / key.weight();
             let corrected = time.saturating_sub(charged / key.weight());
-            lane.virtual_time = corrected.max(floor.min(lane.virtual_time));
+            lane.virtual_time = corrected.max(min_virtual_time.min(lane.virtual_time));
         }
         self.drop_empty(customer);
     }
@@ -225,14 +233,14 @@
         }
     }
 
-    /// Removes the work whose deadline can no longer be met.
-    pub fn remove_late(&mut self, now: Duration, late: &mut Vec<WorkId>) {
+    /// Removes queued work that can no longer meet its deadline and appends its ids to `expired`.
+    pub fn remove_expired(&mut self, now: Duration, expired: &mut Vec<WorkId>) {
         for lane in self.lanes.values() {
             let queued = lane.queued.iter();
             let missed = queued.filter(|(key, queued)| now + queued.cost > key.deadline);
-            late.extend(missed.map(|(key, _)| key.work));
+            expired.extend(missed.map(|(key, _)| key.work));
         }
-        for work in late.iter() {
+        for work in expired.iter() {
             self.remove(*work);
         }
     }
--- a/crates/limits/src/admission/mod.rs
+++ b/crates/limits/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission beside a backend server: slots, a bounded queue and refusals at once.
+//! Admission control in front of a backend server: slots, a bounded queue and early refusals.
 //!
 //! ```text
 //! offer -> [deadline too near? refuse] -> [slot free? run] -> [queue full? refuse] -> queued
@@ -20,70 +20,73 @@
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::{CustomerName, RefusalCode};
 
-/// Number of one piece of work, unique on its node.
+/// Identifier of a unit of work, unique on its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkId(pub u64);
 
-/// What admission needs to know of a request.
+/// Properties of a request that admission depends on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkClass {
-    /// Whose request.
+    /// Customer that sent the request.
     pub customer: CustomerName,
-    /// Greater goes first among the work of one customer, and gives a greater share of contended
-    /// slots between customers: 0 counts once, 9 and above count ten times.
+    /// Priority; a higher value goes first among the work of one customer.
+    ///
+    /// Also the weight of the work when customers compete for slots: priority 0 weighs 1, priority
+    /// 9 and above weigh 10.
     pub priority: u8,
-    /// When the caller stops waiting, as time since the node started.
+    /// Time at which the caller stops waiting, since the node started.
     pub deadline: Duration,
-    /// Expected service time where the caller side knows one, else zero.
+    /// Expected service time if the calling side knows one, else zero.
     pub expected: Duration,
 }
 
-/// Answer to an offer.
+/// Decision on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GateDecision {
-    /// Run it now; a slot is taken until [`SlotGate::finished`] or [`SlotGate::cancel`].
+    /// Run the request now. The slot is taken until [`SlotGate::finished`] or
+    /// [`SlotGate::released`].
     Run,
     /// Wait for [`GateCommand::Start`] or [`GateCommand::Refuse`].
     Queued,
-    /// It does not run.
+    /// Do not run the request.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         code: RefusalCode,
-        /// When a slot is expected for work like it.
+        /// Expected time until a slot is free for similar work.
         retry_after: Option<Duration>,
     },
 }
 
-/// What to do with queued work.
+/// Command for queued work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GateCommand {
-    /// Run it now; a slot is taken.
+    /// Run the work now. A slot is taken.
     Start {
-        /// Which.
+        /// Work to start.
         work: WorkId,
     },
-    /// Answer it as not run.
+    /// Refuse the work as not run.
     Refuse {
-        /// Which.
+        /// Work to refuse.
         work: WorkId,
-        /// Why.
+        /// Reason of the refusal.
         code: RefusalCode,
-        /// When a slot is expected for work like it.
+        /// Expected time until a slot is free for similar work.
         retry_after: Option<Duration>,
     },
 }
 
-/// Load of one gate, told on each reply.
+/// Load of one gate, reported with each reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateLoad {
-    /// Slots taken.
+    /// Occupied slots.
     pub in_use: u32,
-    /// Slots open at present; fewer than configured while starting.
+    /// Open slots; fewer than configured during warm-up.
     pub slots: u32,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: u32,
-    /// Whether new work is refused because the backend server is leaving.
+    /// Whether new work is refused because the backend server is shutting down.
     pub closed: bool,
 }
--- a/crates/limits/src/admission/reserve.rs
+++ b/crates/limits/src/admission/reserve.rs
@@ -1,53 +1,57 @@
-//! One slot kept from a customer who would take them all.
+//! Reservation of one slot against a customer that occupies all of them.
 //!
-//! Failure: one customer's flood holds every slot. Symptom: each request of the others waits for
-//! the end of somebody else's, so that their slowest replies get slower though they ask for little.
-//! While others use a tenth of the backend server or more, a customer may hold all slots but one.
-//! When they use less, the slot would stand idle most of the time, and they wait for one to free.
+//! When a flood from one customer holds every slot, each request of the other customers waits for
+//! one of that customer's requests to end, which raises their tail latency although they send
+//! little. While the others account for at least a tenth of the started work, a customer may hold
+//! all slots but one. Below that, the reserved slot would be idle most of the time, and the others
+//! wait for a slot to become free.
 
 use std::time::Duration;
 
 use sycamorelink_core::CustomerName;
 
-/// How often the others' part is taken stock of.
-const STOCK_WINDOW: Duration = Duration::from_secs(2);
-/// Others' part of the started work from which on a slot is kept, as one part in this many.
-const OTHERS_PART: u32 = 10;
-/// Slots from which on one is kept.
-const LEAST_SLOTS: u32 = 3;
+/// Interval between two evaluations of the work started by other customers.
+const EVALUATION_WINDOW: Duration = Duration::from_secs(2);
+/// Inverse of the smallest fraction of started work by other customers for which a slot is
+/// reserved.
+const OTHERS_DIVISOR: u32 = 10;
+/// Smallest number of slots of which one is reserved.
+const MIN_SLOTS: u32 = 3;
 
-/// The rule for the last slot.
+/// State of the slot reservation.
 #[derive(Debug, Default)]
 pub struct SlotReserve {
-    heavy: Option<CustomerName>,
+    heavy_customer: Option<CustomerName>,
     window_start: Duration,
     started: u32,
-    by_others: u32,
-    keeps: bool,
+    started_by_others: u32,
+    is_reserving: bool,
 }
 
 impl SlotReserve {
-    /// Takes note of started work; `running` counts that of the same customer with it.
+    /// Records started work. `running` is the number of running requests of its customer, including
+    /// the new one.
     pub fn started(&mut self, now: Duration, customer: &CustomerName, running: u32, slots: u32) {
-        if running + 1 >= slots && self.heavy.as_ref() != Some(customer) {
-            self.heavy = Some(customer.clone());
+        if running + 1 >= slots && self.heavy_customer.as_ref() != Some(customer) {
+            self.heavy_customer = Some(customer.clone());
             self.started = 0;
-            self.by_others = 0;
+            self.started_by_others = 0;
         }
         self.started += 1;
-        self.by_others += u32::from(self.heavy.as_ref() != Some(customer));
-        if now >= self.window_start + STOCK_WINDOW {
-            self.keeps = self.heavy.is_some() && self.by_others * OTHERS_PART >= self.started;
+        self.started_by_others += u32::from(self.heavy_customer.as_ref() != Some(customer));
+        if now >= self.window_start + EVALUATION_WINDOW {
+            self.is_reserving = self.heavy_customer.is_some()
+                && self.started_by_others * OTHERS_DIVISOR >= self.started;
             self.window_start = now;
             self.started = 0;
-            self.by_others = 0;
+            self.started_by_others = 0;
         }
     }
 
-    /// Slots that one customer may hold.
+    /// Returns the maximum number of slots that one customer may hold.
     #[must_use]
-    pub fn most(&self, slots: u32) -> u32 {
-        if self.keeps && slots >= LEAST_SLOTS {
+    pub fn max_running(&self, slots: u32) -> u32 {
+        if self.is_reserving && slots >= MIN_SLOTS {
             slots - 1
         } else {
             slots
--- a/crates/limits/src/admission/settings.rs
+++ b/crates/limits/src/admission/settings.rs
@@ -47,11 +47,11 @@
 }
 
 impl GateSettings {
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Every finding with its place under `place`.
+    /// Returns every finding, with its path below `place`.
     pub fn validate(&self, place: &str) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         findings.expect(
--- a/crates/limits/src/crash/entry.rs
+++ b/crates/limits/src/crash/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one signature.
+//! Evidence about one request signature.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,24 +7,26 @@
 
 use super::{CrashCheck, CrashEvidence, CrashSignature, CrashVictim};
 
-/// Backend servers one request may crash before it is stopped.
-const STOP_AT: usize = 2;
-/// Victims kept of one signature. More than [`STOP_AT`] only so that a clearing can name them.
-const VICTIMS_KEPT: usize = 8;
+/// Number of backend servers that one request may crash before it is blocked.
+const CRASH_LIMIT: usize = 2;
+/// Maximum number of victims that an entry stores. Exceeds [`CRASH_LIMIT`] only so that a clearing
+/// can name the victims.
+const MAX_VICTIMS: usize = 8;
 
-/// What is known of one signature. Both sets only grow, so that evidence may arrive in any order
-/// and any number of times.
+/// Evidence about one request signature.
+///
+/// Both sets only grow, so that evidence may arrive in any order and any number of times.
 #[derive(Debug, Clone)]
 pub struct CrashEntry {
     service: ServiceName,
     victims: BTreeSet<CrashVictim>,
     cleared: BTreeSet<CrashVictim>,
-    /// When the last new victim was learned of.
+    /// Time at which the newest victim was added.
     pub changed_at: Duration,
 }
 
 impl CrashEntry {
-    /// Nothing known yet.
+    /// Creates an entry without evidence.
     #[must_use]
     pub fn new(now: Duration, service: ServiceName) -> Self {
         Self {
@@ -35,13 +37,13 @@
         }
     }
 
-    /// The service.
+    /// Returns the service that the request belongs to.
     #[must_use]
     pub const fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// Adds evidence. True when any of it was new.
+    /// Adds evidence. Returns true if any of it was new.
     pub fn merge<V, C>(&mut self, now: Duration, victims: V, cleared: C) -> bool
     where
         V: IntoIterator<Item = CrashVictim>,
@@ -49,12 +51,12 @@
     {
         let before = (self.victims.len(), self.cleared.len());
         for victim in victims {
-            if self.victims.len() < VICTIMS_KEPT {
+            if self.victims.len() < MAX_VICTIMS {
                 self.victims.insert(victim);
             }
         }
         for victim in cleared {
-            if self.cleared.len() < VICTIMS_KEPT {
+            if self.cleared.len() < MAX_VICTIMS {
                 self.cleared.insert(victim);
             }
         }
@@ -64,36 +66,41 @@
         before != (self.victims.len(), self.cleared.len())
     }
 
-    /// A run came to its end: none of the crashes so far was this request's doing.
-    pub fn clear(&mut self) -> bool {
+    /// Clears all known victims after a run that completed. Returns true if any was not cleared
+    /// before.
+    ///
+    /// A completed run shows that the request did not cause the crashes known so far.
+    pub fn mark_cleared(&mut self) -> bool {
         let before = self.cleared.len();
         self.cleared.extend(self.victims.iter().copied());
         self.cleared.len() > before
     }
 
-    /// Crashes that count.
+    /// Returns the number of victims that are not cleared.
     #[must_use]
     pub fn crash_count(&self) -> usize {
         self.victims.difference(&self.cleared).count()
     }
 
-    /// Whether it is stopped.
+    /// Returns whether the request is blocked.
     #[must_use]
-    pub fn is_stopped(&self) -> bool {
-        self.crash_count() >= STOP_AT
+    pub fn is_blocked(&self) -> bool {
+        self.crash_count() >= CRASH_LIMIT
     }
 
-    /// What may be done with it, when it is forgotten after `left`.
+    /// Returns the verdict for the request. `time_left` is the time until the entry expires.
     #[must_use]
-    pub fn check(&self, left: Duration) -> CrashCheck {
+    pub fn check(&self, time_left: Duration) -> CrashCheck {
         match self.crash_count() {
             0 => CrashCheck::Clear,
-            count if count < STOP_AT => CrashCheck::Probation,
-            _ => CrashCheck::Stopped { retry_after: left },
+            count if count < CRASH_LIMIT => CrashCheck::Probation,
+            _ => CrashCheck::Stopped {
+                retry_after: time_left,
+            },
         }
     }
 
-    /// All that is known, for a message.
+    /// Returns all evidence in the form of a message.
     #[must_use]
     pub fn evidence(&self, signature: CrashSignature) -> CrashEvidence {
         CrashEvidence {
--- a/crates/limits/src/crash/mod.rs
+++ b/crates/limits/src/crash/mod.rs
@@ -1,23 +1,27 @@
-//! Requests that crash backend servers.
+//! Detection and blocking of requests that crash backend servers.
 //!
-//! Only the executors of one service can run a request for it, so they are the ones who must know.
-//! When a backend server dies, the node beside it reports every request that ran on it to all
-//! executors of the service and holds the failed answers back until they have acknowledged, for at
-//! most [`CrashSettings::report_wait`]. A resend by the caller comes after the answer, so it meets
-//! executors that know.
+//! Only the executors of a service run its requests, so crash evidence is shared among them. When a
+//! backend server dies, the node beside it reports every request that ran on the server to all
+//! executors of the service. It holds back the failed answers until all executors have acknowledged
+//! the report, for at most [`CrashSettings::report_wait`]. The caller resends only after the
+//! answer, so the resend reaches executors that have the evidence.
+//!
+//! A request is identified by its [`CrashSignature`]. The owner of a signature is the executor that
+//! ranks first for it. A turn is the exclusive permission to run a request on probation; the owner
+//! grants it to one executor at a time.
 //!
 //! ```text
 //! check -> Clear       no crash known: run it
 //!       -> Probation   one crash: run it only with the turn from the owner, one at a time
-//!       -> Stopped     two crashes of distinct lives of backend servers: final answer, not run
+//!       -> Stopped     two crashes, counted by incarnation of a backend server: blocked, not run
 //!
 //! Crashed   -> Report to all executors of the service -> acknowledged -> Release the answers
-//! completed -> Cleared to all executors: what completes was beside the cause, not the cause
+//! completed -> Cleared to all executors: the request did not cause the crash
 //! ```
 //!
-//! The requests that ran beside the cause are suspects after the first crash too. They go on, one
-//! at a time, until one of them completes. The owner of a signature is the executor that ranks
-//! first for it; when it cannot be asked, the request is refused as not run.
+//! Requests that ran beside the cause are also suspects after the first crash. They run one at a
+//! time until one run completes. If the owner of a signature is unreachable, the request is refused
+//! as not run.
 
 mod entry;
 mod registry;
@@ -33,16 +37,16 @@
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::{InstanceId, NodeIncarnation, ServiceName, UpstreamId, stable_hash};
 
-/// Exact identity of a request for crash purposes.
+/// Identity of a request for crash detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashSignature(pub u64);
 
 impl CrashSignature {
-    /// The signature of a request. `target` is the method, path and query, `body` a fingerprint of
-    /// the whole body.
+    /// Returns the signature of a request.
     ///
-    /// The idempotency key is left out: a caller who sends the same request again with a new key
-    /// would otherwise crash two more backend servers with each key.
+    /// `target` is the method, path and query, `body` a fingerprint of the whole body. The
+    /// idempotency key is left out: otherwise a caller that resends the same request with a new key
+    /// would crash two more backend servers with each key.
     #[must_use]
     pub fn of(customer: &str, target: &str, body: u64) -> Self {
         Self(stable_hash(&[
@@ -53,137 +57,138 @@
     }
 }
 
-/// One life of one backend server that ended while it ran a request. Equal reports of the same
-/// crash, by whatever way, count once.
+/// Incarnation of a backend server that died while it ran a request.
+///
+/// Reports of the same crash count once, however they arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashVictim {
-    /// The upstream.
+    /// Upstream of the backend server.
     pub upstream: UpstreamId,
-    /// Its life.
+    /// Incarnation of the backend server that died.
     pub incarnation: NodeIncarnation,
 }
 
-/// What is known of a signature before it runs.
+/// Verdict on a request before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CrashCheck {
-    /// No crash is known: run it.
+    /// No crash is known: run the request.
     Clear,
-    /// One crash is known: call [`CrashRegistry::ask_turn`] and run only after a granted
-    /// [`CrashCommand::Turn`].
+    /// One crash is known: call [`CrashRegistry::ask_turn`] and run the request only after a
+    /// granted [`CrashCommand::Turn`].
     Probation,
-    /// It is stopped in the whole fleet: answer `crash-request`, not run.
+    /// The request is blocked in the whole fleet: answer `crash-request`, not run.
     Stopped {
-        /// When it is forgotten.
+        /// Time until the block expires.
         retry_after: Duration,
     },
 }
 
-/// What one node knows about one request.
+/// Evidence that one node has about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
-    /// The service.
+    /// Service that the request belongs to.
     pub service: ServiceName,
-    /// The request.
+    /// Signature of the request.
     pub signature: CrashSignature,
-    /// Backend servers that died while they ran it.
+    /// Backend servers that died while they ran the request.
     pub victims: Vec<CrashVictim>,
-    /// Those of them that were followed by a run to the end.
+    /// Victims after which a run of the request completed. They no longer count.
     pub cleared: Vec<CrashVictim>,
 }
 
-/// Messages between executors of a service.
+/// Message between executors of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashMessage {
-    /// What the sender knows.
+    /// Sends the evidence that the sender has.
     Report {
-        /// Acknowledged with this number, unless it is zero.
+        /// Number of the report to acknowledge; zero asks for no acknowledgement.
         number: u64,
-        /// The evidence.
+        /// Evidence, one entry for each request.
         evidence: Vec<CrashEvidence>,
     },
-    /// A report was taken in.
+    /// Confirms that a report was processed.
     Acknowledged {
-        /// Its number.
+        /// Number of the report.
         number: u64,
     },
     /// Asks the owner for the turn to run a request on probation.
     TurnAsk {
-        /// Number of the ask at the asker.
+        /// Number that the asking node gave to its request for the turn.
         ask: u64,
-        /// What the asker knows of it.
+        /// Evidence that the asking node has.
         evidence: CrashEvidence,
     },
-    /// Gives a turn back unused.
+    /// Returns a turn that was not used.
     TurnBack {
-        /// The request.
+        /// Signature of the request.
         signature: CrashSignature,
     },
-    /// The owner's answer.
+    /// Answers a [`CrashMessage::TurnAsk`].
     TurnReply {
-        /// Number of the ask.
+        /// Number of the request for the turn.
         ask: u64,
-        /// Whether it may run now.
+        /// Whether the request may run now.
         granted: bool,
-        /// What the owner knows of it.
+        /// Evidence that the owner has.
         evidence: CrashEvidence,
     },
 }
 
-/// What happened.
+/// Input of a [`CrashRegistry`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashEvent {
-    /// The executors of a service that this node is one of.
+    /// The executors of a service have changed. This node is one of them.
     Executors {
-        /// The service.
+        /// Service of the executors.
         service: ServiceName,
-        /// Living executors, this node included.
+        /// Live executors, including this node.
         members: Vec<InstanceId>,
     },
     /// A backend server of this node died.
     Crashed {
-        /// The service.
+        /// Service of the backend server.
         service: ServiceName,
-        /// Which life of which upstream.
+        /// Upstream and incarnation of the backend server.
         victim: CrashVictim,
-        /// Every request that ran on it.
+        /// Every request that ran on the backend server.
         running: Vec<CrashSignature>,
     },
     /// A message arrived.
     Received {
-        /// From whom.
+        /// Sender.
         from: InstanceId,
-        /// What.
+        /// Content of the message.
         message: CrashMessage,
     },
 }
 
-/// What to do.
+/// Output of a [`CrashRegistry`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashCommand {
-    /// Send to one node.
+    /// Send a message to one node.
     Send {
-        /// To whom.
+        /// Receiver.
         to: InstanceId,
-        /// What.
+        /// Content of the message.
         message: CrashMessage,
     },
-    /// The failed answers of the requests that ran on this backend server may go to their callers.
+    /// Send the failed answers of the requests that ran on this backend server to their callers.
     Release {
-        /// The backend server.
+        /// Backend server that died.
         victim: CrashVictim,
-        /// Executors that have not acknowledged in time.
+        /// Executors that have not acknowledged the report in time.
         missing: u32,
     },
-    /// Answer to [`CrashRegistry::ask_turn`].
+    /// Result of [`CrashRegistry::ask_turn`].
     Turn {
-        /// Number of the ask.
+        /// Number of the request for the turn.
         ask: u64,
-        /// The request.
+        /// Signature of the request.
         signature: CrashSignature,
-        /// Whether it may run now; false means answer `crash-request`, not run.
+        /// Whether the request may run now; false means answer `crash-request`, not run.
         granted: bool,
-        /// When to come back, when not granted.
+        /// Time after which the caller may retry. Zero when granted.
         retry_after: Duration,
     },
 }
--- a/crates/limits/src/crash/registry.rs
+++ b/crates/limits/src/crash/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of one node.
+//! Crash registry of one node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,15 +13,15 @@
     CrashSignature, CrashVictim,
 };
 
-/// The executors of one service.
+/// Executors of one service.
 #[derive(Debug, Default)]
 struct ExecutorSet {
     members: BTreeSet<InstanceId>,
-    former: BTreeSet<InstanceId>,
+    former_members: BTreeSet<InstanceId>,
     changed_at: Duration,
 }
 
-/// What one node knows of requests that crash backend servers.
+/// Evidence that one node has about requests that crash backend servers.
 #[derive(Debug)]
 pub struct CrashRegistry {
     own: InstanceId,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Signatures with a crash on record.
+    /// Returns the number of signatures with evidence.
     #[must_use]
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// What is known of a signature. An executor calls it right before each run.
+    /// Returns the verdict on a signature. Executors call this directly before each run.
     #[must_use]
     pub fn check(&self, now: Duration, signature: CrashSignature) -> CrashCheck {
         let Some(entry) = self.entries.get(&signature) else {
@@ -67,8 +67,10 @@
         (entry.changed_at + self.settings.remember).saturating_sub(now)
     }
 
-    /// Asks for the turn of a signature on probation. The answer comes as [`CrashCommand::Turn`],
-    /// at the latest `turn_wait` later from [`Self::tick`]. `ask` is unique on this node.
+    /// Requests the turn for a signature on probation. `ask` must be unique on this node.
+    ///
+    /// The result follows as [`CrashCommand::Turn`], if the owner does not answer then from
+    /// [`Self::tick`] after `turn_wait`.
     pub fn ask_turn(
         &mut self,
         now: Duration,
@@ -77,7 +79,7 @@
         out: &mut Vec<CrashCommand>,
     ) {
         let Some(entry) = self.entries.get(&signature) else {
-            out.push(turn(ask, signature, true, Duration::ZERO));
+            out.push(turn_command(ask, signature, true, Duration::ZERO));
             return;
         };
         let evidence = entry.evidence(signature);
@@ -88,14 +90,15 @@
                 out.push(CrashCommand::Send { to: owner, message });
             }
             _ => {
-                let granted = self.give_turn(now, signature, self.own);
-                self.answer_turn(now, ask, signature, granted, out);
+                let granted = self.grant_turn(now, signature, self.own);
+                self.push_turn_result(now, ask, signature, granted, out);
             }
         }
     }
 
-    /// Takes note that a run came to its end without a crash. Call it after every run; it costs
-    /// one look-up when nothing is known of the signature.
+    /// Records that a run completed without a crash. Call this after every run.
+    ///
+    /// Costs one lookup if there is no evidence about the signature.
     pub fn completed(
         &mut self,
         now: Duration,
@@ -105,17 +108,19 @@
         let Some(entry) = self.entries.get_mut(&signature) else {
             return;
         };
-        if !entry.clear() {
+        if !entry.mark_cleared() {
             return;
         }
         let evidence = vec![entry.evidence(signature)];
         let service = entry.service().clone();
-        self.turns.end(signature, self.own);
+        self.turns.release(signature, self.own);
         self.report(now, &service, evidence, None, out);
     }
 
-    /// Gives a turn back that was not used or whose run ended without an answer, such as one whose
-    /// caller went away. Without it the next turn waits until this one ends by itself.
+    /// Returns a turn that was not used, or whose run ended without an answer because, for example,
+    /// the caller disconnected.
+    ///
+    /// If a turn is not returned, the next one is granted only after this one expires.
     pub fn turn_unused(&mut self, signature: CrashSignature, out: &mut Vec<CrashCommand>) {
         let Some(entry) = self.entries.get(&signature) else {
             return;
@@ -125,11 +130,11 @@
                 let message = CrashMessage::TurnBack { signature };
                 out.push(CrashCommand::Send { to: owner, message });
             }
-            _ => self.turns.end(signature, self.own),
+            _ => self.turns.release(signature, self.own),
         }
     }
 
-    /// Takes an event.
+    /// Processes an event.
     pub fn handle(&mut self, now: Duration, event: CrashEvent, out: &mut Vec<CrashCommand>) {
         match event {
             CrashEvent::Executors { service, members } => {
@@ -139,12 +144,13 @@
                 service,
                 victim,
                 running,
-            } => self.crashed(now, &service, victim, &running, out),
-            CrashEvent::Received { from, message } => self.receive(now, from, message, out),
+            } => self.on_crash(now, &service, victim, &running, out),
+            CrashEvent::Received { from, message } => self.on_message(now, from, message, out),
         }
     }
 
-    /// Forgets what expired, repeats reports and answers asks whose owner stayed silent.
+    /// Removes expired entries, resends reports and denies turns whose owner did not answer in
+    /// time.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<CrashCommand>) {
         let remember = self.settings.remember;
         self.entries
@@ -152,9 +158,9 @@
         self.turns.expire(now);
         for (ask, signature) in self.asks.expire(now, self.settings.turn_wait) {
             let retry_after = self.settings.turn_wait;
-            out.push(turn(ask, signature, false, retry_after));
+            out.push(turn_command(ask, signature, false, retry_after));
         }
-        self.reports.follow(now, &self.settings, out);
+        self.reports.release_and_resend(now, &self.settings, out);
     }
 
     fn set_executors(
@@ -165,20 +171,24 @@
         out: &mut Vec<CrashCommand>,
     ) {
         let members: BTreeSet<InstanceId> = members.into_iter().collect();
-        let set = self.executors.entry(service.clone()).or_default();
-        if set.members == members {
+        let executor_set = self.executors.entry(service.clone()).or_default();
+        if executor_set.members == members {
             return;
         }
-        let known = std::mem::replace(&mut set.members, members);
-        let joined: Vec<InstanceId> = set.members.difference(&known).copied().collect();
-        set.former = known;
-        set.changed_at = now;
-        self.reports.keep_only(&set.members);
-        self.tell_joined(service, &joined, out);
+        let previous_members = std::mem::replace(&mut executor_set.members, members);
+        let joined: Vec<InstanceId> = executor_set
+            .members
+            .difference(&previous_members)
+            .copied()
+            .collect();
+        executor_set.former_members = previous_members;
+        executor_set.changed_at = now;
+        self.reports.retain_executors(&executor_set.members);
+        self.send_to_joined(service, &joined, out);
     }
 
-    /// Tells new executors what is known of the signatures that this node owns.
-    fn tell_joined(
+    /// Sends the evidence about requests of a service to executors that have joined.
+    fn send_to_joined(
         &self,
         service: &ServiceName,
         joined: &[InstanceId],
@@ -202,7 +212,7 @@
         }
     }
 
-    fn crashed(
+    fn on_crash(
         &mut self,
         now: Duration,
         service: &ServiceName,
@@ -219,9 +229,9 @@
                 cleared: Vec::new(),
             })
             .collect();
-        for part in &evidence {
-            self.merge(now, part);
-            self.turns.end(part.signature, self.own);
+        for item in &evidence {
+            self.merge(now, item);
+            self.turns.release(item.signature, self.own);
         }
         self.report(now, service, evidence, Some(victim), out);
     }
@@ -235,17 +245,17 @@
         held: Option<CrashVictim>,
         out: &mut Vec<CrashCommand>,
     ) {
-        let set = self.executors.get(service);
-        let missing: BTreeSet<InstanceId> = set
+        let executor_set = self.executors.get(service);
+        let unacknowledged: BTreeSet<InstanceId> = executor_set
             .into_iter()
-            .flat_map(|set| set.members.iter().copied())
+            .flat_map(|executor_set| executor_set.members.iter().copied())
             .filter(|member| *member != self.own)
             .collect();
-        self.reports.begin(now, evidence, missing, held, out);
-        self.reports.follow(now, &self.settings, out);
+        self.reports.send(now, evidence, unacknowledged, held, out);
+        self.reports.release_and_resend(now, &self.settings, out);
     }
 
-    fn receive(
+    fn on_message(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -254,9 +264,9 @@
     ) {
         match message {
             CrashMessage::Report { number, evidence } => {
-                for part in &evidence {
-                    if self.merge(now, part) {
-                        self.turns.end(part.signature, from);
+                for item in &evidence {
+                    if self.merge(now, item) {
+                        self.turns.release(item.signature, from);
                     }
                 }
                 if number > 0 {
@@ -265,13 +275,13 @@
                 }
             }
             CrashMessage::Acknowledged { number } => {
-                self.reports.acknowledged(number, from);
-                self.reports.follow(now, &self.settings, out);
+                self.reports.on_acknowledged(number, from);
+                self.reports.release_and_resend(now, &self.settings, out);
             }
             CrashMessage::TurnAsk { ask, evidence } => {
-                self.asked_for_turn(now, from, ask, &evidence, out);
+                self.on_turn_ask(now, from, ask, &evidence, out);
             }
-            CrashMessage::TurnBack { signature } => self.turns.end(signature, from),
+            CrashMessage::TurnBack { signature } => self.turns.release(signature, from),
             CrashMessage::TurnReply {
                 ask,
                 granted,
@@ -279,13 +289,13 @@
             } => {
                 self.merge(now, &evidence);
                 if let Some(signature) = self.asks.close(ask) {
-                    self.answer_turn(now, ask, signature, granted, out);
+                    self.push_turn_result(now, ask, signature, granted, out);
                 }
             }
         }
     }
 
-    fn asked_for_turn(
+    fn on_turn_ask(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -295,7 +305,7 @@
     ) {
         self.merge(now, evidence);
         let signature = evidence.signature;
-        let granted = self.give_turn(now, signature, from);
+        let granted = self.grant_turn(now, signature, from);
         let Some(entry) = self.entries.get(&signature) else {
             return;
         };
@@ -308,36 +318,37 @@
         out.push(CrashCommand::Send { to: from, message });
     }
 
-    /// Gives a turn as owner.
+    /// Grants a turn if this node is the owner.
     ///
-    /// Failure: an owner is lost while a turn of its giving runs, and the next owner knows nothing
-    /// of it. Symptom: two runs at once crash the second and the third backend server. A new owner
-    /// therefore waits for the length of a turn; no request runs longer.
-    fn give_turn(&mut self, now: Duration, signature: CrashSignature, holder: InstanceId) -> bool {
+    /// A new owner does not know of a turn that its predecessor granted before it was lost. Two
+    /// runs at once could then crash a second and a third backend server. A new owner therefore
+    /// waits for the length of a turn, which is the longest that a request may run.
+    fn grant_turn(&mut self, now: Duration, signature: CrashSignature, holder: InstanceId) -> bool {
         let Some(entry) = self.entries.get(&signature) else {
             return false;
         };
-        if entry.is_stopped() {
+        if entry.is_blocked() {
             return false;
         }
         if entry.crash_count() == 0 {
             return true;
         }
-        let Some(set) = self.executors.get(entry.service()) else {
+        let Some(executor_set) = self.executors.get(entry.service()) else {
             return false;
         };
-        let length = self.settings.turn;
-        let new_here = rank_first(&set.former, signature).is_some_and(|owner| owner != self.own);
-        if new_here && now < set.changed_at + length {
+        let turn_duration = self.settings.turn;
+        let is_new_owner = highest_ranked(&executor_set.former_members, signature)
+            .is_some_and(|owner| owner != self.own);
+        if is_new_owner && now < executor_set.changed_at + turn_duration {
             return false;
         }
-        if rank_first(&set.members, signature) != Some(self.own) {
+        if highest_ranked(&executor_set.members, signature) != Some(self.own) {
             return false;
         }
-        self.turns.give(now, signature, holder, length)
+        self.turns.grant(now, signature, holder, turn_duration)
     }
 
-    fn answer_turn(
+    fn push_turn_result(
         &mut self,
         now: Duration,
         ask: u64,
@@ -351,28 +362,28 @@
             _ if granted => (true, Duration::ZERO),
             _ => (false, self.settings.turn_wait),
         };
-        out.push(turn(ask, signature, granted, retry_after));
+        out.push(turn_command(ask, signature, granted, retry_after));
     }
 
     fn owner(&self, service: &ServiceName, signature: CrashSignature) -> Option<InstanceId> {
-        rank_first(&self.executors.get(service)?.members, signature)
+        highest_ranked(&self.executors.get(service)?.members, signature)
     }
 
-    /// Adds evidence. True when any of it was new.
+    /// Adds evidence. Returns true if any of it was new.
     fn merge(&mut self, now: Duration, evidence: &CrashEvidence) -> bool {
         let entry = self
             .entries
             .entry(evidence.signature)
             .or_insert_with(|| CrashEntry::new(now, evidence.service.clone()));
         let victims = evidence.victims.iter().copied();
-        let news = entry.merge(now, victims, evidence.cleared.iter().copied());
+        let is_new = entry.merge(now, victims, evidence.cleared.iter().copied());
         if self.entries.len() > self.settings.capacity as usize {
             self.evict();
         }
-        news
+        is_new
     }
 
-    /// Forgets one signature: cleared ones first, then those of one crash, the oldest first.
+    /// Removes one signature: one with the fewest crashes that count, and the oldest of those.
     fn evict(&mut self) {
         let oldest = self
             .entries
@@ -385,7 +396,7 @@
     }
 }
 
-fn rank_first(members: &BTreeSet<InstanceId>, signature: CrashSignature) -> Option<InstanceId> {
+fn highest_ranked(members: &BTreeSet<InstanceId>, signature: CrashSignature) -> Option<InstanceId> {
     let key = signature.0.to_be_bytes();
     members
         .iter()
@@ -393,7 +404,7 @@
         .max_by_key(|member| stable_hash(&[&key, &member.node.0.to_be_bytes()]))
 }
 
-const fn turn(
+const fn turn_command(
     ask: u64,
     signature: CrashSignature,
     granted: bool,
--- a/crates/limits/src/crash/report.rs
+++ b/crates/limits/src/crash/report.rs
@@ -1,4 +1,4 @@
-//! Reports on their way to the executors of a service.
+//! Reports that wait for acknowledgement by the executors of a service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,23 +7,23 @@
 
 use super::{CrashCommand, CrashEvidence, CrashMessage, CrashSettings, CrashVictim};
 
-/// How often a report without acknowledgement is sent again.
-const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which an unacknowledged report is resent.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A report on its way.
+/// Report that waits for acknowledgement.
 #[derive(Debug)]
-struct OpenReport {
+struct PendingReport {
     evidence: Vec<CrashEvidence>,
-    missing: BTreeSet<InstanceId>,
-    sent_at: Duration,
-    began_at: Duration,
-    /// Whose answers wait for it.
+    unacknowledged: BTreeSet<InstanceId>,
+    last_sent_at: Duration,
+    created_at: Duration,
+    /// Victim whose failed answers are held back until the report is acknowledged.
     held: Option<CrashVictim>,
 }
 
-impl OpenReport {
-    fn send(&self, number: u64, out: &mut Vec<CrashCommand>) {
-        for to in &self.missing {
+impl PendingReport {
+    fn send_to_unacknowledged(&self, number: u64, out: &mut Vec<CrashCommand>) {
+        for to in &self.unacknowledged {
             let message = CrashMessage::Report {
                 number,
                 evidence: self.evidence.clone(),
@@ -33,65 +33,75 @@
     }
 }
 
-/// Reports that not everybody has acknowledged.
+/// Reports that at least one executor has not acknowledged.
 #[derive(Debug, Default)]
 pub struct ReportTable {
-    open: BTreeMap<u64, OpenReport>,
+    pending: BTreeMap<u64, PendingReport>,
     number: u64,
 }
 
 impl ReportTable {
-    /// Sends evidence to executors. The answers of a victim are held until all have acknowledged.
-    pub fn begin(
+    /// Sends evidence to executors.
+    ///
+    /// The failed answers of `held` are held back until all executors have acknowledged the report.
+    pub fn send(
         &mut self,
         now: Duration,
         evidence: Vec<CrashEvidence>,
-        missing: BTreeSet<InstanceId>,
+        unacknowledged: BTreeSet<InstanceId>,
         held: Option<CrashVictim>,
         out: &mut Vec<CrashCommand>,
     ) {
         self.number += 1;
-        let report = OpenReport {
+        let report = PendingReport {
             evidence,
-            missing,
-            sent_at: now,
-            began_at: now,
+            unacknowledged,
+            last_sent_at: now,
+            created_at: now,
             held,
         };
-        report.send(self.number, out);
-        self.open.insert(self.number, report);
+        report.send_to_unacknowledged(self.number, out);
+        self.pending.insert(self.number, report);
     }
 
-    /// Takes note of an acknowledgement.
-    pub fn acknowledged(&mut self, number: u64, from: InstanceId) {
-        if let Some(report) = self.open.get_mut(&number) {
-            report.missing.remove(&from);
+    /// Records an acknowledgement.
+    pub fn on_acknowledged(&mut self, number: u64, from: InstanceId) {
+        if let Some(report) = self.pending.get_mut(&number) {
+            report.unacknowledged.remove(&from);
         }
     }
 
-    /// Stops waiting for those who are no executors any more.
-    pub fn keep_only(&mut self, members: &BTreeSet<InstanceId>) {
-        for report in self.open.values_mut() {
-            report.missing.retain(|member| members.contains(member));
+    /// Stops waiting for nodes that are no longer executors.
+    pub fn retain_executors(&mut self, members: &BTreeSet<InstanceId>) {
+        for report in self.pending.values_mut() {
+            report
+                .unacknowledged
+                .retain(|member| members.contains(member));
         }
     }
 
-    /// Releases answers whose report is acknowledged or waited long enough, and sends reports again
-    /// to those who have not acknowledged.
-    pub fn follow(&mut self, now: Duration, settings: &CrashSettings, out: &mut Vec<CrashCommand>) {
-        self.open.retain(|number, report| {
-            let waited = now >= report.began_at + settings.report_wait;
-            if (report.missing.is_empty() || waited)
+    /// Releases held answers and resends reports.
+    ///
+    /// Answers are released when their report is acknowledged or `report_wait` has passed.
+    pub fn release_and_resend(
+        &mut self,
+        now: Duration,
+        settings: &CrashSettings,
+        out: &mut Vec<CrashCommand>,
+    ) {
+        self.pending.retain(|number, report| {
+            let wait_is_over = now >= report.created_at + settings.report_wait;
+            if (report.unacknowledged.is_empty() || wait_is_over)
                 && let Some(victim) = report.held.take()
             {
-                let missing = u32::try_from(report.missing.len()).unwrap_or(u32::MAX);
+                let missing = u32::try_from(report.unacknowledged.len()).unwrap_or(u32::MAX);
                 out.push(CrashCommand::Release { victim, missing });
             }
-            if now >= report.sent_at + REPORT_INTERVAL {
-                report.sent_at = now;
-                report.send(*number, out);
+            if now >= report.last_sent_at + RESEND_INTERVAL {
+                report.last_sent_at = now;
+                report.send_to_unacknowledged(*number, out);
             }
-            !report.missing.is_empty() && now < report.began_at + settings.remember
+            !report.unacknowledged.is_empty() && now < report.created_at + settings.remember
         });
     }
 }
--- a/crates/limits/src/crash/turn.rs
+++ b/crates/limits/src/crash/turn.rs
@@ -1,4 +1,4 @@
-//! Turns: at an owner those given out, at an asker those asked for.
+//! Turns that a node has granted as owner, and turns that it has requested.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,92 +7,99 @@
 
 use super::CrashSignature;
 
-/// A turn that an owner gave.
+/// Turn that this node has granted.
 #[derive(Debug, Clone, Copy)]
-struct GivenTurn {
+struct GrantedTurn {
     holder: InstanceId,
-    ends: Duration,
+    expires_at: Duration,
 }
 
-/// Turns that this node gave as owner.
+/// Turns that this node has granted as owner.
 #[derive(Debug, Default)]
 pub struct TurnTable {
-    given: BTreeMap<CrashSignature, GivenTurn>,
+    granted: BTreeMap<CrashSignature, GrantedTurn>,
 }
 
 impl TurnTable {
-    /// Gives the turn unless someone has it.
-    pub fn give(
+    /// Grants the turn unless another grant is still in force.
+    pub fn grant(
         &mut self,
         now: Duration,
         signature: CrashSignature,
         holder: InstanceId,
-        length: Duration,
+        duration: Duration,
     ) -> bool {
-        let taken = self.given.get(&signature);
-        if taken.is_some_and(|turn| now < turn.ends) {
+        let current = self.granted.get(&signature);
+        if current.is_some_and(|turn| now < turn.expires_at) {
             return false;
         }
-        let turn = GivenTurn {
+        let turn = GrantedTurn {
             holder,
-            ends: now + length,
+            expires_at: now + duration,
         };
-        self.given.insert(signature, turn);
+        self.granted.insert(signature, turn);
         true
     }
 
-    /// Takes a turn back from its holder.
-    pub fn end(&mut self, signature: CrashSignature, holder: InstanceId) {
+    /// Ends a turn if `holder` has it.
+    pub fn release(&mut self, signature: CrashSignature, holder: InstanceId) {
         if self
-            .given
+            .granted
             .get(&signature)
             .is_some_and(|turn| turn.holder == holder)
         {
-            self.given.remove(&signature);
+            self.granted.remove(&signature);
         }
     }
 
-    /// Forgets turns that have ended.
+    /// Removes turns that have expired.
     pub fn expire(&mut self, now: Duration) {
-        self.given.retain(|_, turn| now < turn.ends);
+        self.granted.retain(|_, turn| now < turn.expires_at);
     }
 }
 
-/// A turn that this node asked an owner for.
+/// Request for a turn that the owner has not answered yet.
 #[derive(Debug, Clone, Copy)]
-struct AskedTurn {
+struct PendingTurn {
     signature: CrashSignature,
-    at: Duration,
+    requested_at: Duration,
 }
 
-/// Turns that this node asked for.
+/// Requests for turns that the owner has not answered yet.
 #[derive(Debug, Default)]
 pub struct AskTable {
-    asked: BTreeMap<u64, AskedTurn>,
+    pending: BTreeMap<u64, PendingTurn>,
 }
 
 impl AskTable {
-    /// Takes note of an ask.
+    /// Adds a request for a turn.
     pub fn insert(&mut self, now: Duration, ask: u64, signature: CrashSignature) {
-        self.asked.insert(ask, AskedTurn { signature, at: now });
+        self.pending.insert(
+            ask,
+            PendingTurn {
+                signature,
+                requested_at: now,
+            },
+        );
     }
 
-    /// The signature of an ask that is still open; it is closed with this.
+    /// Removes an open request and returns its signature. Returns `None` if the request is not
+    /// open.
     pub fn close(&mut self, ask: u64) -> Option<CrashSignature> {
-        self.asked.remove(&ask).map(|asked| asked.signature)
+        self.pending.remove(&ask).map(|pending| pending.signature)
     }
 
-    /// Closes the asks that have waited too long.
+    /// Removes the requests that have been open for `wait` and returns them.
     pub fn expire(&mut self, now: Duration, wait: Duration) -> Vec<(u64, CrashSignature)> {
-        let late: Vec<(u64, CrashSignature)> = self
-            .asked
+        let expired: Vec<(u64, CrashSignature)> = self
+            .pending
             .iter()
-            .filter(|(_, asked)| now >= asked.at + wait)
-            .map(|(ask, asked)| (*ask, asked.signature))
+            .filter(|(_, pending)| now >= pending.requested_at + wait)
+            .map(|(ask, pending)| (*ask, pending.signature))
             .collect();
-        for (ask, _) in &late {
-            self.asked.remove(ask);
+        for (ask, _) in &expired {
+            self.pending.remove(ask);
         }
-        late
+        expired
     }
 }
--- a/crates/limits/src/holder_count.rs
+++ b/crates/limits/src/holder_count.rs
@@ -1,25 +1,26 @@
-//! The number of holders among which a fleet-wide bound is divided.
+//! Number of holders among which a fleet-wide limit is divided.
 
 use std::time::Duration;
 
-/// The largest number of holders known recently.
+/// Largest number of holders observed recently.
 ///
-/// Dividing a bound by the number of holders known at present makes each part too large while a node
-/// knows only some of them: in a partition, each side considers the other dead, and both together hold
-/// the bound twice. A lower count therefore takes effect only after a retention period.
+/// Dividing a limit by the number of holders known at present makes each part too large while a
+/// node knows only some of them: during a partition, each side considers the other dead, and both
+/// together admit twice the limit. A lower count therefore takes effect only after a retention
+/// period.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderCount {
     retention: Duration,
     /// Maximum in the current period.
     current_max: usize,
-    /// Maximum in the period before it.
+    /// Maximum in the preceding period.
     previous_max: usize,
     period_start: Duration,
 }
 
 impl HolderCount {
-    /// Creates a count that, when observed regularly, retains a maximum for between one and two times
-    /// `retention`.
+    /// Creates a count that, when observed regularly, retains a maximum for between one and two
+    /// times `retention`.
     #[must_use]
     pub const fn new(retention: Duration) -> Self {
         Self {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Records the present count and returns the one to divide by.
+    /// Records the present count and returns the count to divide by.
     pub fn observe(&mut self, now: Duration, count: usize) -> usize {
         let elapsed = now.saturating_sub(self.period_start);
         if elapsed >= self.retention {
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,7 +1,9 @@
-//! Customer shares, quotas of client accounts, retry budgets, executor admission and crash-request registry.
+//! Customer shares, client account quotas, retry budgets, executor admission and the crash
+//! registry.
 //!
-//! Every module is decision logic without I/O: time is passed in as a [`std::time::Duration`]
-//! since the node started, and what should be sent comes back as commands.
+//! Every module is decision logic without I/O: callers pass in the time as a
+//! [`std::time::Duration`] since the node started, and each module returns the messages to send as
+//! commands.
 //!
 //! ```text
 //! request -> CustomerShare::admit -> route -> CrashRegistry::check -> SlotGate::offer -> run
--- a/crates/limits/src/quota/holder.rs
+++ b/crates/limits/src/quota/holder.rs
@@ -1,4 +1,4 @@
-//! What one node admits of each account, and what it tells of that.
+//! Admission of client account requests on one node, and reports of what was admitted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,54 +10,61 @@
 
 use super::{AccountId, QuotaSettings, QuotaTerms, ShareNews, UseReport};
 
-/// Requests of an account from which its report does not wait for the pause: most nodes see one of an
-/// account in some seconds, so that two at once may be the start of many.
-const PROMPT_REQUESTS: u32 = 2;
-/// How long a share holds after its keeper told it: some times as long as the keeper takes to tell it
-/// again, so that a lost word costs nothing, and a keeper that ends holds nobody back for long.
-const SHARE_TIME: Duration = Duration::from_secs(3);
-/// Pause between two reports of an account of which only a share is admitted: what is admitted follows
-/// the demand at once, and only a change of the demand waits for the report.
-const SHARED_PAUSE: Duration = Duration::from_millis(300);
-/// Time in which the requests of one second come back at the pace of the quota, if all of them do.
-const RETURN_TIME: f64 = 1.0;
-/// Shortest time that a refused caller is told to wait: a change of the share takes about that long.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
-/// Longest: callers that wait for longer have mostly left.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// How long an account without requests is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
-
-/// The accounts that call at this node.
+/// Number of requests of an account that triggers a report without waiting for the report interval.
+///
+/// Most nodes get one request of an account every few seconds, so two in one interval may be the
+/// start of a surge.
+const IMMEDIATE_REPORT_REQUESTS: u32 = 2;
+/// Time for which a share stays in force after its keeper sent it.
+///
+/// Several times the keeper's resend interval, so that a lost message has no effect, and short
+/// enough that an account is not throttled for long after its keeper stops.
+const SHARE_TTL: Duration = Duration::from_secs(3);
+/// Report interval of an account that is throttled to a share.
+///
+/// Admission follows the demand immediately, so only a change of the demand waits for the report.
+const THROTTLED_REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// Time, in seconds, over which the refused requests of one second are spread, so that they return
+/// at the rate of the quota.
+const RETRY_SPREAD_SECS: f64 = 1.0;
+/// Minimum `retry_after` of a refusal. A change of the share takes about as long.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Maximum `retry_after` of a refusal. Callers that must wait longer have mostly left.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Time after which an account without requests is forgotten.
+const RETENTION: Duration = Duration::from_secs(10);
+
+/// Accounts that send requests to this node.
 #[derive(Debug)]
 pub struct QuotaHolder {
     settings: QuotaSettings,
-    accounts: BTreeMap<AccountId, HeldAccount>,
+    accounts: BTreeMap<AccountId, AccountUsage>,
     random: SmallRng,
 }
 
 #[derive(Debug)]
-struct HeldAccount {
+struct AccountUsage {
     asked: u32,
     admitted: i32,
-    pause: Duration,
-    reported: Duration,
-    used: Duration,
-    shares: Vec<HeldShare>,
-    /// What is saved up for the next admission while only a share is admitted.
+    report_interval: Duration,
+    last_report_at: Duration,
+    last_used_at: Duration,
+    shares: Vec<ReceivedShare>,
+    /// Fraction of a request accumulated towards the next admission while a share is in force.
+    /// `None` while the account is not throttled.
     credit: Option<f64>,
 }
 
-/// The share of an account's requests that a keeper lets in while the account asks for more than its quota.
+/// Share of an account's requests that one keeper admits while the account exceeds its quota.
 #[derive(Debug)]
-struct HeldShare {
+struct ReceivedShare {
     keeper: InstanceId,
     share: f64,
-    until: Duration,
+    expires_at: Duration,
 }
 
 impl QuotaHolder {
-    /// A holder whom nobody has called.
+    /// Creates a holder without accounts.
     #[must_use]
     pub fn new(settings: QuotaSettings, seed: u64) -> Self {
         Self {
@@ -71,74 +78,78 @@
     ///
     /// # Errors
     ///
-    /// When it is beyond the account's quota: how long its caller should wait.
+    /// Returns the time after which the caller may retry if the request exceeds the quota of the
+    /// account.
     pub fn admit(
         &mut self,
         now: Duration,
         account: AccountId,
         terms: QuotaTerms,
     ) -> Result<(), Duration> {
-        let held = self.accounts.entry(account);
-        let held = held.or_insert_with(|| HeldAccount::new(now));
-        held.pause = self.settings.report_pause(terms);
-        held.used = now;
-        held.asked = held.asked.saturating_add(1);
-        held.shares.retain(|share| now < share.until);
-        held.take_share()?;
-        held.admitted = held.admitted.saturating_add(1);
+        let usage = self.accounts.entry(account);
+        let usage = usage.or_insert_with(|| AccountUsage::new(now));
+        usage.report_interval = self.settings.report_interval(terms);
+        usage.last_used_at = now;
+        usage.asked = usage.asked.saturating_add(1);
+        usage.shares.retain(|share| now < share.expires_at);
+        usage.admit_by_share()?;
+        usage.admitted = usage.admitted.saturating_add(1);
         Ok(())
     }
 
-    /// Takes back a request that was admitted and then refused unrun.
+    /// Reverts an admission whose request was refused later without running.
     pub fn give_back(&mut self, account: AccountId) {
-        let Some(held) = self.accounts.get_mut(&account) else {
+        let Some(usage) = self.accounts.get_mut(&account) else {
             return;
         };
-        held.admitted = held.admitted.saturating_sub(1);
-        held.credit = held.credit.map(|credit| (credit + 1.0).min(1.0));
+        usage.admitted = usage.admitted.saturating_sub(1);
+        usage.credit = usage.credit.map(|credit| (credit + 1.0).min(1.0));
     }
 
-    /// The reports that are due.
+    /// Returns the reports that are due.
     pub fn reports(&mut self, now: Duration) -> Vec<UseReport> {
         self.accounts
-            .retain(|_, held| now < held.used + FORGET_AFTER || held.is_unreported());
-        let held = self.accounts.iter_mut();
-        held.filter(|(_, held)| held.is_due(now))
-            .map(|(account, held)| held.report(now, *account))
+            .retain(|_, usage| now < usage.last_used_at + RETENTION || usage.is_unreported());
+        let usages = self.accounts.iter_mut();
+        usages
+            .filter(|(_, usage)| usage.is_due(now))
+            .map(|(account, usage)| usage.report(now, *account))
             .collect()
     }
 
-    /// Takes what a keeper of an account tells.
-    pub fn told(&mut self, now: Duration, keeper: InstanceId, news: ShareNews) {
-        if let Some(held) = self.accounts.get_mut(&news.account) {
-            held.shares.retain(|share| share.keeper.node != keeper.node);
+    /// Applies the share that a keeper of an account has sent.
+    pub fn told(&mut self, now: Duration, keeper: InstanceId, update: ShareNews) {
+        if let Some(usage) = self.accounts.get_mut(&update.account) {
+            usage
+                .shares
+                .retain(|share| share.keeper.node != keeper.node);
         }
-        let share = news.share.filter(|share| (0.0..=1.0).contains(share));
+        let share = update.share.filter(|share| (0.0..=1.0).contains(share));
         let Some(share) = share else {
             return;
         };
-        let held = self.accounts.entry(news.account);
-        let held = held.or_insert_with(|| HeldAccount::new(now));
-        held.used = now;
-        // Nodes that all began with nothing saved up would all admit their first request after the same
-        // number of them, a hundred at once.
-        held.credit.get_or_insert_with(|| self.random.random());
-        held.shares.push(HeldShare {
+        let usage = self.accounts.entry(update.account);
+        let usage = usage.or_insert_with(|| AccountUsage::new(now));
+        usage.last_used_at = now;
+        // A random start value spreads the first admissions. With zero on every node, a hundred
+        // nodes would all admit their first request after the same number of requests.
+        usage.credit.get_or_insert_with(|| self.random.random());
+        usage.shares.push(ReceivedShare {
             keeper,
             share,
-            until: now + SHARE_TIME,
+            expires_at: now + SHARE_TTL,
         });
     }
 }
 
-impl HeldAccount {
+impl AccountUsage {
     fn new(now: Duration) -> Self {
         Self {
             asked: 0,
             admitted: 0,
-            pause: Duration::ZERO,
-            reported: now,
-            used: now,
+            report_interval: Duration::ZERO,
+            last_report_at: now,
+            last_used_at: now,
             shares: Vec::new(),
             credit: None,
         }
@@ -152,18 +163,18 @@
         if !self.is_unreported() {
             return false;
         }
-        let pause = if self.credit.is_some() {
-            self.pause.max(SHARED_PAUSE)
-        } else if self.asked >= PROMPT_REQUESTS {
+        let report_interval = if self.credit.is_some() {
+            self.report_interval.max(THROTTLED_REPORT_INTERVAL)
+        } else if self.asked >= IMMEDIATE_REPORT_REQUESTS {
             Duration::ZERO
         } else {
-            self.pause
+            self.report_interval
         };
-        now >= self.reported + pause
+        now >= self.last_report_at + report_interval
     }
 
     fn report(&mut self, now: Duration, account: AccountId) -> UseReport {
-        self.reported = now;
+        self.last_report_at = now;
         UseReport {
             account,
             asked: std::mem::take(&mut self.asked),
@@ -171,9 +182,9 @@
         }
     }
 
-    /// Admits a request if the least share that a keeper told lets it in.
-    fn take_share(&mut self) -> Result<(), Duration> {
-        let shares = self.shares.iter().map(|held| held.share);
+    /// Admits a request according to the smallest share that any keeper has sent.
+    fn admit_by_share(&mut self) -> Result<(), Duration> {
+        let shares = self.shares.iter().map(|received| received.share);
         let Some(share) = shares.min_by(f64::total_cmp) else {
             self.credit = None;
             return Ok(());
@@ -184,8 +195,9 @@
             *credit -= 1.0;
             return Ok(());
         }
-        let wait = Duration::try_from_secs_f64(RETURN_TIME / share - RETURN_TIME);
-        let wait = wait.unwrap_or(LONGEST_WAIT);
-        Err(wait.clamp(SHORTEST_WAIT, LONGEST_WAIT))
+        let retry_after =
+            Duration::try_from_secs_f64(RETRY_SPREAD_SECS / share - RETRY_SPREAD_SECS);
+        let retry_after = retry_after.unwrap_or(MAX_RETRY_AFTER);
+        Err(retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 }
--- a/crates/limits/src/quota/keeper.rs
+++ b/crates/limits/src/quota/keeper.rs
@@ -1,71 +1,75 @@
-//! The bucket of each account that this node keeps, and the share of its requests that is admitted when
-//! the bucket runs low.
+//! Token buckets of the accounts that this node keeps, and the share of requests to admit when a
+//! bucket runs low.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::{AccountId, QuotaSettings, QuotaTerms, ShareNews, UseReport};
 
-/// Time in which what is left of a bucket may be used up, and what was admitted beyond it is made up
-/// for: several reports, so that a wrong share is put right within it.
-const SPEND_TIME: f64 = 1.0;
-/// Time constant with which the demand of an account is learned: some reports of each holder.
-const DEMAND_TIME: f64 = 0.7;
-/// Shortest time, in seconds, for which an account is taken as known: two requests at once are no demand.
-const SHORTEST_KNOWN: f64 = 0.35;
-/// Demand, as a part of what may be spent, below which an account is free again. Below one, so that an
-/// account at its quota is not held back and released by turns.
-const RELEASE_PART: f64 = 0.9;
-/// Change of the share, as a part of it, that is told at once.
-const NEWS_STEP: f64 = 0.15;
-/// Shortest time between two news of an account, which go to all nodes.
-const NEWS_PAUSE: Duration = Duration::from_millis(100);
-/// Longest while only a share is admitted: nodes that have just started hear of it then.
-const NEWS_LATEST: Duration = Duration::from_secs(1);
-/// How long an account without reports is remembered: its bucket is full by then, since bursts are some
-/// seconds of the rate at most.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Time, in seconds, in which the rest of a bucket may be spent and a deficit is paid back.
+///
+/// Spans several reports, so that a wrong share is corrected within this time.
+const SPEND_SECS: f64 = 1.0;
+/// Time constant, in seconds, of the demand average of an account. Spans several reports of each
+/// holder.
+const DEMAND_TIME_CONSTANT: f64 = 0.7;
+/// Minimum time, in seconds, over which the demand of a new account is averaged, because two
+/// simultaneous requests are no demand yet.
+const MIN_OBSERVED_SECS: f64 = 0.35;
+/// Ratio of demand to spendable rate below which throttling ends. Below 1, so that an account at
+/// its quota is not throttled and released in alternation.
+const RELEASE_RATIO: f64 = 0.9;
+/// Relative change of the share that is sent without waiting for the resend interval.
+const SIGNIFICANT_CHANGE: f64 = 0.15;
+/// Minimum interval between two updates of an account, because each update goes to all nodes.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum interval between two updates while an account is throttled. Nodes that have just started
+/// receive the share by then.
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which an account without reports is forgotten. Bursts are a few seconds of the rate
+/// at most, so the bucket is full by then.
+const RETENTION: Duration = Duration::from_secs(30);
 
 /// Accounts that this node keeps.
 #[derive(Debug)]
 pub struct QuotaKeeper {
     settings: QuotaSettings,
-    accounts: BTreeMap<AccountId, KeptAccount>,
+    accounts: BTreeMap<AccountId, AccountBucket>,
 }
 
 #[derive(Debug)]
-struct KeptAccount {
+struct AccountBucket {
     terms: QuotaTerms,
-    /// Tokens left; below zero after more was admitted than there were.
-    level: f64,
-    /// Requests asked for, fading with [`DEMAND_TIME`].
+    /// Remaining tokens; negative after holders have admitted more than the bucket held.
+    tokens: f64,
+    /// Requests of all holders, decaying exponentially with [`DEMAND_TIME_CONSTANT`].
     asked: f64,
-    since: Duration,
-    at: Duration,
-    /// Share last told, and when.
-    told: Option<(f64, Duration)>,
+    observed_since: Duration,
+    updated_at: Duration,
+    /// Share that was last sent, and the time. `None` while the account is not throttled.
+    last_sent: Option<(f64, Duration)>,
 }
 
-/// What is to be told of an account.
+/// Change of an account's throttling that all nodes must receive.
 #[derive(Clone, Copy, Debug)]
-enum KeptNews {
-    /// It is within its quota again.
-    Free,
-    /// This share of its requests is admitted.
-    Shared(f64),
+enum ThrottleChange {
+    /// The account is within its quota again.
+    Lifted,
+    /// Nodes admit this share of the account's requests.
+    Limited(f64),
 }
 
-impl KeptNews {
+impl ThrottleChange {
     const fn share(self) -> Option<f64> {
         match self {
-            Self::Free => None,
-            Self::Shared(share) => Some(share),
+            Self::Lifted => None,
+            Self::Limited(share) => Some(share),
         }
     }
 }
 
 impl QuotaKeeper {
-    /// A keeper of no accounts.
+    /// Creates a keeper without accounts.
     #[must_use]
     pub const fn new(settings: QuotaSettings) -> Self {
         Self {
@@ -74,93 +78,98 @@
         }
     }
 
-    /// Takes a report of a holder.
+    /// Applies a report from a holder. `terms` is the quota of the account.
     pub fn reported(&mut self, now: Duration, report: UseReport, terms: QuotaTerms) {
-        let room = self.settings.room(terms);
+        let extra_burst = self.settings.extra_burst(terms);
         let terms = QuotaTerms {
-            burst: terms.burst + room,
+            burst: terms.burst + extra_burst,
             ..terms
         };
-        let kept = self.accounts.entry(report.account);
-        let kept = kept.or_insert_with(|| KeptAccount::new(now, terms, room));
-        kept.terms = terms;
-        kept.pass(now);
-        kept.level -= f64::from(report.admitted);
-        kept.asked += f64::from(report.asked);
+        let bucket = self.accounts.entry(report.account);
+        let bucket = bucket.or_insert_with(|| AccountBucket::new(now, terms, extra_burst));
+        bucket.terms = terms;
+        bucket.advance(now);
+        bucket.tokens -= f64::from(report.admitted);
+        bucket.asked += f64::from(report.asked);
     }
 
-    /// What all nodes are to be told now. Call every 100 ms or so.
+    /// Returns the updates to send to all nodes now. Call this about every 100 ms.
     pub fn news(&mut self, now: Duration) -> Vec<ShareNews> {
         self.accounts
-            .retain(|_, kept| kept.told.is_some() || now < kept.at + FORGET_AFTER);
+            .retain(|_, bucket| bucket.last_sent.is_some() || now < bucket.updated_at + RETENTION);
         let accounts = self.accounts.iter_mut();
-        let news = accounts.filter_map(|(account, kept)| {
-            let share = kept.news(now)?.share();
+        let updates = accounts.filter_map(|(account, bucket)| {
+            let share = bucket.next_change(now)?.share();
             Some(ShareNews {
                 account: *account,
                 share,
             })
         });
-        news.collect()
+        updates.collect()
     }
 }
 
-impl KeptAccount {
-    /// Failure: all nodes lose power while an account sends many times its quota, and its new keeper begins
-    /// with a full bucket that had been empty: the account goes beyond its bound. A node that has just become
-    /// the keeper knows nothing of what was admitted lately, so it begins with what may be used beyond the
-    /// quota, and the bucket fills from there. An account within its rate needs no more.
-    fn new(now: Duration, terms: QuotaTerms, room: f64) -> Self {
+impl AccountBucket {
+    /// Creates a bucket that holds only the tokens allowed beyond the quota.
+    ///
+    /// A new keeper does not know what was admitted recently. With a full bucket, an account that
+    /// keeps sending many times its quota would exceed its limit after all nodes lose power. An
+    /// account within its rate needs no more than this.
+    fn new(now: Duration, terms: QuotaTerms, extra_burst: f64) -> Self {
         Self {
             terms,
-            level: room,
+            tokens: extra_burst,
             asked: 0.0,
-            since: now,
-            at: now,
-            told: None,
+            observed_since: now,
+            updated_at: now,
+            last_sent: None,
         }
     }
 
-    fn pass(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.terms.rate).min(self.terms.burst);
-        self.asked *= (-passed / DEMAND_TIME).exp();
-        self.at = now;
+    fn advance(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.terms.rate).min(self.terms.burst);
+        self.asked *= (-elapsed / DEMAND_TIME_CONSTANT).exp();
+        self.updated_at = now;
     }
 
-    fn news(&mut self, now: Duration) -> Option<KeptNews> {
-        if self.told.is_none() && self.asked < 1.0 {
+    fn next_change(&mut self, now: Duration) -> Option<ThrottleChange> {
+        if self.last_sent.is_none() && self.asked < 1.0 {
             return None;
         }
-        self.pass(now);
-        let spendable = (self.terms.rate + self.level / SPEND_TIME).max(0.0);
+        self.advance(now);
+        let spendable = (self.terms.rate + self.tokens / SPEND_SECS).max(0.0);
         let demand = self.demand(now);
-        let Some((told, at)) = self.told else {
+        let Some((last_share, sent_at)) = self.last_sent else {
             if demand <= spendable {
                 return None;
             }
-            return Some(self.tell(now, spendable / demand));
+            return Some(self.set_share(now, spendable / demand));
         };
-        if demand < spendable * RELEASE_PART {
-            self.told = None;
-            return Some(KeptNews::Free);
+        if demand < spendable * RELEASE_RATIO {
+            self.last_sent = None;
+            return Some(ThrottleChange::Lifted);
         }
         let share = (spendable / demand).min(1.0);
-        let moved = (share - told).abs() > NEWS_STEP * told.max(share);
-        let due = moved && now >= at + NEWS_PAUSE || now >= at + NEWS_LATEST;
-        due.then(|| self.tell(now, share))
+        let is_significant =
+            (share - last_share).abs() > SIGNIFICANT_CHANGE * last_share.max(share);
+        let is_due = is_significant && now >= sent_at + MIN_UPDATE_INTERVAL
+            || now >= sent_at + MAX_UPDATE_INTERVAL;
+        is_due.then(|| self.set_share(now, share))
     }
 
-    /// Requests a second. What is known for a short time only is taken as the demand of that time: a new
-    /// keeper of an account that sends many times its quota must not need a second to see it.
+    /// Returns the demand in requests per second.
+    ///
+    /// Averages over the time since the first report while that is short, so that a new keeper of
+    /// an account that sends many times its quota does not need a second to notice.
     fn demand(&self, now: Duration) -> f64 {
-        let known = now.saturating_sub(self.since).as_secs_f64();
-        let known = known.max(SHORTEST_KNOWN);
-        self.asked / DEMAND_TIME / (1.0 - (-known / DEMAND_TIME).exp())
+        let observed = now.saturating_sub(self.observed_since).as_secs_f64();
+        let observed = observed.max(MIN_OBSERVED_SECS);
+        self.asked / DEMAND_TIME_CONSTANT / (1.0 - (-observed / DEMAND_TIME_CONSTANT).exp())
     }
 
-    fn tell(&mut self, now: Duration, share: f64) -> KeptNews {
-        self.told = Some((share, now));
-        KeptNews::Shared(share)
+    fn set_share(&mut self, now: Duration, share: f64) -> ThrottleChange {
+        self.last_sent = Some((share, now));
+        ThrottleChange::Limited(share)
     }
 }
--- a/crates/limits/src/quota/mod.rs
+++ b/crates/limits/src/quota/mod.rs
@@ -1,29 +1,31 @@
-//! How often a client account may call, over all instances together.
+//! Request quotas of client accounts, enforced over all instances together.
 //!
 //! ```text
-//! request ─▶ QuotaHolder ─┬─ no share known ─▶ admitted, counted
-//!                │        └─ share ─▶ its part is admitted, the rest refused with a time to come back
+//! request ─▶ QuotaHolder ─┬─ no share in force ─▶ admitted, counted
+//!                │        └─ share ─▶ that part is admitted, the rest refused with a retry time
 //!                │ UseReport              ▲
 //!                ▼                        │ ShareNews, to all nodes
-//!            QuotaKeeper: bucket of the account, and how much it asks for
+//!            QuotaKeeper: token bucket of the account, and its demand
 //! ```
 //!
-//! Pattern: some tens of accounts, of which a few are large, call on all instances of a fleet of a
-//! hundred. An instance sees a request of most of them once in ten seconds, so that its even part of a
-//! quota is a fraction of a token, and nearly all accounts stay below their quota nearly always. Now
-//! and then one sends many times its usual.
+//! The design is for some tens of accounts, a few of them large, that send requests to all
+//! instances of a fleet of a hundred. An instance gets a request of most accounts once in ten
+//! seconds, so an even part of a quota would be a fraction of a token. Nearly all accounts stay
+//! below their quota nearly always; occasionally one sends many times its usual rate.
 //!
-//! So every instance admits at once and tells what it admitted to the keepers of the account, two
-//! instances that all of them know by rendezvous hashing. A keeper takes it from the account's bucket,
-//! which may go below empty. Only when the account asks for more than the bucket will give does it tell
-//! all instances which share of the account's requests to admit; the lesser of two shares holds. What was
-//! admitted beyond, before they knew, is taken from what is admitted in the next second.
+//! Every instance (the holder) therefore admits requests immediately and reports what it admitted
+//! to the keepers of the account, two instances that all nodes determine by rendezvous hashing. A
+//! keeper deducts the reported requests from the token bucket of the account, which may become
+//! negative. Only when the demand exceeds what the bucket provides does the keeper send all
+//! instances the share of the account's requests to admit. If the two keepers send different
+//! shares, the smaller one applies. What was admitted in excess before the instances received the
+//! share is deducted from what is admitted in the next second.
 //!
-//! How far a window can go beyond the quota is thus what is admitted within one pause between reports;
-//! the pause follows from how far the operator lets it go ([`QuotaSettings::report_pause`]).
+//! A window can therefore exceed the quota by what is admitted within one report interval. The
+//! interval follows from the overage that the operator allows ([`QuotaSettings::report_interval`]).
 //!
-//! Quotas shrink with the part of the fleet that the keeper can see: on each side of a partition there
-//! is a keeper, and the sides together admit no more than the quota.
+//! Quotas are scaled by the part of the fleet that the keeper can reach: during a partition, each
+//! side has a keeper, and both sides together admit no more than the quota.
 
 mod holder;
 mod keeper;
@@ -42,17 +44,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountId(pub u64);
 
-/// How often an account may call, over all instances together.
+/// Quota of an account over all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTerms {
-    /// Requests a second in the long run.
+    /// Sustained rate in requests per second.
     pub rate: f64,
-    /// Requests at once after a pause.
+    /// Maximum number of requests at once after a pause.
     pub burst: f64,
 }
 
 impl QuotaTerms {
-    /// The same for a part of the fleet.
+    /// Returns the quota scaled to a part of the fleet.
     #[must_use]
     pub fn scaled(self, part: f64) -> Self {
         Self {
@@ -62,51 +64,55 @@
     }
 }
 
-/// What a holder tells of one account since its last report.
+/// Report of one holder on one account since its previous report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseReport {
-    /// The account.
+    /// Account that sent the requests.
     pub account: AccountId,
-    /// Requests that it sent to this holder.
+    /// Requests that the account sent to this holder.
     pub asked: u32,
-    /// Requests admitted, less those that were given back unrun.
+    /// Requests admitted, less those that were refunded because they did not run.
     pub admitted: i32,
 }
 
-/// What a keeper tells all nodes of one account.
+/// Update on one account from a keeper to all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareNews {
-    /// The account.
+    /// Account that the share applies to.
     pub account: AccountId,
-    /// Share of its requests to admit, 0 to 1; none while it is within its quota.
+    /// Share of its requests to admit, 0 to 1. `None` while the account is within its quota.
     pub share: Option<f64>,
 }
 
-/// One message between two nodes about quotas.
+/// Message about quotas between two nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaMessage {
-    /// From a holder to the keeper of these accounts.
+    /// Reports from a holder to a keeper of the accounts.
     Report(Vec<UseReport>),
-    /// From a keeper to a holder.
+    /// Updates from a keeper to a holder.
     Shares(Vec<ShareNews>),
 }
 
-/// Keepers of an account. One that is lost is reported to until its death is known, and one that has just
-/// become a keeper does not know what was admitted before; the other then holds the account to its quota.
-const KEEPERS: usize = 2;
+/// Number of keepers of an account.
+///
+/// Holders keep reporting to a lost keeper until its death is detected, and a new keeper does not
+/// know what was admitted before. The other keeper enforces the quota meanwhile.
+const KEEPER_COUNT: usize = 2;
 
-/// The keepers of an account: of these nodes those that rank first for it. Two nodes that know the same
-/// others agree; if they differ in one, they still have a keeper in common.
+/// Returns the keepers of an account: the members that rank first for it.
+///
+/// Two nodes with the same membership agree on the keepers. If their memberships differ in one
+/// node, they still have a keeper in common.
 #[must_use]
 pub fn keepers_of(account: AccountId, members: &[InstanceId]) -> Vec<InstanceId> {
     let account = account.0.to_be_bytes();
     let rank = |member: &InstanceId| stable_hash(&[&account, &member.node.0.to_be_bytes()]);
-    let mut ranked: Vec<(u64, InstanceId)> = Vec::with_capacity(KEEPERS + 1);
+    let mut ranked: Vec<(u64, InstanceId)> = Vec::with_capacity(KEEPER_COUNT + 1);
     for member in members {
         ranked.push((rank(member), *member));
         ranked.sort_unstable_by_key(|(rank, _)| Reverse(*rank));
-        ranked.truncate(KEEPERS);
+        ranked.truncate(KEEPER_COUNT);
     }
     ranked.into_iter().map(|(_, member)| member).collect()
 }
--- a/crates/limits/src/quota/settings.rs
+++ b/crates/limits/src/quota/settings.rs
@@ -1,4 +1,4 @@
-//! How exactly quotas are kept.
+//! Settings of account quotas, and the intervals derived from them.
 
 use std::time::Duration;
 
@@ -8,18 +8,21 @@
 
 use super::QuotaTerms;
 
-/// How many times its rate an account may ask for beyond it and still is held within the bound: the
-/// pause between two reports is made for that. Demand beyond goes over by its part of one pause.
-const SURGE: f64 = 4.0;
-/// Part of what is allowed beyond a quota that an account may use like its burst. A small account sends
-/// three requests at once by chance every minute, and to hold it back takes a word to each node.
-const ROOM_PART: f64 = 0.15;
-/// Part of it that may be admitted between two reports; what is left is for the ways of reports and news.
-const PAUSE_PART: f64 = 0.5;
-/// Shortest pause between two reports: the step of a node's periodic work.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest: demand that is a second old says little about the next one.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Demand beyond the quota, as a multiple of its rate, for which the report interval is designed.
+/// Higher demand exceeds the limit by what it adds within one interval.
+const SURGE_FACTOR: f64 = 4.0;
+/// Fraction of the allowed overage that an account may use like its burst.
+///
+/// A small account sends three requests at once by chance every minute, and throttling it takes a
+/// message to each node.
+const EXTRA_BURST_RATIO: f64 = 0.15;
+/// Fraction of the allowed overage that may be admitted between two reports. The rest covers the
+/// latency of reports and updates.
+const REPORTED_RATIO: f64 = 0.5;
+/// Minimum report interval: the tick of a node's periodic work.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum report interval. Demand that is a second old predicts little about the next second.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How far beyond its quota an account may get in a window, as the operator of the fleet states it.
 #[serde_as]
@@ -47,32 +50,32 @@
 }
 
 impl QuotaSettings {
-    /// How long a holder may keep to itself what it admitted of an account.
+    /// Returns the interval at which a holder reports the admitted requests of an account.
     #[must_use]
-    pub fn report_pause(&self, terms: QuotaTerms) -> Duration {
-        let beyond = self.beyond(terms) * PAUSE_PART;
-        let pause = beyond / (SURGE * terms.rate.max(f64::MIN_POSITIVE));
-        let pause = Duration::try_from_secs_f64(pause).unwrap_or(LONGEST_PAUSE);
-        pause.clamp(SHORTEST_PAUSE, LONGEST_PAUSE)
+    pub fn report_interval(&self, terms: QuotaTerms) -> Duration {
+        let reported = self.max_overage(terms) * REPORTED_RATIO;
+        let interval = reported / (SURGE_FACTOR * terms.rate.max(f64::MIN_POSITIVE));
+        let interval = Duration::try_from_secs_f64(interval).unwrap_or(MAX_REPORT_INTERVAL);
+        interval.clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL)
     }
 
-    /// Requests that an account may use beyond its burst.
+    /// Returns the number of requests that an account may use in addition to its burst.
     #[must_use]
-    pub fn room(&self, terms: QuotaTerms) -> f64 {
-        self.beyond(terms) * ROOM_PART
+    pub fn extra_burst(&self, terms: QuotaTerms) -> f64 {
+        self.max_overage(terms) * EXTRA_BURST_RATIO
     }
 
-    /// Requests in a window by which a quota may be exceeded.
-    fn beyond(&self, terms: QuotaTerms) -> f64 {
-        let whole = terms.rate * self.window.as_secs_f64() + terms.burst;
-        self.overage * whole + self.slack
+    /// Returns the number of requests in a window by which a quota may be exceeded.
+    fn max_overage(&self, terms: QuotaTerms) -> f64 {
+        let window_quota = terms.rate * self.window.as_secs_f64() + terms.burst;
+        self.overage * window_quota + self.slack
     }
 
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Every finding with its place under `place`.
+    /// Returns every finding, with its path below `place`.
     pub fn validate(&self, place: &str) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         findings.expect(
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -1,10 +1,10 @@
-//! Retry budget: repeats allowed as a share of first tries, so that retries cannot outlive the
-//! fault that caused them.
+//! Retry budget: limits retries to a share of first tries, so that retries cannot outlast the fault
+//! that caused them.
 //!
 //! Each first try deposits `percent` of a token, a minimum accrues with time, and each retry
 //! withdraws one token. Deposits older than the window no longer count. One budget belongs to one
-//! customer and service; hedges have a budget of their own, so that hedges for slow replies cannot
-//! use up the retries for failed ones.
+//! customer and service. Hedges have a separate budget, so that hedges for slow replies cannot use
+//! up the retries for failed requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use serde_with::serde_as;
 use sycamorelink_core::{DurationText, FindingList};
 
-/// Parts of the window by which deposits are summed; each part expires as a whole.
+/// Number of parts of the window in which deposits are summed; each part expires as a whole.
 const WINDOW_PARTS: usize = 10;
-/// One token in the smallest unit.
+/// Token units per token.
 const TOKEN: u64 = 100_000;
 /// Token units that one first try deposits for each percent.
 const TOKEN_PER_PERCENT: u64 = TOKEN / 100;
 
-/// One whole repeat in the unit of a [`BudgetPart`].
+/// Units of a [`BudgetPart`] per repeat.
 pub const WHOLE_REPEAT: u64 = 1000;
 
 /// One node's part of a budget that many nodes share, in thousandths of a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetPart {
-    /// Repeats that each window allows whatever the traffic.
+    /// Repeats that each window allows regardless of the traffic.
     pub slack: u64,
-    /// What has to be left for a repeat: a whole one, or less where the parts are small.
+    /// Remaining budget that allows a repeat: a whole repeat, or less where the parts are small.
     ///
-    /// Failure: a bound of the whole fleet is kept in so small parts that no node ever has a whole
-    /// repeat, and requests fail that the fleet might repeat. Where each of many nodes draws its
-    /// threshold evenly from one to a thousand, what they allow together is the sum of their parts; a
-    /// node alone goes beyond its own part by less than one repeat.
+    /// If a fleet-wide limit is divided into parts smaller than a repeat, no node would ever have a
+    /// whole one, and requests would fail that the fleet could repeat. When many nodes draw their
+    /// thresholds evenly from one to a thousand, their total repeats equal the sum of their parts.
+    /// A single node exceeds its own part by less than one repeat.
     pub threshold: u64,
 }
 
@@ -72,11 +72,11 @@
 }
 
 impl BudgetSettings {
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Every finding with its place under `place`.
+    /// Returns every finding, with its path below `place`.
     pub fn validate(&self, place: &str) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         findings.expect(
@@ -93,22 +93,22 @@
     }
 }
 
-/// The budget of one customer at one service.
+/// Budget of one customer at one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u64,
     minimum_per_second: u64,
-    part: Duration,
+    part_duration: Duration,
     window: Duration,
-    part_of_all: BudgetPart,
+    node_part: BudgetPart,
     deposits: [u64; WINDOW_PARTS],
     /// Time of each withdrawal, oldest first.
     ///
-    /// Not summed by parts of the window like deposits: a withdrawal would expire up to one part early, and
-    /// a window could hold nearly twice the budget.
+    /// Unlike deposits, withdrawals are not summed by parts of the window: a withdrawal would
+    /// expire up to one part early, and a window could hold nearly twice the budget.
     withdrawals: VecDeque<Duration>,
-    newest: u64,
-    /// Latest `now` of any call, so that a clock that steps back keeps `withdrawals` in order.
+    newest_part: u64,
+    /// Latest `now` of any call. Keeps `withdrawals` in order if the clock steps back.
     latest_now: Duration,
 }
 
@@ -119,28 +119,28 @@
         Self {
             percent: u64::from(settings.percent),
             minimum_per_second: u64::from(settings.minimum_per_second),
-            part: settings.window / u32::try_from(WINDOW_PARTS).unwrap_or(u32::MAX),
+            part_duration: settings.window / u32::try_from(WINDOW_PARTS).unwrap_or(u32::MAX),
             window: settings.window,
-            part_of_all: BudgetPart::default(),
+            node_part: BudgetPart::default(),
             deposits: [0; WINDOW_PARTS],
             withdrawals: VecDeque::new(),
-            newest: 0,
+            newest_part: 0,
             latest_now: Duration::ZERO,
         }
     }
 
     /// Sets this node's part of a budget that many nodes share.
     pub fn set_part(&mut self, part: BudgetPart) {
-        self.part_of_all = part;
+        self.node_part = part;
     }
 
-    /// Counts one first try.
+    /// Records one first try.
     pub fn deposit(&mut self, now: Duration) {
-        let slot = self.advance(now);
-        self.deposits[slot] += self.percent * TOKEN_PER_PERCENT;
+        let index = self.advance(now);
+        self.deposits[index] += self.percent * TOKEN_PER_PERCENT;
     }
 
-    /// Takes one repeat out of the budget. False means that the repeat must not be sent.
+    /// Withdraws one repeat. Returns false if the repeat must not be sent.
     pub fn withdraw(&mut self, now: Duration) -> bool {
         self.advance(now);
         if self.balance_units() / TOKEN == 0 {
@@ -150,27 +150,28 @@
         true
     }
 
-    /// Takes one repeat that is made whether or not one is left. What is owed is missing until the window
-    /// has passed.
+    /// Withdraws one repeat that is sent regardless of the balance. A deficit lasts until the
+    /// window has passed.
     pub fn charge(&mut self, now: Duration) {
         self.advance(now);
         self.withdrawals.push_back(self.latest_now);
     }
 
-    /// Gives back a repeat that was taken and not made. Removes the oldest withdrawal, so that no later one
-    /// expires early.
+    /// Reverts the withdrawal of a repeat that was not sent. Removes the oldest withdrawal, so that
+    /// no later one expires early.
     pub fn refund(&mut self, now: Duration) {
         self.advance(now);
         self.withdrawals.pop_front();
     }
 
-    /// Restarts the window of a repeat that was taken earlier and is made now. Replaces the oldest withdrawal.
+    /// Restarts the window of a repeat that was withdrawn earlier and is sent now. Replaces the
+    /// oldest withdrawal.
     pub fn restart_withdrawal(&mut self, now: Duration) {
         self.refund(now);
         self.charge(now);
     }
 
-    /// Whole repeats left.
+    /// Returns the number of whole repeats left.
     pub fn balance(&mut self, now: Duration) -> u64 {
         self.advance(now);
         self.balance_units() / TOKEN
@@ -180,13 +181,14 @@
         let minimum = self.minimum_per_second * TOKEN * self.window.as_secs().max(1);
         let deposits: u64 = self.deposits.iter().sum();
         let withdrawals = TOKEN * self.withdrawals.len() as u64;
-        let BudgetPart { slack, threshold } = self.part_of_all;
-        let ahead = WHOLE_REPEAT.saturating_sub(threshold);
-        let shared = (slack + ahead) * (TOKEN / WHOLE_REPEAT);
-        (minimum + shared + deposits).saturating_sub(withdrawals)
+        let BudgetPart { slack, threshold } = self.node_part;
+        let advance_credit = WHOLE_REPEAT.saturating_sub(threshold);
+        let node_share = (slack + advance_credit) * (TOKEN / WHOLE_REPEAT);
+        (minimum + node_share + deposits).saturating_sub(withdrawals)
     }
 
-    /// Removes expired withdrawals and deposits, and returns the slot of the newest part of the deposits.
+    /// Removes expired withdrawals and deposits, and returns the index of the newest part of the
+    /// deposits.
     fn advance(&mut self, now: Duration) -> usize {
         self.latest_now = self.latest_now.max(now);
         let is_expired = |at: &Duration| *at + self.window <= self.latest_now;
@@ -196,19 +198,20 @@
             .take_while(|at| is_expired(at))
             .count();
         self.withdrawals.drain(..expired);
-        let parts = WINDOW_PARTS as u64;
-        let number = u64::try_from(now.as_nanos() / self.part.as_nanos().max(1)).unwrap_or(0);
-        let first = self.newest + 1;
-        let passed = number.saturating_sub(self.newest).min(parts);
-        for number in first..first + passed {
-            let slot = slot_of(number);
-            self.deposits[slot] = 0;
+        let part_count = WINDOW_PARTS as u64;
+        let part_number =
+            u64::try_from(now.as_nanos() / self.part_duration.as_nanos().max(1)).unwrap_or(0);
+        let first_part = self.newest_part + 1;
+        let elapsed_parts = part_number.saturating_sub(self.newest_part).min(part_count);
+        for part_number in first_part..first_part + elapsed_parts {
+            let index = index_of(part_number);
+            self.deposits[index] = 0;
         }
-        self.newest = self.newest.max(number);
-        slot_of(self.newest)
+        self.newest_part = self.newest_part.max(part_number);
+        index_of(self.newest_part)
     }
 }
 
-fn slot_of(number: u64) -> usize {
-    usize::try_from(number % WINDOW_PARTS as u64).unwrap_or(0)
+fn index_of(part_number: u64) -> usize {
+    usize::try_from(part_number % WINDOW_PARTS as u64).unwrap_or(0)
 }
--- a/crates/limits/src/share/active.rs
+++ b/crates/limits/src/share/active.rs
@@ -1,4 +1,4 @@
-//! One customer in use at a holder.
+//! State of one customer in use at a holder.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 use super::bucket::{TOKEN, TokenBucket};
 use super::contract::LimitRow;
 use super::demand::DemandMeter;
-use super::lease::{LeaseTotals, LeaseWish, ShareLease};
+use super::lease::{LeaseAmount, LeaseTotals, ShareLease};
 use super::ring::{KeeperPlace, mix};
 use super::view::RosterView;
 use super::{Admission, AskEntry, CustomerIndex, GrantEntry, ShareSettings};
 
-/// Longest time that a refusal names.
-const LONGEST_HINT: Duration = Duration::from_mins(1);
-/// Named when nothing is known about when a token or slot returns.
-const UNKNOWN_HINT: Duration = Duration::from_secs(1);
-/// Requests that one ask for tokens covers.
-const TOKEN_ASK: u32 = 100;
+/// Upper bound of the `retry_after` hint in a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
+/// `retry_after` hint when no time is known at which a token or slot returns.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum number of tokens that one ask requests.
+const MAX_TOKENS_PER_ASK: u32 = 100;
 
-/// What a refused or waiting request lacks.
+/// Resources that a refused or waiting request lacks.
 #[derive(Debug, Clone, Copy)]
 struct ShareShortage {
     token: bool,
     slot: bool,
 }
 
-/// What this node may use of one contract, and what its callers want.
+/// Rights of this node under one contract, and the demand of its callers.
 #[derive(Debug)]
 pub struct ActiveCustomer {
     index: CustomerIndex,
@@ -38,17 +38,17 @@
     base_blocks: u32,
     base_slots: u32,
     rights_end: Duration,
-    short: u32,
-    waiting: bool,
-    finish_gap: Duration,
+    shortage_count: u32,
+    has_waiting: bool,
+    mean_finish_interval: Duration,
     finished_at: Duration,
-    hinted: Duration,
-    /// Whether it is on the list of customers to plan at once.
-    pub listed: bool,
+    last_hinted_at: Duration,
+    /// Whether the customer is queued for planning before the next periodic scan.
+    pub is_urgent: bool,
 }
 
 impl ActiveCustomer {
-    /// Starts without leases.
+    /// Creates the state without leases.
     #[must_use]
     pub fn new(now: Duration, index: CustomerIndex, limit: LimitRow) -> Self {
         Self {
@@ -61,48 +61,49 @@
             base_blocks: 0,
             base_slots: 0,
             rights_end: Duration::ZERO,
-            short: 0,
-            waiting: false,
-            finish_gap: Duration::ZERO,
+            shortage_count: 0,
+            has_waiting: false,
+            mean_finish_interval: Duration::ZERO,
             finished_at: now,
-            hinted: Duration::ZERO,
-            listed: false,
+            last_hinted_at: Duration::ZERO,
+            is_urgent: false,
         }
     }
 
-    /// The dense number of the customer.
+    /// Returns the dense number of the customer.
     #[must_use]
     pub const fn index(&self) -> CustomerIndex {
         self.index
     }
 
-    /// Rate in force, in thousandths of a request a second.
+    /// Returns the rate in force, in thousandths of a request per second.
     #[must_use]
     pub const fn rate(&self) -> u64 {
         self.bucket.rate()
     }
 
-    /// Slots in force.
+    /// Returns the slots in force.
     #[must_use]
     pub const fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.demand.in_flight()
     }
 
-    /// When the rights in force must be looked at again.
+    /// Returns the time at which the rights in force must be recomputed.
     #[must_use]
     pub const fn rights_end(&self) -> Duration {
         self.rights_end
     }
 
-    /// Takes the places of the keepers from the roster in force, those of the own domain first.
-    /// `drop_all` drops the leases also where the keeper is the same.
-    pub fn place_leases(
+    /// Updates the list of keepers from the roster in force, with those of the own domain first.
+    ///
+    /// Keeps the leases of keepers that are unchanged, unless `drop_all` is set.
+    pub fn update_keepers(
         &mut self,
         view: &RosterView,
         own: u64,
@@ -116,33 +117,33 @@
         self.base_blocks = view.base_blocks(self.limit.customer);
         let mut places: Vec<KeeperPlace> = ring.keepers(self.limit.customer).collect();
         let customer = self.limit.customer;
-        places.sort_by_key(|at| {
-            let elsewhere = at.domain != view.own_domain();
-            let spread = mix(own ^ customer ^ mix(at.domain ^ u64::from(at.place)));
+        places.sort_by_key(|place| {
+            let elsewhere = place.domain != view.own_domain();
+            let spread = mix(own ^ customer ^ mix(place.domain ^ u64::from(place.place)));
             (elsewhere, spread)
         });
         let mut former = std::mem::take(&mut self.leases);
         self.leases = places
             .into_iter()
-            .map(|at| take_place(&mut former, at, self.limit, interval))
+            .map(|place| take_lease(&mut former, place, self.limit, interval))
             .collect();
         if drop_all {
-            self.leases.iter_mut().for_each(ShareLease::discard);
+            self.leases.iter_mut().for_each(ShareLease::clear);
         }
     }
 
     /// Drops all leases.
     pub fn drop_leases(&mut self) {
-        self.leases.iter_mut().for_each(ShareLease::discard);
+        self.leases.iter_mut().for_each(ShareLease::clear);
     }
 
-    /// Takes an amended contract over.
+    /// Applies an amended contract.
     pub fn set_limit(&mut self, limit: LimitRow) {
         self.limit = limit;
     }
 
-    /// Adds up what is in force now.
-    pub fn add_up(&mut self, now: Duration, view: &RosterView, settings: &ShareSettings) {
+    /// Recomputes the rate and slots that are in force now.
+    pub fn update_rights(&mut self, now: Duration, view: &RosterView, settings: &ShareSettings) {
         self.bucket.fill(now, settings.burst);
         let mut rate = view.base_rate(now, self.limit);
         let mut slots = 0;
@@ -164,7 +165,8 @@
         self.rights_end = if end > now { end } else { Duration::MAX };
     }
 
-    /// Decides on one request whose rights have been added up. `again` means that it has waited.
+    /// Decides on one request. The rights must be up to date. `again` means that the request has
+    /// waited.
     pub fn admit(&mut self, now: Duration, settings: &ShareSettings, again: bool) -> Admission {
         if !again {
             self.demand.offered(now);
@@ -179,27 +181,27 @@
             token: self.bucket.next_token() != Some(Duration::ZERO),
             slot: !slot,
         };
-        self.fall_short(shortage);
-        match self.worth_waiting(now, settings, shortage) {
+        self.record_shortage(shortage);
+        match self.wait_until(now, settings, shortage) {
             Some(until) if !again => {
-                self.waiting = true;
+                self.has_waiting = true;
                 Admission::Wait { until }
             }
             _ => Admission::Refused {
-                retry_after: self.hint(now, shortage),
+                retry_after: self.retry_after_hint(now, shortage),
             },
         }
     }
 
-    fn fall_short(&mut self, shortage: ShareShortage) {
-        self.short = self.short.saturating_add(1);
+    fn record_shortage(&mut self, shortage: ShareShortage) {
+        self.shortage_count = self.shortage_count.saturating_add(1);
         if shortage.slot {
-            self.demand.lacked_slot();
+            self.demand.record_slot_shortage();
         }
     }
 
-    /// Until when a request should wait for a grant or a token, when either is near.
-    fn worth_waiting(
+    /// Returns until when a request should wait, if a grant or a token is expected soon.
+    fn wait_until(
         &self,
         now: Duration,
         settings: &ShareSettings,
@@ -207,67 +209,71 @@
     ) -> Option<Duration> {
         let last = now + settings.first_wait;
         let next = self.bucket.next_token().map(|wait| now + wait);
-        if !shortage.slot && next.is_some_and(|next| next <= last) && self.short <= 1 {
+        if !shortage.slot && next.is_some_and(|next| next <= last) && self.shortage_count <= 1 {
             return next;
         }
-        let asked = self.leases.iter().any(ShareLease::is_asked);
-        let may_gain = self.leases.iter().any(|lease| lease.may_give(now));
+        let asked = self.leases.iter().any(ShareLease::is_ask_pending);
+        let may_gain = self.leases.iter().any(|lease| lease.may_grant(now));
         (asked || may_gain).then_some(last)
     }
 
-    /// When to come back. Callers refused one after the other get times one token apart, because
-    /// only one of them can have the next token.
-    fn hint(&mut self, now: Duration, shortage: ShareShortage) -> Duration {
+    /// Returns the time after which a refused caller may retry.
+    ///
+    /// Hints to successive callers are one token apart, because only one caller can get the next
+    /// token.
+    fn retry_after_hint(&mut self, now: Duration, shortage: ShareShortage) -> Duration {
         let token = if shortage.token {
-            self.token_hint(now)
+            self.token_wait(now)
         } else {
             Duration::ZERO
         };
         let slot = if shortage.slot {
-            self.slot_hint(now)
+            self.slot_wait(now)
         } else {
             Duration::ZERO
         };
-        token.max(slot).min(LONGEST_HINT)
+        token.max(slot).min(MAX_RETRY_AFTER)
     }
 
-    fn token_hint(&mut self, now: Duration) -> Duration {
+    fn token_wait(&mut self, now: Duration) -> Duration {
         let Some(next) = self.bucket.next_token() else {
-            return self.grant_hint(now);
+            return self.grant_wait(now);
         };
-        let gap = Duration::from_micros(TOKEN / self.bucket.rate().max(1));
-        let next = (now + next).max(self.hinted + gap).min(now + LONGEST_HINT);
-        self.hinted = next;
+        let spacing = Duration::from_micros(TOKEN / self.bucket.rate().max(1));
+        let next = (now + next)
+            .max(self.last_hinted_at + spacing)
+            .min(now + MAX_RETRY_AFTER);
+        self.last_hinted_at = next;
         next.saturating_sub(now)
     }
 
-    fn slot_hint(&self, now: Duration) -> Duration {
-        if self.slots == 0 || self.finish_gap.is_zero() {
-            return self.grant_hint(now);
+    fn slot_wait(&self, now: Duration) -> Duration {
+        if self.slots == 0 || self.mean_finish_interval.is_zero() {
+            return self.grant_wait(now);
         }
-        self.finish_gap
+        self.mean_finish_interval
     }
 
-    fn grant_hint(&self, now: Duration) -> Duration {
+    fn grant_wait(&self, now: Duration) -> Duration {
         let next = self.leases.iter().map(ShareLease::renew_at);
         let next = next.filter(|at| *at > now).min();
-        next.map_or(UNKNOWN_HINT, |at| at.saturating_sub(now))
+        next.map_or(DEFAULT_RETRY_AFTER, |at| at.saturating_sub(now))
     }
 
     /// Frees the slot of an admitted request.
     pub fn finished(&mut self, now: Duration) {
         self.demand.ended(now);
-        let gap = now.saturating_sub(self.finished_at);
-        self.finish_gap = (self.finish_gap * 7 + gap) / 8;
+        let interval = now.saturating_sub(self.finished_at);
+        self.mean_finish_interval = (self.mean_finish_interval * 7 + interval) / 8;
         self.finished_at = now;
     }
 
-    /// Builds the asks that are due. `number` is the last number used and grows.
+    /// Builds the asks that are due. `number` is the last number used and grows with each ask.
     ///
-    /// What is held stays where it is while it is about what is needed. More is asked of one
-    /// keeper after the other, the near ones first, and what is too much is given up from the far
-    /// end. Moving leases between keepers without need would leave the holder without them for a
-    /// while each time.
+    /// Leases stay at their keepers while their sum is close to the need. Additional amounts are
+    /// requested from one keeper after the other, nearest first, and a surplus is released from the
+    /// farthest. Moving leases between keepers without need would leave the holder without them for
+    /// a while each time.
     pub fn plan<F>(
         &mut self,
         now: Duration,
@@ -283,33 +289,37 @@
             least_rate: self.demand.offered_rate().min(self.limit.rate),
             held: self.held(now),
         };
-        let mut missing = missing(totals);
+        let mut missing = missing_amount(totals);
         let mut surplus = self.surplus(totals);
         let mut overflow = self.in_flight().saturating_sub(self.slots);
         for lease in self.leases.iter_mut().rev() {
             lease.expire_ask(now);
-            surplus = lease.plan_less(now, self.limit, totals.need.rate, surplus);
+            surplus = lease.plan_release(now, self.limit, totals.need.rate, surplus);
         }
         for lease in &mut self.leases {
-            missing = lease.plan_more(now, missing);
+            missing = lease.plan_request(now, missing);
             if lease.is_due(now) {
                 *number = number.wrapping_add(1).max(1);
-                send(lease.at(), lease.ask(now, *number, totals, overflow));
+                send(lease.place(), lease.ask(now, *number, totals, overflow));
                 overflow = 0;
             }
         }
     }
 
-    /// What this node's callers need of all keepers together.
-    fn need(&mut self, now: Duration, settings: &ShareSettings) -> LeaseWish {
+    /// Returns the amount that this node's callers need of all keepers together.
+    fn need(&mut self, now: Duration, settings: &ShareSettings) -> LeaseAmount {
         self.bucket.fill(now, settings.burst);
-        let dry = self.bucket.next_token() != Some(Duration::ZERO);
-        let short = std::mem::take(&mut self.short);
+        let lacks_token = self.bucket.next_token() != Some(Duration::ZERO);
+        let shortage_count = std::mem::take(&mut self.shortage_count);
         let slots = self.demand.want_slots().min(self.limit.concurrency);
-        LeaseWish {
+        LeaseAmount {
             rate: self.demand.want_rate(self.is_scarce()).min(self.limit.rate),
             slots: slots.max(self.in_flight()).saturating_sub(self.base_slots),
-            tokens: if dry { short.min(TOKEN_ASK) } else { 0 },
+            tokens: if lacks_token {
+                shortage_count.min(MAX_TOKENS_PER_ASK)
+            } else {
+                0
+            },
         }
     }
 
@@ -317,32 +327,32 @@
         self.leases.iter().any(ShareLease::is_exhausted)
     }
 
-    fn held(&self, now: Duration) -> LeaseWish {
+    fn held(&self, now: Duration) -> LeaseAmount {
         let leases = self.leases.iter();
-        leases.fold(LeaseWish::default(), |sum, lease| LeaseWish {
+        leases.fold(LeaseAmount::default(), |sum, lease| LeaseAmount {
             rate: sum.rate + lease.rate(now, self.limit),
             slots: sum.slots + lease.slots(now, self.limit),
             tokens: 0,
         })
     }
 
-    /// What is held beyond the need, once that is more than a quarter or others want it.
-    fn surplus(&self, totals: LeaseTotals) -> LeaseWish {
+    /// Returns the amount held beyond the need, if it exceeds a quarter of the need or is scarce.
+    fn surplus(&self, totals: LeaseTotals) -> LeaseAmount {
         let LeaseTotals { need, held, .. } = totals;
         let rate = held.rate.saturating_sub(need.rate);
         let slots = held.slots.saturating_sub(need.slots);
         let scarce = self.is_scarce();
         let much_rate = scarce || rate > need.rate / 4;
         let much_slots = scarce || slots > (need.slots / 4).max(1);
-        LeaseWish {
+        LeaseAmount {
             rate: if much_rate { rate } else { 0 },
             slots: if much_slots { slots } else { 0 },
             tokens: 0,
         }
     }
 
-    /// Applies a grant. True means that requests which wait should be tried again.
-    pub fn granted(
+    /// Applies a grant. Returns true if waiting requests should be tried again.
+    pub fn apply_grant(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -352,29 +362,31 @@
         let mut matching = self
             .leases
             .iter_mut()
-            .filter(|lease| lease.at().keeper == from && lease.at().place == grant.place);
+            .filter(|lease| lease.place().keeper == from && lease.place().place == grant.place);
         let Some(tokens) = matching.find_map(|lease| lease.apply(now, grant, self.limit)) else {
             return false;
         };
         self.bucket.fill(now, burst);
         self.bucket.give(tokens);
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.has_waiting)
     }
 
-    /// Whether nothing is lost when this customer is forgotten here.
+    /// Returns whether the state can be dropped without losing anything.
     #[must_use]
-    pub fn is_spare(&self, now: Duration) -> bool {
-        let bound = |lease: &ShareLease| lease.is_held(now) || lease.is_asked();
-        self.in_flight() == 0 && self.demand.is_idle() && !self.leases.iter().any(bound)
+    pub fn is_removable(&self, now: Duration) -> bool {
+        let is_in_use = |lease: &ShareLease| lease.is_held(now) || lease.is_ask_pending();
+        self.in_flight() == 0 && self.demand.is_idle() && !self.leases.iter().any(is_in_use)
     }
 }
 
-/// What is needed beyond what is held. Headroom is asked for only together with what lacks without
-/// it, so that not every change of the demand is followed by an ask.
-fn missing(totals: LeaseTotals) -> LeaseWish {
+/// Returns the amount needed beyond what is held.
+///
+/// Headroom is requested only when the rate falls short without it, so that not every change of the
+/// demand causes an ask.
+fn missing_amount(totals: LeaseTotals) -> LeaseAmount {
     let LeaseTotals { need, held, .. } = totals;
     let lacks = held.rate < totals.least_rate;
-    LeaseWish {
+    LeaseAmount {
         rate: if lacks {
             need.rate.saturating_sub(held.rate)
         } else {
@@ -385,15 +397,15 @@
     }
 }
 
-/// The former lease at a place if its keeper is the same, else an empty one.
-fn take_place(
+/// Removes and returns the former lease from the same keeper and place, or returns an empty lease.
+fn take_lease(
     former: &mut Vec<ShareLease>,
-    at: KeeperPlace,
+    place: KeeperPlace,
     limit: LimitRow,
     interval: Duration,
 ) -> ShareLease {
-    match former.iter().position(|lease| lease.at() == at) {
+    match former.iter().position(|lease| lease.place() == place) {
         Some(position) => former.swap_remove(position),
-        None => ShareLease::none(at, limit, interval),
+        None => ShareLease::empty(place, limit, interval),
     }
 }
--- a/crates/limits/src/share/bucket.rs
+++ b/crates/limits/src/share/bucket.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// One token in the smallest unit. A rate in thousandths of a request a second times a time in
-/// microseconds gives exactly this unit.
+/// Units per token. A rate in thousandths of a request per second times a time in microseconds
+/// gives exactly this unit.
 pub const TOKEN: u64 = 1_000_000_000;
 
-/// Tokens that accrue with a rate which may change at any time.
+/// Token bucket whose rate may change at any time.
 #[derive(Debug, Clone, Default)]
 pub struct TokenBucket {
     level: u64,
@@ -16,7 +16,7 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket that accrues from `since` on.
+    /// Creates an empty bucket that accrues from `since` on.
     #[must_use]
     pub fn new(since: Duration, rate: u64) -> Self {
         Self {
@@ -27,7 +27,9 @@
         }
     }
 
-    /// Adds what accrued since the last call, up to `burst` at the rate and at least one token.
+    /// Adds the tokens accrued since the last call.
+    ///
+    /// The cap is `burst` at the present rate, and at least one token.
     pub fn fill(&mut self, now: Duration, burst: Duration) {
         let elapsed = now.saturating_sub(self.filled_at);
         self.filled_at = now.max(self.filled_at);
@@ -38,8 +40,8 @@
         self.full = self.level >= cap;
     }
 
-    /// Changes the rate from now on. Tokens above the new burst are dropped, because they accrued
-    /// for a right that is now with someone else.
+    /// Changes the rate from now on. Drops tokens above the new burst, because they accrued for a
+    /// right that another node now has.
     pub fn set_rate(&mut self, rate: u64, burst: Duration) {
         if rate < self.rate {
             self.level = self.level.min(accrual(rate, burst).max(TOKEN));
@@ -47,26 +49,26 @@
         self.rate = rate;
     }
 
-    /// The rate in thousandths of a request a second.
+    /// Returns the rate in thousandths of a request per second.
     #[must_use]
     pub const fn rate(&self) -> u64 {
         self.rate
     }
 
-    /// Whether the last fill reached the cap.
+    /// Returns whether the last fill reached the cap.
     #[must_use]
     pub const fn is_full(&self) -> bool {
         self.full
     }
 
-    /// Takes one token.
+    /// Takes one token. Returns false if no whole token is left.
     pub fn take(&mut self) -> bool {
         let left = self.level.checked_sub(TOKEN);
         self.level = left.unwrap_or(self.level);
         left.is_some()
     }
 
-    /// Takes whole tokens, at most `count`.
+    /// Takes at most `count` whole tokens and returns their number.
     pub fn take_up_to(&mut self, count: u32) -> u32 {
         let whole = u32::try_from(self.level / TOKEN).unwrap_or(u32::MAX);
         let taken = whole.min(count);
@@ -74,17 +76,18 @@
         taken
     }
 
-    /// Adds whole tokens that someone else accrued.
+    /// Adds whole tokens that a keeper has accrued.
     pub fn give(&mut self, count: u32) {
         self.level = self.level.saturating_add(u64::from(count) * TOKEN);
     }
 
-    /// Drops all tokens.
+    /// Removes all tokens.
     pub fn empty(&mut self) {
         self.level = 0;
     }
 
-    /// Time until one whole token is there. Nothing when none is there and the rate is zero.
+    /// Returns the time until one whole token is available, or `None` if it never will be at a rate
+    /// of zero.
     #[must_use]
     pub fn next_token(&self) -> Option<Duration> {
         let missing = TOKEN.saturating_sub(self.level);
--- a/crates/limits/src/share/contract.rs
+++ b/crates/limits/src/share/contract.rs
@@ -1,4 +1,4 @@
-//! The contracts that this node knows, by dense number and by hash of the customer's name.
+//! Contracts of this node, by dense number and by hash of the customer's name.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::{CustomerIndex, CustomerLimit};
 
-/// The limits of one contract in the form that decisions use.
+/// Limits of one contract, in the form used for decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRow {
     /// Stable hash of the customer's name.
     pub customer: u64,
-    /// Thousandths of a request a second.
+    /// Fleet-wide rate, in thousandths of a request per second.
     pub rate: u64,
-    /// Requests at once.
+    /// Fleet-wide number of concurrent requests.
     pub concurrency: u32,
 }
 
@@ -51,19 +51,19 @@
         }
     }
 
-    /// The limits of a contract.
+    /// Returns the limits of a contract.
     #[must_use]
     pub fn row(&self, index: CustomerIndex) -> Option<LimitRow> {
         self.rows.get(index.0 as usize).copied().flatten()
     }
 
-    /// The limits of a customer.
+    /// Returns the limits of a customer, given the hash of its name.
     #[must_use]
     pub fn row_of(&self, customer: u64) -> Option<LimitRow> {
         self.row(*self.indexes.get(&customer)?)
     }
 
-    /// The dense number of a customer.
+    /// Returns the dense number of a customer, given the hash of its name.
     #[must_use]
     pub fn index_of(&self, customer: u64) -> Option<CustomerIndex> {
         self.indexes.get(&customer).copied()
--- a/crates/limits/src/share/customer.rs
+++ b/crates/limits/src/share/customer.rs
@@ -1,4 +1,4 @@
-//! The holder side.
+//! Holder side of the fleet-wide limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,22 +11,24 @@
 use super::view::RosterView;
 use super::{Admission, CustomerIndex, ShareCommand, ShareSettings};
 
-/// How often every customer in use is looked at.
+/// Interval at which every customer in use is planned.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Marks a customer that is not in use.
-const NOT_ACTIVE: u32 = u32::MAX;
+const NOT_IN_USE: u32 = u32::MAX;
 
-/// What this node may use of each contract. Only customers in use take more than four bytes.
+/// Rights of this node under each contract.
+///
+/// A customer that is not in use takes four bytes.
 #[derive(Debug)]
 pub struct CustomerShare {
     own: InstanceId,
     settings: ShareSettings,
     slots: Vec<u32>,
     active: Vec<Option<ActiveCustomer>>,
-    free: Vec<u32>,
+    free_entries: Vec<u32>,
     urgent: Vec<u32>,
     number: u32,
-    scanned_at: Duration,
+    last_scan_at: Duration,
 }
 
 impl CustomerShare {
@@ -38,25 +40,25 @@
             settings,
             slots: Vec::new(),
             active: Vec::new(),
-            free: Vec::new(),
+            free_entries: Vec::new(),
             urgent: Vec::new(),
             number: 0,
-            scanned_at: Duration::ZERO,
+            last_scan_at: Duration::ZERO,
         }
     }
 
-    /// Makes room for a dense number.
+    /// Reserves an entry for a dense number.
     pub(super) fn reserve(&mut self, index: CustomerIndex) {
         let slot = index.0 as usize;
         if self.slots.len() <= slot {
-            self.slots.resize(slot + 1, NOT_ACTIVE);
+            self.slots.resize(slot + 1, NOT_IN_USE);
         }
     }
 
-    /// Customers in use.
+    /// Returns the number of customers in use.
     #[must_use]
     pub fn active_count(&self) -> usize {
-        self.active.len() - self.free.len()
+        self.active.len() - self.free_entries.len()
     }
 
     fn get(&self, index: CustomerIndex) -> Option<&ActiveCustomer> {
@@ -69,7 +71,7 @@
         self.active.get_mut(slot as usize)?.as_mut()
     }
 
-    /// Rate in force, in thousandths of a request a second.
+    /// Returns the rate in force, in thousandths of a request per second.
     #[must_use]
     pub fn rate(&self, now: Duration, index: CustomerIndex) -> u64 {
         self.get(index)
@@ -77,7 +79,7 @@
             .map_or(0, ActiveCustomer::rate)
     }
 
-    /// Slots in force.
+    /// Returns the slots in force.
     #[must_use]
     pub fn slots(&self, now: Duration, index: CustomerIndex) -> u32 {
         self.get(index)
@@ -85,13 +87,13 @@
             .map_or(0, ActiveCustomer::slots)
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn in_flight(&self, index: CustomerIndex) -> u32 {
         self.get(index).map_or(0, ActiveCustomer::in_flight)
     }
 
-    /// Decides on one request.
+    /// Decides on one request. `again` means that the request has waited.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -111,11 +113,11 @@
             };
         };
         if now >= active.rights_end() {
-            active.add_up(now, view, &self.settings);
+            active.update_rights(now, view, &self.settings);
         }
         let admission = active.admit(now, &self.settings, again);
-        if admission != Admission::Admitted && !active.listed {
-            active.listed = true;
+        if admission != Admission::Admitted && !active.is_urgent {
+            active.is_urgent = true;
             self.urgent.push(slot);
         }
         admission
@@ -129,25 +131,25 @@
         view: &RosterView,
     ) -> Option<u32> {
         let slot = *self.slots.get(index.0 as usize)?;
-        if slot != NOT_ACTIVE {
+        if slot != NOT_IN_USE {
             return Some(slot);
         }
         let mut active = ActiveCustomer::new(now, index, contracts.row(index)?);
         let interval = self.settings.ask_interval;
-        active.place_leases(view, self.own.node.0, false, interval);
-        active.add_up(now, view, &self.settings);
+        active.update_keepers(view, self.own.node.0, false, interval);
+        active.update_rights(now, view, &self.settings);
         let slot = self.insert(active);
         self.slots[index.0 as usize] = slot;
         Some(slot)
     }
 
     fn insert(&mut self, active: ActiveCustomer) -> u32 {
-        if let Some(slot) = self.free.pop() {
+        if let Some(slot) = self.free_entries.pop() {
             self.active[slot as usize] = Some(active);
             return slot;
         }
         self.active.push(Some(active));
-        u32::try_from(self.active.len() - 1).unwrap_or(NOT_ACTIVE)
+        u32::try_from(self.active.len() - 1).unwrap_or(NOT_IN_USE)
     }
 
     /// Frees the slot of an admitted request.
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Takes an amended or withdrawn contract over.
+    /// Applies an amended or withdrawn contract.
     pub(super) fn amend(
         &mut self,
         now: Duration,
@@ -173,15 +175,16 @@
             Some(limit) => active.set_limit(limit),
             None => active.drop_leases(),
         }
-        active.add_up(now, view, &settings);
+        active.update_rights(now, view, &settings);
     }
 
-    /// Drops leases that the roster in force no longer backs.
+    /// Drops leases that the roster in force no longer supports, or all leases if `drop_all` is
+    /// set.
     pub(super) fn follow_roster(&mut self, now: Duration, view: &RosterView, drop_all: bool) {
         for active in self.active.iter_mut().flatten() {
             let interval = self.settings.ask_interval;
-            active.place_leases(view, self.own.node.0, drop_all, interval);
-            active.add_up(now, view, &self.settings);
+            active.update_keepers(view, self.own.node.0, drop_all, interval);
+            active.update_rights(now, view, &self.settings);
         }
     }
 
@@ -189,12 +192,12 @@
     pub(super) fn drop_leases(&mut self, now: Duration, view: &RosterView) {
         for active in self.active.iter_mut().flatten() {
             active.drop_leases();
-            active.add_up(now, view, &self.settings);
+            active.update_rights(now, view, &self.settings);
         }
     }
 
-    /// Applies grants.
-    pub(super) fn granted(
+    /// Applies grants from a keeper.
+    pub(super) fn apply_grants(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -214,19 +217,19 @@
             let Some(active) = self.active.get_mut(slot as usize).and_then(Option::as_mut) else {
                 continue;
             };
-            let waiting = active.granted(now, from, grant, settings.burst);
-            active.add_up(now, view, &settings);
+            let waiting = active.apply_grant(now, from, grant, settings.burst);
+            active.update_rights(now, view, &settings);
             if waiting {
                 out.push(ShareCommand::Ready { index });
             }
-            if !active.listed {
-                active.listed = true;
+            if !active.is_urgent {
+                active.is_urgent = true;
                 self.urgent.push(slot);
             }
         }
     }
 
-    /// Builds the asks that are due, by keeper.
+    /// Builds the asks that are due, grouped by keeper.
     pub(super) fn plan(
         &mut self,
         now: Duration,
@@ -239,13 +242,13 @@
         }
         self.urgent = urgent;
         self.urgent.clear();
-        if now < self.scanned_at + SCAN_INTERVAL {
+        if now < self.last_scan_at + SCAN_INTERVAL {
             return;
         }
-        self.scanned_at = now;
-        for slot in 0..u32::try_from(self.active.len()).unwrap_or(NOT_ACTIVE) {
+        self.last_scan_at = now;
+        for slot in 0..u32::try_from(self.active.len()).unwrap_or(NOT_IN_USE) {
             self.plan_one(now, slot, view, asks);
-            self.forget_spare(now, slot);
+            self.remove_unused(now, slot);
         }
     }
 
@@ -259,27 +262,27 @@
         let Some(active) = self.active.get_mut(slot as usize).and_then(Option::as_mut) else {
             return;
         };
-        active.listed = false;
+        active.is_urgent = false;
         if !view.may_hold(now) {
             return;
         }
         let mut asked = false;
-        active.plan(now, &self.settings, &mut self.number, |at, entry| {
+        active.plan(now, &self.settings, &mut self.number, |place, entry| {
             asked = true;
-            asks.entry(at.keeper).or_default().push(entry);
+            asks.entry(place.keeper).or_default().push(entry);
         });
         if asked || now >= active.rights_end() {
-            active.add_up(now, view, &self.settings);
+            active.update_rights(now, view, &self.settings);
         }
     }
 
-    fn forget_spare(&mut self, now: Duration, slot: u32) {
+    fn remove_unused(&mut self, now: Duration, slot: u32) {
         let entry = &mut self.active[slot as usize];
-        let Some(active) = entry.as_ref().filter(|active| active.is_spare(now)) else {
+        let Some(active) = entry.as_ref().filter(|active| active.is_removable(now)) else {
             return;
         };
-        self.slots[active.index().0 as usize] = NOT_ACTIVE;
+        self.slots[active.index().0 as usize] = NOT_IN_USE;
         *entry = None;
-        self.free.push(slot);
+        self.free_entries.push(slot);
     }
 }
--- a/crates/limits/src/share/keeper.rs
+++ b/crates/limits/src/share/keeper.rs
@@ -1,4 +1,4 @@
-//! The granter side.
+//! Keeper side of the fleet-wide limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use super::ShareSettings;
 use super::contract::ContractTable;
 use super::message::{AskEntry, GrantEntry};
-use super::pot::{LeasePot, PotOffer};
+use super::pool::{LeasePool, PoolOffer};
 use super::view::RosterView;
 
-/// How often pots without leases are looked for.
+/// Interval at which pools without leases are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// When a holder that asked in vain may ask again.
-const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+/// Time after which a holder may ask again when it got nothing.
+const REFUSED_ASK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The units that this node keeps for customers. Only pots with leases take memory.
+/// Units that this node keeps for customers. Only pools with leases take memory.
 #[derive(Debug)]
 pub struct ShareKeeper {
     settings: ShareSettings,
-    pots: BTreeMap<(u64, u8), LeasePot>,
-    swept_at: Duration,
+    pools: BTreeMap<(u64, u8), LeasePool>,
+    last_sweep_at: Duration,
 }
 
 impl ShareKeeper {
@@ -30,33 +30,34 @@
     pub fn new(settings: ShareSettings) -> Self {
         Self {
             settings,
-            pots: BTreeMap::new(),
-            swept_at: Duration::ZERO,
+            pools: BTreeMap::new(),
+            last_sweep_at: Duration::ZERO,
         }
     }
 
-    /// Pots with leases.
+    /// Returns the number of pools with leases.
     #[must_use]
-    pub fn pot_count(&self) -> usize {
-        self.pots.len()
+    pub fn pool_count(&self) -> usize {
+        self.pools.len()
     }
 
-    /// Leases in all pots.
+    /// Returns the number of leases in all pools.
     #[must_use]
     pub fn lease_count(&self) -> usize {
-        self.pots.values().map(LeasePot::holder_count).sum()
+        self.pools.values().map(LeasePool::holder_count).sum()
     }
 
-    /// Answers an ask.
+    /// Answers an ask. Returns `None` if the ask is outdated.
     ///
-    /// A holder that the roster does not name gets nothing: nobody would wait for it to drop the
-    /// lease when the keeper changes. Nor does one whose roster has other failure domains:
+    /// A holder that the roster does not list gets nothing, because no node would wait for it to
+    /// drop the lease when the keeper changes.
     ///
-    /// Failure: a holder skips a roster in which a domain was gone and this keeper had its units.
-    /// Symptom: it keeps a lease on those units, because the domains it knows before and after are
-    /// the same, and the domain's new keeper leases them again. Leases only between equal layouts
-    /// suffice, because a holder drops all leases when its layout changes.
-    pub(super) fn ask(
+    /// A holder whose roster has different failure domains gets nothing either. It may skip a
+    /// roster in which a domain was missing and this keeper had its units. Its domains before and
+    /// after are then the same, so it would keep its lease on those units while the domain's new
+    /// keeper leases them again. A holder drops all leases when its layout changes, so the layouts
+    /// need to be equal only when a lease is granted.
+    pub(super) fn on_ask(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -65,33 +66,33 @@
         contracts: &ContractTable,
         view: &RosterView,
     ) -> Option<GrantEntry> {
-        let named = view.ring().is_some_and(|ring| ring.names(from));
-        let agreed = named && layout == view.layout();
-        let limit = contracts.row_of(ask.customer).filter(|_| agreed);
+        let is_listed = view.ring().is_some_and(|ring| ring.contains(from));
+        let layouts_agree = is_listed && layout == view.layout();
+        let limit = contracts.row_of(ask.customer).filter(|_| layouts_agree);
         let Some(limit) = limit else {
-            return Some(nothing(ask));
+            return Some(empty_grant(ask));
         };
-        let size = view.pot_size(now, limit, ask.place);
-        let pot = self
-            .pots
+        let size = view.pool_size(now, limit, ask.place);
+        let pool = self
+            .pools
             .entry((ask.customer, ask.place))
-            .or_insert_with(|| LeasePot::new(view.kept_since(now, limit, ask.place), size));
-        let offer = PotOffer {
+            .or_insert_with(|| LeasePool::new(view.kept_since(now, limit, ask.place), size));
+        let offer = PoolOffer {
             size,
             whole: view.whole_size(limit),
         };
-        pot.ask(now, from, ask, offer, &self.settings)
+        pool.answer(now, from, ask, offer, &self.settings)
     }
 
-    /// Lets leases end and forgets pots without any.
+    /// Ends expired leases and removes pools without leases.
     pub(super) fn tick(&mut self, now: Duration, contracts: &ContractTable, view: &RosterView) {
-        if now >= self.swept_at + SWEEP_INTERVAL {
+        if now >= self.last_sweep_at + SWEEP_INTERVAL {
             self.sweep(now, contracts, view);
         }
     }
 
-    /// Takes a new roster into account. A member that is no longer named has certainly stopped, so
-    /// its leases are free at once.
+    /// Applies a new roster. A member that is no longer listed has certainly stopped, so its leases
+    /// are free immediately.
     pub(super) fn follow_roster(
         &mut self,
         now: Duration,
@@ -99,29 +100,29 @@
         view: &RosterView,
     ) {
         if let Some(ring) = view.ring() {
-            for pot in self.pots.values_mut() {
-                pot.keep_only(now, |holder| ring.names(holder));
+            for pool in self.pools.values_mut() {
+                pool.retain_holders(now, |holder| ring.contains(holder));
             }
         }
         self.sweep(now, contracts, view);
     }
 
-    /// Takes the contracts and roster in force into account.
+    /// Applies the contracts and the roster in force to all pools.
     fn sweep(&mut self, now: Duration, contracts: &ContractTable, view: &RosterView) {
-        self.swept_at = now;
+        self.last_sweep_at = now;
         let burst = self.settings.burst;
-        self.pots.retain(|(customer, place), pot| {
-            pot.expire(now);
+        self.pools.retain(|(customer, place), pool| {
+            pool.expire(now);
             let Some(limit) = contracts.row_of(*customer) else {
-                return pot.holder_count() > 0;
+                return pool.holder_count() > 0;
             };
-            pot.accrue(now, view.pot_size(now, limit, *place), burst);
-            !pot.is_spare()
+            pool.accrue(now, view.pool_size(now, limit, *place), burst);
+            !pool.is_removable()
         });
     }
 }
 
-fn nothing(ask: &AskEntry) -> GrantEntry {
+fn empty_grant(ask: &AskEntry) -> GrantEntry {
     GrantEntry {
         customer: ask.customer,
         place: ask.place,
@@ -130,7 +131,7 @@
         slots: 0,
         tokens: 0,
         lease_ms: 0,
-        renew_ms: u32::try_from(REFUSED_PAUSE.as_millis()).unwrap_or(u32::MAX),
-        pause_ms: u32::try_from(REFUSED_PAUSE.as_millis()).unwrap_or(u32::MAX),
+        renew_ms: u32::try_from(REFUSED_ASK_INTERVAL.as_millis()).unwrap_or(u32::MAX),
+        pause_ms: u32::try_from(REFUSED_ASK_INTERVAL.as_millis()).unwrap_or(u32::MAX),
     }
 }
--- a/crates/limits/src/share/lease.rs
+++ b/crates/limits/src/share/lease.rs
@@ -1,314 +1,323 @@
-//! One lease of a holder from one keeper.
+//! Lease that a holder has from one keeper.
 
 use std::time::Duration;
 
 use super::contract::LimitRow;
-use super::demand::MANY_MILLIS;
+use super::demand::HIGH_RATE_MILLIS;
 use super::message::{AskEntry, GrantEntry};
 use super::ring::KeeperPlace;
 
-/// How long a keeper that did not answer is left alone.
-const SILENT_PAUSE: Duration = Duration::from_secs(3);
-/// How long a keeper without spare tokens is not asked for any.
-const DRY_PAUSE: Duration = Duration::from_millis(500);
-/// How long an answer may take.
-const ANSWER_WAIT: Duration = Duration::from_secs(1);
+/// Time for which a keeper that did not answer is not asked.
+const UNRESPONSIVE_RETRY_DELAY: Duration = Duration::from_secs(3);
+/// Time for which a keeper without spare tokens is not asked for any.
+const NO_TOKENS_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Timeout of an ask.
+const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a keeper answered last.
+/// Result of the last ask to a keeper.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum KeeperState {
-    /// It granted all that was asked, or was never asked.
-    Giving,
-    /// It granted less than was asked.
+    /// The keeper granted everything that was asked for, or has not been asked.
+    Available,
+    /// The keeper granted less than was asked for.
     Exhausted,
-    /// It did not answer.
-    Silent {
-        /// When to try again.
+    /// The keeper did not answer.
+    Unresponsive {
+        /// Time at which to ask again.
         until: Duration,
     },
 }
 
-/// What a holder wants of one keeper.
+/// Rate, slots and tokens that a holder needs, holds, requests or releases.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeaseWish {
-    /// Thousandths of a request a second.
+pub struct LeaseAmount {
+    /// Rate, in thousandths of a request per second.
     pub rate: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Requests that wait for a token.
+    /// Tokens, one for each waiting request.
     pub tokens: u32,
 }
 
-/// What a holder needs and holds of all keepers together.
+/// Totals of a holder over all keepers.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseTotals {
-    /// Needed, with headroom.
-    pub need: LeaseWish,
-    /// Rate needed without headroom.
+    /// Need, including headroom.
+    pub need: LeaseAmount,
+    /// Rate needed, without headroom.
     pub least_rate: u64,
-    /// In force.
-    pub held: LeaseWish,
+    /// Amount in force.
+    pub held: LeaseAmount,
 }
 
-/// A lease from one keeper, or the place for one.
+/// Lease from one keeper. May be empty.
 #[derive(Debug, Clone)]
 pub struct ShareLease {
-    at: KeeperPlace,
-    /// Shortest time between two asks.
+    place: KeeperPlace,
+    /// Minimum time between two asks.
     interval: Duration,
     number: u32,
     applied: u32,
-    asked_at: Option<Duration>,
-    asked: LeaseWish,
-    wish: LeaseWish,
-    /// Whether so much is given up that the keeper is told before the renewal.
-    releases: bool,
-    /// Whether the keeper still counts what its last grant took away. It does until the next ask.
+    pending_since: Option<Duration>,
+    requested: LeaseAmount,
+    planned: LeaseAmount,
+    /// Whether the planned decrease is large enough to inform the keeper before the renewal.
+    should_release_early: bool,
+    /// Whether the keeper still counts the amount that its last grant took away, which it does
+    /// until the next ask.
     shrunk: bool,
-    last_ask: Option<Duration>,
-    dry_until: Duration,
+    last_ask_at: Option<Duration>,
+    no_tokens_until: Duration,
     pause: Duration,
-    /// Rate needed of all keepers together now and when this one was asked.
+    /// Rate needed of all keepers together: now, and at the time of the last ask.
     need_rate: u64,
-    asked_need: u64,
+    requested_need: u64,
     rate: u64,
     slots: u32,
     ends: Duration,
     renew_at: Duration,
-    basis: LimitRow,
+    granted_limit: LimitRow,
     state: KeeperState,
 }
 
 impl ShareLease {
-    /// No lease yet.
+    /// Creates an empty lease.
     #[must_use]
-    pub fn none(at: KeeperPlace, basis: LimitRow, interval: Duration) -> Self {
+    pub fn empty(place: KeeperPlace, granted_limit: LimitRow, interval: Duration) -> Self {
         Self {
             interval,
-            at,
+            place,
             number: 0,
             applied: 0,
-            asked_at: None,
-            asked: LeaseWish::default(),
-            wish: LeaseWish::default(),
-            releases: false,
+            pending_since: None,
+            requested: LeaseAmount::default(),
+            planned: LeaseAmount::default(),
+            should_release_early: false,
             shrunk: false,
-            last_ask: None,
-            dry_until: Duration::ZERO,
+            last_ask_at: None,
+            no_tokens_until: Duration::ZERO,
             pause: Duration::ZERO,
             need_rate: 0,
-            asked_need: 0,
+            requested_need: 0,
             rate: 0,
             slots: 0,
             ends: Duration::ZERO,
             renew_at: Duration::ZERO,
-            basis,
-            state: KeeperState::Giving,
+            granted_limit,
+            state: KeeperState::Available,
         }
     }
 
-    /// The keeper and its place.
+    /// Returns the keeper and its place.
     #[must_use]
-    pub const fn at(&self) -> KeeperPlace {
-        self.at
+    pub const fn place(&self) -> KeeperPlace {
+        self.place
     }
 
-    /// The rate in force, in thousandths of a request a second. A contract amended downwards
-    /// since the grant scales it down at once.
+    /// Returns the rate in force, in thousandths of a request per second.
+    ///
+    /// If the contract was reduced since the grant, the rate is scaled down immediately.
     #[must_use]
     pub fn rate(&self, now: Duration, limit: LimitRow) -> u64 {
         if now >= self.ends {
             return 0;
         }
-        scaled_down(self.rate, limit.rate, self.basis.rate)
+        scaled_down(self.rate, limit.rate, self.granted_limit.rate)
     }
 
-    /// The slots in force.
+    /// Returns the slots in force, scaled down like the rate.
     #[must_use]
     pub fn slots(&self, now: Duration, limit: LimitRow) -> u32 {
         if now >= self.ends {
             return 0;
         }
         let limited = u64::from(limit.concurrency);
-        let basis = u64::from(self.basis.concurrency);
-        let slots = scaled_down(u64::from(self.slots), limited, basis);
+        let granted_limit = u64::from(self.granted_limit.concurrency);
+        let slots = scaled_down(u64::from(self.slots), limited, granted_limit);
         u32::try_from(slots).unwrap_or(0)
     }
 
-    /// When it ends, unless it has ended.
+    /// Returns the end of the lease, or `None` if it has ended.
     #[must_use]
     pub fn ends_after(&self, now: Duration) -> Option<Duration> {
         (self.ends > now).then_some(self.ends)
     }
 
-    /// Whether something may be in force.
+    /// Returns whether a rate or slots may be in force.
     #[must_use]
     pub fn is_held(&self, now: Duration) -> bool {
         now < self.ends && (self.rate > 0 || self.slots > 0)
     }
 
-    /// Whether an ask now may bring more.
+    /// Returns whether the keeper may grant more now.
     #[must_use]
-    pub fn may_give(&self, now: Duration) -> bool {
+    pub fn may_grant(&self, now: Duration) -> bool {
         match self.state {
-            KeeperState::Giving => true,
-            KeeperState::Exhausted => now >= self.renew_at || self.has_rested(now),
-            KeeperState::Silent { until } => now >= until,
+            KeeperState::Available => true,
+            KeeperState::Exhausted => now >= self.renew_at || self.is_pause_over(now),
+            KeeperState::Unresponsive { until } => now >= until,
         }
     }
 
-    /// Whether the keeper was left alone for as long as it wanted. Its pause goes by the need it was
-    /// told: callers who have come since shorten it, or a node that was among the many with little
-    /// need would not be heard when it is the busiest.
-    fn has_rested(&self, now: Duration) -> bool {
-        let Some(last) = self.last_ask else {
+    /// Returns whether the pause that the keeper requested is over.
+    ///
+    /// The keeper derives the pause from the need in the last ask. The pause shrinks as the need
+    /// grows; otherwise a node that was one of many with little need could not ask for more when it
+    /// becomes the busiest.
+    fn is_pause_over(&self, now: Duration) -> bool {
+        let Some(last) = self.last_ask_at else {
             return true;
         };
-        let pause = if self.need_rate > self.asked_need {
+        let pause = if self.need_rate > self.requested_need {
             let millis = u64::try_from(self.pause.as_millis()).unwrap_or(u64::MAX);
-            Duration::from_millis(millis.saturating_mul(self.asked_need) / self.need_rate)
+            Duration::from_millis(millis.saturating_mul(self.requested_need) / self.need_rate)
         } else {
             self.pause
         };
         now >= last + pause.max(self.interval)
     }
 
-    /// Whether the keeper gave less than was asked last.
+    /// Returns whether the keeper granted less than was asked for last.
     #[must_use]
     pub fn is_exhausted(&self) -> bool {
         self.state == KeeperState::Exhausted
     }
 
-    /// Whether the keeper answers, as far as is known.
+    /// Returns whether the keeper is considered reachable.
     #[must_use]
     pub fn is_reachable(&self, now: Duration) -> bool {
         match self.state {
-            KeeperState::Silent { until } => now >= until,
+            KeeperState::Unresponsive { until } => now >= until,
             _ => true,
         }
     }
 
-    /// Whether the keeper may have spare tokens.
+    /// Returns whether the keeper may have spare tokens.
     #[must_use]
     pub fn may_have_tokens(&self, now: Duration) -> bool {
-        self.is_reachable(now) && now >= self.dry_until
+        self.is_reachable(now) && now >= self.no_tokens_until
     }
 
-    /// Whether an answer is on its way.
+    /// Returns whether an ask is unanswered.
     #[must_use]
-    pub const fn is_asked(&self) -> bool {
-        self.asked_at.is_some()
+    pub const fn is_ask_pending(&self) -> bool {
+        self.pending_since.is_some()
     }
 
-    /// When the keeper wants to be asked again.
+    /// Returns the time at which the lease should be renewed.
     #[must_use]
     pub const fn renew_at(&self) -> Duration {
         self.renew_at
     }
 
-    /// Gives up an answer that takes too long.
+    /// Abandons an ask that has timed out.
     pub fn expire_ask(&mut self, now: Duration) {
-        let late = |asked: Duration| now >= asked + ANSWER_WAIT;
-        if self.asked_at.is_some_and(late) {
-            self.asked_at = None;
-            self.state = KeeperState::Silent {
-                until: now + SILENT_PAUSE,
+        let has_timed_out = |sent_at: Duration| now >= sent_at + ASK_TIMEOUT;
+        if self.pending_since.is_some_and(has_timed_out) {
+            self.pending_since = None;
+            self.state = KeeperState::Unresponsive {
+                until: now + UNRESPONSIVE_RETRY_DELAY,
             };
         }
     }
 
-    /// Forgets the lease. A grant that is still on its way is not taken any more.
-    pub fn discard(&mut self) {
+    /// Drops the lease. A grant that arrives later for an earlier ask is ignored.
+    pub fn clear(&mut self) {
         self.rate = 0;
         self.slots = 0;
         self.ends = Duration::ZERO;
         self.renew_at = Duration::ZERO;
-        self.asked_at = None;
-        self.last_ask = None;
+        self.pending_since = None;
+        self.last_ask_at = None;
         self.shrunk = false;
-        self.state = KeeperState::Giving;
+        self.state = KeeperState::Available;
     }
 
-    /// Plans to keep what is held less this surplus, with the need of all keepers together. Gives the surplus that is left.
-    pub fn plan_less(
+    /// Plans to keep the amount held less `surplus`, and returns the surplus that is left.
+    ///
+    /// `need_rate` is the rate needed of all keepers together.
+    pub fn plan_release(
         &mut self,
         now: Duration,
         limit: LimitRow,
         need_rate: u64,
-        surplus: LeaseWish,
-    ) -> LeaseWish {
+        surplus: LeaseAmount,
+    ) -> LeaseAmount {
         self.need_rate = need_rate;
         let rate = self.rate(now, limit);
         let slots = self.slots(now, limit);
-        self.releases = surplus.rate >= MANY_MILLIS / 2 && surplus.rate * 2 >= rate;
-        self.wish = LeaseWish {
+        self.should_release_early =
+            surplus.rate >= HIGH_RATE_MILLIS / 2 && surplus.rate * 2 >= rate;
+        self.planned = LeaseAmount {
             rate: rate.saturating_sub(surplus.rate),
             slots: slots.saturating_sub(surplus.slots),
             tokens: 0,
         };
-        LeaseWish {
+        LeaseAmount {
             rate: surplus.rate.saturating_sub(rate),
             slots: surplus.slots.saturating_sub(slots),
             tokens: 0,
         }
     }
 
-    /// Plans to ask for what is missing too, where the keeper may give it. Gives what the next
-    /// keeper is asked for.
-    pub fn plan_more(&mut self, now: Duration, missing: LeaseWish) -> LeaseWish {
-        if self.is_asked() {
-            return LeaseWish {
+    /// Plans to also request `missing` if the keeper may grant it, and returns the amount to
+    /// request from the next keeper.
+    pub fn plan_request(&mut self, now: Duration, missing: LeaseAmount) -> LeaseAmount {
+        if self.is_ask_pending() {
+            return LeaseAmount {
                 rate: missing
                     .rate
-                    .saturating_sub(self.asked.rate.saturating_sub(self.rate)),
+                    .saturating_sub(self.requested.rate.saturating_sub(self.rate)),
                 slots: missing
                     .slots
-                    .saturating_sub(self.asked.slots.saturating_sub(self.slots)),
-                tokens: missing.tokens.saturating_sub(self.asked.tokens),
+                    .saturating_sub(self.requested.slots.saturating_sub(self.slots)),
+                tokens: missing.tokens.saturating_sub(self.requested.tokens),
             };
         }
         let mut left = missing;
-        if self.may_give(now) {
-            self.wish.rate += missing.rate;
-            self.wish.slots += missing.slots;
-            left = LeaseWish {
+        if self.may_grant(now) {
+            self.planned.rate += missing.rate;
+            self.planned.slots += missing.slots;
+            left = LeaseAmount {
                 tokens: missing.tokens,
-                ..LeaseWish::default()
+                ..LeaseAmount::default()
             };
         }
         if self.may_have_tokens(now) {
-            self.wish.tokens = missing.tokens;
+            self.planned.tokens = missing.tokens;
             left.tokens = 0;
         }
         left
     }
 
-    /// Whether an ask is due for what is planned.
+    /// Returns whether an ask is due for the planned amount.
     #[must_use]
     pub fn is_due(&self, now: Duration) -> bool {
-        if self.is_asked() || !self.is_reachable(now) {
+        if self.is_ask_pending() || !self.is_reachable(now) {
             return false;
         }
-        let wish = self.wish;
+        let planned = self.planned;
         if self.shrunk {
             return true;
         }
-        if wish == LeaseWish::default() && !self.is_held(now) {
+        if planned == LeaseAmount::default() && !self.is_held(now) {
             return false;
         }
         if now >= self.renew_at {
             return true;
         }
-        let rested = self.has_rested(now);
-        let more = wish.rate > self.rate || wish.slots > self.slots || wish.tokens > 0;
-        let less = self.releases && wish.rate < self.rate;
-        rested && (less || more)
+        let pause_is_over = self.is_pause_over(now);
+        let more = planned.rate > self.rate || planned.slots > self.slots || planned.tokens > 0;
+        let less = self.should_release_early && planned.rate < self.rate;
+        pause_is_over && (less || more)
     }
 
-    /// Builds the ask for what is planned. What is held above it is given up first, so that the
-    /// keeper may reuse it as soon as the ask arrives. `overflow` are requests that still run on
-    /// slots given up earlier, `totals` are those of all keepers together. `number` grows with each
-    /// ask of this node.
+    /// Builds the ask for the planned amount.
+    ///
+    /// Releases the amount held above the plan first, so that the keeper may reuse it as soon as
+    /// the ask arrives. `number` must grow with each ask of this node, `totals` are those of all
+    /// keepers together, and `overflow` is the number of requests that still run on slots released
+    /// earlier.
     pub fn ask(
         &mut self,
         now: Duration,
@@ -316,73 +325,75 @@
         totals: LeaseTotals,
         overflow: u32,
     ) -> AskEntry {
-        let wish = self.wish;
+        let planned = self.planned;
         let other_rate = totals.held.rate.saturating_sub(self.rate);
         let other_slots = totals.held.slots.saturating_sub(self.slots);
         if now >= self.ends {
             self.rate = 0;
             self.slots = 0;
         }
-        self.rate = self.rate.min(wish.rate);
-        self.slots = self.slots.min(wish.slots);
+        self.rate = self.rate.min(planned.rate);
+        self.slots = self.slots.min(planned.slots);
         self.number = number;
         self.shrunk = false;
-        self.asked_need = totals.need.rate;
-        self.asked_at = Some(now);
-        self.last_ask = Some(now);
-        self.asked = wish;
+        self.requested_need = totals.need.rate;
+        self.pending_since = Some(now);
+        self.last_ask_at = Some(now);
+        self.requested = planned;
         AskEntry {
-            customer: self.basis.customer,
-            place: self.at.place,
+            customer: self.granted_limit.customer,
+            place: self.place.place,
             number: self.number,
             applied: self.applied,
             held_rate: u32::try_from(self.rate).unwrap_or(u32::MAX),
             held_slots: self.slots.saturating_add(overflow),
-            want_rate: u32::try_from(wish.rate).unwrap_or(u32::MAX),
-            want_slots: wish.slots,
+            want_rate: u32::try_from(planned.rate).unwrap_or(u32::MAX),
+            want_slots: planned.slots,
             other_rate: u32::try_from(other_rate).unwrap_or(u32::MAX),
             other_slots,
             need_rate: u32::try_from(totals.need.rate).unwrap_or(u32::MAX),
             need_slots: totals.need.slots,
-            want_tokens: wish.tokens,
+            want_tokens: planned.tokens,
         }
     }
 
-    /// Applies a grant. Gives the tokens that came with it, or nothing when it answers no ask.
+    /// Applies a grant. Returns the granted tokens, or `None` if the grant answers no open ask or
+    /// its lease has already ended.
     ///
-    /// The lease ends counted from when the ask left: the keeper counts from when it answered,
-    /// which is later, so that it ends here first even when the answer was long on its way.
+    /// The lease ends relative to the time when the ask was sent. The keeper counts from when it
+    /// answered, which is later, so the lease always ends here first, even if the answer was
+    /// delayed.
     pub fn apply(&mut self, now: Duration, grant: &GrantEntry, limit: LimitRow) -> Option<u32> {
         if grant.number != self.number {
             return None;
         }
-        let asked_at = self.asked_at.take()?;
+        let pending_since = self.pending_since.take()?;
         self.applied = grant.number;
-        let former = (self.rate, self.slots);
+        let previous = (self.rate, self.slots);
         self.rate = u64::from(grant.rate);
         self.slots = grant.slots;
-        self.ends = asked_at + grant.lease();
+        self.ends = pending_since + grant.lease();
         self.renew_at = now + Duration::from_millis(u64::from(grant.renew_ms));
         self.pause = Duration::from_millis(u64::from(grant.pause_ms));
-        self.basis = limit;
-        let short = self.rate < self.asked.rate || self.slots < self.asked.slots;
+        self.granted_limit = limit;
+        let short = self.rate < self.requested.rate || self.slots < self.requested.slots;
         self.state = if short {
             KeeperState::Exhausted
         } else {
-            KeeperState::Giving
+            KeeperState::Available
         };
-        if grant.tokens < self.asked.tokens {
-            self.dry_until = now + DRY_PAUSE;
+        if grant.tokens < self.requested.tokens {
+            self.no_tokens_until = now + NO_TOKENS_RETRY_DELAY;
         }
-        self.shrunk = self.slots < former.1 || self.rate < former.0;
+        self.shrunk = self.slots < previous.1 || self.rate < previous.0;
         (now < self.ends).then_some(grant.tokens)
     }
 }
 
-fn scaled_down(value: u64, limit: u64, basis: u64) -> u64 {
-    if limit >= basis {
+fn scaled_down(value: u64, limit: u64, granted_limit: u64) -> u64 {
+    if limit >= granted_limit {
         value
     } else {
-        value * limit / basis
+        value * limit / granted_limit
     }
 }
--- a/crates/limits/src/share/message.rs
+++ b/crates/limits/src/share/message.rs
@@ -1,68 +1,68 @@
 //! Messages between holders and keepers.
 //!
-//! All entries for one node travel in one message. A customer goes by the stable hash of its name,
-//! so that nodes need not agree on dense numbers.
+//! All entries for one node are sent in one message. Entries identify a customer by the stable hash
+//! of its name, so that nodes need not agree on dense numbers.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a holder asks for, for one customer.
+/// Request of a holder for a lease on one customer's contract.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AskEntry {
     /// Stable hash of the customer's name.
     pub customer: u64,
-    /// Which keeper place of the domain it is asked in.
+    /// Place of the keeper within its failure domain.
     pub place: u8,
-    /// Number of this ask at the holder for this lease; grows.
+    /// Number of this ask; grows with each ask of the holder.
     pub number: u32,
     /// Number of the ask whose grant the holder applied last.
     pub applied: u32,
-    /// Rate in force at the holder, in millirequests a second.
+    /// Rate in force at the holder from this keeper, in thousandths of a request per second.
     pub held_rate: u32,
-    /// Slots in force at the holder.
+    /// Slots in force at the holder from this keeper.
     pub held_slots: u32,
-    /// Rate wanted of this keeper, in millirequests a second.
+    /// Rate wanted of this keeper, in thousandths of a request per second.
     pub want_rate: u32,
     /// Slots wanted of this keeper.
     pub want_slots: u32,
-    /// Rate in force at the holder from other keepers.
+    /// Rate in force at the holder from other keepers, in thousandths of a request per second.
     pub other_rate: u32,
     /// Slots in force at the holder from other keepers.
     pub other_slots: u32,
-    /// Rate needed of all keepers together.
+    /// Rate needed of all keepers together, in thousandths of a request per second.
     pub need_rate: u32,
     /// Slots needed of all keepers together.
     pub need_slots: u32,
-    /// Requests waiting for a token now.
+    /// Tokens wanted now, one for each waiting request.
     pub want_tokens: u32,
 }
 
-/// What a keeper grants, for one customer.
+/// Grant of a keeper for one customer's contract.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantEntry {
     /// Stable hash of the customer's name.
     pub customer: u64,
-    /// Which keeper place of the domain granted it.
+    /// Place of the keeper within its failure domain.
     pub place: u8,
-    /// Number of the ask.
+    /// Number of the ask that the grant answers.
     pub number: u32,
-    /// Rate granted, in millirequests a second.
+    /// Rate granted, in thousandths of a request per second.
     pub rate: u32,
     /// Slots granted.
     pub slots: u32,
-    /// Tokens granted once.
+    /// Tokens granted, for immediate use.
     pub tokens: u32,
-    /// How long the lease lasts, counted from the moment the ask left, in milliseconds.
+    /// Length of the lease in milliseconds, counted from when the ask was sent.
     pub lease_ms: u32,
-    /// When to ask again, in milliseconds.
+    /// Time until renewal in milliseconds.
     pub renew_ms: u32,
-    /// How long not to ask, whatever the need, in milliseconds.
+    /// Minimum time until the next ask in milliseconds, regardless of the need.
     pub pause_ms: u32,
 }
 
 impl GrantEntry {
-    /// The length of the lease.
+    /// Returns the length of the lease.
     #[must_use]
     pub const fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms as u64)
@@ -72,16 +72,16 @@
 /// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareMessage {
-    /// From a holder to a keeper.
+    /// Asks from a holder to a keeper.
     Ask {
         /// Fingerprint of the failure domains in the holder's roster.
         layout: u32,
-        /// One for each lease.
+        /// Asks, one for each lease.
         entries: Vec<AskEntry>,
     },
-    /// From a keeper to a holder.
+    /// Grants from a keeper to a holder.
     Grant {
-        /// One for each ask.
+        /// Grants, one for each answered ask.
         entries: Vec<GrantEntry>,
     },
 }
