--- a/crates/limits/src/share/mod.rs
+++ b/crates/limits/src/share/mod.rs
@@ -1,28 +1,29 @@
-//! A customer's fleet-wide rate and concurrency, enforced by every daemon on its own.
+//! Fleet-wide rate and concurrency limits of customers, enforced by every daemon independently.
 //!
-//! A contract is cut into [`UNIT_COUNT`] units. A small part of the rate is kept as a base
-//! that every member divides by the member count; the units themselves belong to keepers, one or
-//! two in each failure domain, picked from the roster by rendezvous hashing of the customer. A
-//! holder, which is a daemon with callers of the customer, asks the keepers for a lease that
-//! follows its demand.
+//! A contract is divided into [`UNIT_COUNT`] units. A small part of the rate and concurrency is the
+//! base share, which all members divide among themselves. The units belong to keepers, one or two
+//! in each failure domain, which are selected from the roster by rendezvous hashing of the
+//! customer. A holder is a daemon with callers of the customer. It requests leases from the keepers
+//! according to its demand; such a request is called an ask.
 //!
 //! ```text
 //! caller -> CustomerShare::admit -> Admitted | Refused | Wait
 //!              |       ^
 //!          Ask v       | Grant (rate, slots, tokens; ends on the holder's own clock, counted
-//!           ShareKeeper             from the moment the ask left)
+//!           ShareKeeper             from when the ask was sent)
 //! ```
 //!
-//! No unit is ever used twice, whoever is cut off, lost, paused or restarted:
+//! No unit is ever used twice, even if nodes are partitioned, lost, paused or restarted:
 //!
-//! - Only active members keep units or use a base share, and a member is active only once every
-//!   other member has adopted a roster that names it. Any two active members thus name each
+//! - Only active members keep units or use a base share. A member becomes active only after every
+//!   other member has adopted a roster that lists it. Any two active members therefore list each
 //!   other, so both rank the same keeper first, and each divides by a count that includes all
-//!   active ones.
+//!   active members.
 //! - A holder that adopts a roster drops its leases from members that are no longer keepers. When
-//!   all have adopted it, or the longest lease is over, the new keeper may lease the unit.
-//! - A lease ends at the holder before the keeper reuses it: the holder counts from before the ask
-//!   left, the keeper from after it arrived, and the keeper adds the clock drift.
+//!   all members have adopted the roster, or the longest lease has expired, the new keeper may
+//!   lease the unit.
+//! - A lease ends at the holder before the keeper reuses the unit: the holder counts from before
+//!   the ask was sent, the keeper from after the ask arrived, and the keeper adds the clock drift.
 
 mod active;
 mod bucket;
@@ -33,7 +34,7 @@
 mod lease;
 mod message;
 mod node;
-mod pot;
+mod pool;
 mod ring;
 mod settings;
 mod view;
@@ -55,110 +56,113 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CustomerIndex(pub u32);
 
-/// The limits of one contract.
+/// Limits of one contract.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerLimit {
-    /// Whose.
+    /// Customer of the contract.
     pub customer: CustomerName,
-    /// Requests in the whole fleet, in thousandths of a request a second.
+    /// Fleet-wide rate, in thousandths of a request per second.
     pub rate_millis: u32,
-    /// Requests at once in the whole fleet.
+    /// Fleet-wide number of concurrent requests.
     pub concurrency: u32,
 }
 
-/// One member of the roster.
+/// Member of the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareMember {
-    /// The node and its life.
+    /// Node and incarnation of the member.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: DomainName,
 }
 
-/// Answer to a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admission {
-    /// It may go on. [`ShareNode::finished`] must follow.
+    /// The request may run. The caller must call [`ShareNode::finished`] when it ends.
     Admitted,
-    /// More may come at once: try again with [`ShareNode::admit_again`] at [`ShareCommand::Ready`]
-    /// or at this time, whichever comes first. Nothing is held meanwhile.
+    /// A grant or token is expected soon: try again with [`ShareNode::admit_again`] after
+    /// [`ShareCommand::Ready`] or at `until`, whichever comes first. The request holds no slot or
+    /// token meanwhile.
     Wait {
-        /// Time since the node started.
+        /// Latest time to try again, since the node started.
         until: Duration,
     },
-    /// The customer's limit is used up.
+    /// The limit of the customer is used up.
     Refused {
-        /// When a token or slot is expected to return here.
+        /// Time until a token or slot is expected to be available on this node.
         retry_after: Duration,
     },
 }
 
-/// What happened.
+/// Input of a [`ShareNode`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareEvent {
-    /// A contract is in force, new or amended.
+    /// A contract was added or amended.
     Contract {
-        /// Its dense number.
+        /// Dense number of the customer.
         index: CustomerIndex,
-        /// Its limits.
+        /// Limits of the contract.
         limit: CustomerLimit,
     },
-    /// A contract is gone.
+    /// A contract was removed.
     Withdrawn {
-        /// Its dense number.
+        /// Dense number of the customer.
         index: CustomerIndex,
     },
-    /// The roster changed, or more of it was acknowledged.
+    /// The roster changed, or more members have adopted it.
     ///
-    /// A member stays in the list until its stop is certain: it said goodbye, a later life of the
-    /// same node has announced itself, or it was recorded as lost longer ago than
-    /// [`ShareSettings::removal_wait`]. A member that is only silent stays in the list.
+    /// A member stays in the list until its stop is certain: it announced that it leaves, a later
+    /// incarnation of the same node announced itself, or it was recorded as lost longer ago than
+    /// [`ShareSettings::removal_wait`]. A member that is only unresponsive stays in the list.
     Roster {
-        /// Grows with each change; the log offset where it comes from the log.
+        /// Version of the roster; grows with each change. Equals the log offset if the roster comes
+        /// from the log.
         version: u64,
         /// All members, in any order.
         members: Arc<[ShareMember]>,
-        /// The greatest version that every member of this list is known to have adopted.
+        /// Highest version that every member of this list is known to have adopted.
         settled: u64,
     },
-    /// This node has made sure that everybody still names it: it has read the log to its end, or
-    /// has heard lately from at least half of the members at this version.
+    /// This node has confirmed that all members still list it: it has read the log to its end, or
+    /// has recently received messages from at least half of the members at this version.
     ///
-    /// It counts only while the roster in force here is of this version. A node that was away could
-    /// otherwise act on an old roster after others have stopped waiting for it.
+    /// Ignored unless the roster in force here is of this version. Otherwise, a node that was
+    /// disconnected could act on an old roster after others have stopped waiting for it.
     Anchored {
-        /// Newest version of the roster there is, as far as that showed.
+        /// Newest known version of the roster.
         version: u64,
-        /// When the reading began, as time since the node started.
+        /// Time at which the confirmation started, since the node started.
         since: Duration,
     },
-    /// This node was paused for a time that its monotonic clock may not show: the wall clock went
-    /// ahead of it. Leases are dropped, and rights rest until [`Self::Anchored`].
+    /// This node was paused for a time that its monotonic clock may not show, because the wall
+    /// clock has advanced further. All leases are dropped, and the node has no rights until
+    /// [`Self::Anchored`].
     Resumed,
     /// A message arrived.
     Received {
-        /// From whom.
+        /// Sender.
         from: InstanceId,
-        /// What.
+        /// Content of the message.
         message: ShareMessage,
     },
 }
 
-/// What to do.
+/// Output of a [`ShareNode`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareCommand {
-    /// Send to one node.
+    /// Send a message to one node.
     Send {
-        /// To whom.
+        /// Receiver.
         to: InstanceId,
-        /// What.
+        /// Content of the message.
         message: ShareMessage,
     },
-    /// Rights of a customer grew: try its waiting requests again, in order, until one is not
-    /// admitted.
+    /// The rights of a customer increased: try its waiting requests again, in order, until one is
+    /// not admitted.
     Ready {
-        /// Which customer.
+        /// Dense number of the customer.
         index: CustomerIndex,
     },
 }
--- a/crates/limits/src/share/node.rs
+++ b/crates/limits/src/share/node.rs
@@ -1,4 +1,4 @@
-//! Holder and keeper of one node together.
+//! Holder and keeper of one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,14 +13,14 @@
     ShareMessage, ShareSettings,
 };
 
-/// Asks and grants between a node and itself that one call works off, at most. Each round can
-/// only move on to the next keeper place, of which there are fewer.
-const OWN_ROUNDS: usize = 64;
+/// Maximum number of rounds of asks and grants between a node and itself in one call. Each round
+/// moves on to the next keeper place, of which there are fewer.
+const MAX_LOCAL_ROUNDS: usize = 64;
 
-/// Fleet-wide limits as one node takes part in them.
+/// Participant of one node in the fleet-wide limits.
 ///
-/// A node that is its own keeper answers itself within the same call: in a fleet of one, the first
-/// request of a customer is admitted at the next [`Self::tick`].
+/// A node that is its own keeper answers its own asks within the same call: in a fleet of one, the
+/// first request of a customer is admitted at the next [`Self::tick`].
 #[derive(Debug)]
 pub struct ShareNode {
     own: InstanceId,
@@ -31,7 +31,7 @@
 }
 
 impl ShareNode {
-    /// Creates a node without contracts, in no roster.
+    /// Creates a node without contracts and without a roster.
     #[must_use]
     pub fn new(own: InstanceId, settings: ShareSettings) -> Self {
         Self {
@@ -43,39 +43,39 @@
         }
     }
 
-    /// This life of this node.
+    /// Returns the instance id of this node.
     #[must_use]
     pub const fn own(&self) -> InstanceId {
         self.own
     }
 
-    /// The holder side.
+    /// Returns the holder side.
     #[must_use]
     pub const fn share(&self) -> &CustomerShare {
         &self.share
     }
 
-    /// The granter side.
+    /// Returns the keeper side.
     #[must_use]
     pub const fn keeper(&self) -> &ShareKeeper {
         &self.keeper
     }
 
-    /// Whether this node keeps units and uses a base share.
+    /// Returns whether this node keeps units and uses a base share.
     #[must_use]
     pub fn is_active(&self, now: Duration) -> bool {
         self.view.is_active(now)
     }
 
-    /// Decides on one request. After [`Admission::Wait`] call [`Self::tick`] at once, so that the
-    /// ask for a lease leaves.
+    /// Decides on one request. After [`Admission::Wait`], call [`Self::tick`] immediately so that
+    /// the ask for a lease is sent.
     pub fn admit(&mut self, now: Duration, index: CustomerIndex) -> Admission {
         self.share
             .admit(now, index, false, &self.contracts, &self.view)
     }
 
-    /// Decides on a request that has waited. It is not counted as demand again and is never told
-    /// to wait a second time.
+    /// Decides on a request that has waited. Does not count the request as demand again and never
+    /// returns [`Admission::Wait`].
     pub fn admit_again(&mut self, now: Duration, index: CustomerIndex) -> Admission {
         self.share
             .admit(now, index, true, &self.contracts, &self.view)
@@ -86,7 +86,7 @@
         self.share.finished(now, index);
     }
 
-    /// Takes an event.
+    /// Processes an event.
     pub fn handle(&mut self, now: Duration, event: ShareEvent, out: &mut Vec<ShareCommand>) {
         match event {
             ShareEvent::Contract { index, limit } => {
@@ -105,20 +105,20 @@
             } => self.follow_roster(now, version, &members, settled),
             ShareEvent::Anchored { version, since } => self.view.anchor(now, version, since),
             ShareEvent::Resumed => {
-                self.view.lose_anchor();
+                self.view.clear_anchor();
                 self.share.drop_leases(now, &self.view);
             }
-            ShareEvent::Received { from, message } => self.receive(now, from, &message, out),
+            ShareEvent::Received { from, message } => self.on_message(now, from, &message, out),
         }
-        self.send_due(now, out);
+        self.send_due_asks(now, out);
     }
 
-    /// Sends due asks and lets leases lapse. Call every 100 ms or so, and after a request was told
-    /// to wait.
+    /// Sends due asks and expires leases. Call this about every 100 ms, and after
+    /// [`Admission::Wait`].
     pub fn tick(&mut self, now: Duration, out: &mut Vec<ShareCommand>) {
         self.view.refresh(now);
         self.keeper.tick(now, &self.contracts, &self.view);
-        self.send_due(now, out);
+        self.send_due_asks(now, out);
     }
 
     fn amend(&mut self, now: Duration, index: CustomerIndex) {
@@ -139,7 +139,7 @@
         self.keeper.follow_roster(now, &self.contracts, &self.view);
     }
 
-    fn receive(
+    fn on_message(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -148,15 +148,15 @@
     ) {
         match message {
             ShareMessage::Ask { layout, entries } => {
-                let entries = self.answer(now, from, *layout, entries);
+                let entries = self.answer_asks(now, from, *layout, entries);
                 let message = ShareMessage::Grant { entries };
                 out.push(ShareCommand::Send { to: from, message });
             }
-            ShareMessage::Grant { entries } => self.take_grants(now, from, entries, out),
+            ShareMessage::Grant { entries } => self.apply_grants(now, from, entries, out),
         }
     }
 
-    fn answer(
+    fn answer_asks(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -166,12 +166,12 @@
         asks.iter()
             .filter_map(|ask| {
                 self.keeper
-                    .ask(now, from, layout, ask, &self.contracts, &self.view)
+                    .on_ask(now, from, layout, ask, &self.contracts, &self.view)
             })
             .collect()
     }
 
-    fn take_grants(
+    fn apply_grants(
         &mut self,
         now: Duration,
         from: InstanceId,
@@ -179,12 +179,12 @@
         out: &mut Vec<ShareCommand>,
     ) {
         self.share
-            .granted(now, from, grants, &self.contracts, &self.view, out);
+            .apply_grants(now, from, grants, &self.contracts, &self.view, out);
     }
 
     /// Sends the asks that are due and answers those to this node itself.
-    fn send_due(&mut self, now: Duration, out: &mut Vec<ShareCommand>) {
-        for _ in 0..OWN_ROUNDS {
+    fn send_due_asks(&mut self, now: Duration, out: &mut Vec<ShareCommand>) {
+        for _ in 0..MAX_LOCAL_ROUNDS {
             let mut asks = BTreeMap::new();
             self.share.plan(now, &self.view, &mut asks);
             let own = asks.remove(&self.own);
@@ -196,8 +196,8 @@
             let Some(own) = own else {
                 return;
             };
-            let grants = self.answer(now, self.own, layout, &own);
-            self.take_grants(now, self.own, &grants, out);
+            let grants = self.answer_asks(now, self.own, layout, &own);
+            self.apply_grants(now, self.own, &grants, out);
         }
     }
 }
--- a/crates/limits/src/share/ring.rs
+++ b/crates/limits/src/share/ring.rs
@@ -1,7 +1,8 @@
-//! Who keeps which unit: rendezvous hashing over one roster.
+//! Assignment of units to keepers by rendezvous hashing over one roster.
 //!
-//! The ranking of a member for a unit depends on nothing but the customer, the unit and the member
-//! itself. Of two rosters that both name members A and B, neither ranks A first and the other B.
+//! The rank of a member for a unit depends only on the customer, the unit and the member itself. Of
+//! two rosters that both list members A and B, it is impossible that one ranks A first and the
+//! other B.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,19 +11,19 @@
 
 use super::ShareMember;
 
-/// Units that each contract is cut into.
+/// Number of units that each contract is divided into.
 pub const UNIT_COUNT: u32 = 64;
-/// Keepers of one customer in each failure domain.
+/// Number of keepers of one customer in each failure domain.
 pub const PLACE_COUNT: u8 = 2;
 
-/// One failure domain of a ring.
+/// Failure domain of a ring.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RingDomain {
     key: u64,
     members: Vec<InstanceId>,
 }
 
-/// One roster, arranged for ranking.
+/// Roster arranged for ranking.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareRing {
     version: u64,
@@ -30,19 +31,19 @@
     members: Arc<BTreeSet<InstanceId>>,
 }
 
-/// One keeper of one customer.
+/// Keeper of one customer, and its place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeeperPlace {
     /// Stable hash of the failure domain's name.
     pub domain: u64,
-    /// Number within the domain, below [`PLACE_COUNT`].
+    /// Index within the domain, below [`PLACE_COUNT`].
     pub place: u8,
-    /// The member that ranks first.
+    /// Member that ranks first for the place.
     pub keeper: InstanceId,
 }
 
 impl ShareRing {
-    /// Arranges a roster.
+    /// Creates a ring from a roster.
     #[must_use]
     pub fn new(version: u64, members: &[ShareMember]) -> Self {
         let mut domains: Vec<RingDomain> = Vec::new();
@@ -65,36 +66,37 @@
         }
     }
 
-    /// The roster's version.
+    /// Returns the version of the roster.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Members in all.
+    /// Returns the number of members.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether nobody is named.
+    /// Returns whether the roster has no members.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Whether this life of a node is named.
+    /// Returns whether the roster lists this incarnation of a node.
     #[must_use]
-    pub fn names(&self, instance: InstanceId) -> bool {
+    pub fn contains(&self, instance: InstanceId) -> bool {
         self.members.contains(&instance)
     }
 
-    /// Every member, in order.
+    /// Returns all members, in order of their ids.
     pub fn members(&self) -> impl Iterator<Item = InstanceId> {
         self.members.iter().copied()
     }
 
-    /// Fingerprint of the failure domains. Units stay where they are while it is the same.
+    /// Returns a fingerprint of the failure domains. Units stay in their domains while it is the
+    /// same.
     #[must_use]
     pub fn layout(&self) -> u32 {
         let keys = self.domains.iter().map(|domain| domain.key);
@@ -102,7 +104,7 @@
         u32::try_from(layout >> 32).unwrap_or(0)
     }
 
-    /// The failure domain of a member.
+    /// Returns the hash of a member's failure domain.
     #[must_use]
     pub fn domain_of(&self, instance: InstanceId) -> Option<u64> {
         self.domains
@@ -111,7 +113,7 @@
             .map(|domain| domain.key)
     }
 
-    /// The keeper of a customer in one place of a domain.
+    /// Returns the keeper of a customer in one place of a domain.
     #[must_use]
     pub fn keeper(&self, customer: u64, domain: u64, place: u8) -> Option<InstanceId> {
         self.domains
@@ -123,7 +125,7 @@
             .max_by_key(|member| member_rank(customer, place, *member))
     }
 
-    /// Every keeper of a customer, in domain and place order.
+    /// Returns all keepers of a customer, in order of domain and place.
     pub fn keepers(&self, customer: u64) -> impl Iterator<Item = KeeperPlace> {
         self.domains.iter().flat_map(move |domain| {
             (0..PLACE_COUNT).filter_map(move |place| {
@@ -137,7 +139,7 @@
         })
     }
 
-    /// The domain and place that a unit of a customer belongs to.
+    /// Returns the domain and place that a unit of a customer belongs to.
     #[must_use]
     pub fn unit_owner(&self, customer: u64, unit: u32) -> Option<(u64, u8)> {
         let unit_key = mix(customer ^ mix(u64::from(unit) + 1));
@@ -159,7 +161,7 @@
     (mix(key ^ member.node.0), member)
 }
 
-/// Finaliser of splitmix64: a fast hash whose every output bit depends on every input bit.
+/// Finalizer of splitmix64: a fast hash in which every output bit depends on every input bit.
 pub(crate) const fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -167,7 +169,7 @@
     value ^ (value >> 31)
 }
 
-/// Slots of one unit when a concurrency is cut into units.
+/// Returns the slots of one unit when a concurrency is divided into units.
 #[must_use]
 pub fn unit_slots(concurrency: u32, unit: u32) -> u32 {
     let extra = u32::from(unit < concurrency % UNIT_COUNT);
--- a/crates/limits/src/share/settings.rs
+++ b/crates/limits/src/share/settings.rs
@@ -59,25 +59,26 @@
 }
 
 impl ShareSettings {
-    /// How long after its last sign of life a silent member may be taken off the roster: its
-    /// rights have then ended by its own clock, however slow.
+    /// Returns the time after its last sign of life at which a silent member may be removed from
+    /// the roster. By then its rights have ended by its own clock, within the allowed drift.
     #[must_use]
     pub fn removal_wait(&self) -> Duration {
         let drift = self.right_hold * self.drift_percent / 100;
         self.right_hold + drift + self.long_lease
     }
 
-    /// How long a keeper takes a lease of this length for in force after it granted it.
+    /// Returns the time for which a keeper treats a lease of this length as in force after the
+    /// grant.
     #[must_use]
     pub(super) fn reuse_wait(&self, lease: Duration) -> Duration {
         lease + lease * self.drift_percent / 100
     }
 
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Every finding with its place under `place`.
+    /// Returns every finding, with its path below `place`.
     pub fn validate(&self, place: &str) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         findings.expect(
--- a/crates/limits/tests/crash.rs
+++ b/crates/limits/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers.
+//! Tests for the detection and blocking of requests that crash backend servers.
 
 use std::time::Duration;
 
@@ -17,57 +17,57 @@
     }
 }
 
-fn poison() -> CrashSignature {
+fn crashing_request() -> CrashSignature {
     CrashSignature::of("brannock", "GET /quote?size=-1", 0)
 }
 
-/// Executors of one service joined by a queue.
-struct ExecutorNet {
+/// Executors of one service, connected by a message queue.
+struct ExecutorCluster {
     now: Duration,
     nodes: Vec<CrashRegistry>,
     queue: Vec<(Duration, usize, InstanceId, CrashMessage)>,
-    cut: Vec<usize>,
+    partitioned: Vec<usize>,
     turns: Vec<(usize, u64, bool)>,
     released: Vec<CrashVictim>,
     asks: u64,
-    life: u64,
+    last_incarnation: u64,
 }
 
-impl ExecutorNet {
+impl ExecutorCluster {
     fn new(count: usize) -> Self {
-        let mut net = Self {
+        let mut cluster = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
             queue: Vec::new(),
-            cut: Vec::new(),
+            partitioned: Vec::new(),
             turns: Vec::new(),
             released: Vec::new(),
             asks: 0,
-            life: 0,
+            last_incarnation: 0,
         };
         for number in 0..count {
             let registry = CrashRegistry::new(instance(number), CrashSettings::default());
-            net.nodes.push(registry);
+            cluster.nodes.push(registry);
         }
         for number in 0..count {
-            net.feed(number, executors(count));
+            cluster.deliver(number, executors(count));
         }
-        net
+        cluster
     }
 
-    fn feed(&mut self, number: usize, event: CrashEvent) {
+    fn deliver(&mut self, number: usize, event: CrashEvent) {
         let mut out = Vec::new();
         self.nodes[number].handle(self.now, event, &mut out);
-        self.carry(number, out);
+        self.process_commands(number, out);
     }
 
-    fn carry(&mut self, number: usize, out: Vec<CrashCommand>) {
+    fn process_commands(&mut self, number: usize, out: Vec<CrashCommand>) {
         for command in out {
             match command {
                 CrashCommand::Send { to, message } => {
                     let target = (0..self.nodes.len()).find(|node| instance(*node) == to);
                     let target = target.expect("only members are sent to");
-                    if !self.cut.contains(&number) && !self.cut.contains(&target) {
+                    if !self.partitioned.contains(&number) && !self.partitioned.contains(&target) {
                         let at = self.now + DELAY;
                         self.queue.push((at, target, instance(number), message));
                     }
@@ -87,54 +87,54 @@
                 .partition(|(at, ..)| *at <= self.now);
             self.queue = later;
             for (_, target, from, message) in due {
-                self.feed(target, CrashEvent::Received { from, message });
+                self.deliver(target, CrashEvent::Received { from, message });
             }
             for number in 0..self.nodes.len() {
                 let mut out = Vec::new();
                 self.nodes[number].tick(self.now, &mut out);
-                self.carry(number, out);
+                self.process_commands(number, out);
             }
         }
     }
 
-    /// One send of the request that ends at this executor. True when it would run there.
+    /// Returns whether the request may run at this executor, after asking for a turn if necessary.
     fn may_run(&mut self, number: usize) -> bool {
-        match self.nodes[number].check(self.now, poison()) {
+        match self.nodes[number].check(self.now, crashing_request()) {
             CrashCheck::Clear => true,
             CrashCheck::Stopped { .. } => false,
             CrashCheck::Probation => {
                 self.asks += 1;
                 let ask = self.asks;
                 let mut out = Vec::new();
-                self.nodes[number].ask_turn(self.now, poison(), ask, &mut out);
-                self.carry(number, out);
+                self.nodes[number].ask_turn(self.now, crashing_request(), ask, &mut out);
+                self.process_commands(number, out);
                 self.run_for(Duration::from_millis(600));
                 self.turns.contains(&(number, ask, true))
             }
         }
     }
 
-    /// The backend server beside this executor dies while it runs these requests.
+    /// Simulates the death of the backend server beside this executor while it runs these requests.
     fn crash(&mut self, number: usize, running: &[CrashSignature]) -> CrashVictim {
-        self.life += 1;
+        self.last_incarnation += 1;
         let victim = CrashVictim {
             upstream: UpstreamId {
                 node: instance(number).node,
                 slot: 0,
             },
-            incarnation: NodeIncarnation(self.life),
+            incarnation: NodeIncarnation(self.last_incarnation),
         };
         let event = CrashEvent::Crashed {
             service: ServiceName::new("quotes"),
             victim,
             running: running.to_vec(),
         };
-        self.feed(number, event);
+        self.deliver(number, event);
         victim
     }
 
-    /// Until the failed answer may go to the caller.
-    fn until_released(&mut self, victim: CrashVictim) {
+    /// Advances the time until the failed answers of this victim are released.
+    fn run_until_released(&mut self, victim: CrashVictim) {
         let mut rounds = 0;
         while !self.released.contains(&victim) {
             self.run_for(Duration::from_millis(1));
@@ -151,97 +151,108 @@
     }
 }
 
-// The caller gets a failed answer and sends the same request again at once, through another daemon
-// to another backend server, which dies too. Its third send is refused as not run, wherever it
-// lands, the first moment it can arrive.
+// Guards against a caller that resends a crashing request before other executors have the evidence.
+// After two crashes, every executor refuses the request as soon as the failed answer is released.
 #[test]
-fn the_third_backend_server_is_never_reached() {
-    let mut net = ExecutorNet::new(6);
+fn request_is_blocked_after_two_crashes() {
+    let mut cluster = ExecutorCluster::new(6);
     for number in [0, 1] {
-        assert!(net.may_run(number));
-        let victim = net.crash(number, &[poison()]);
-        net.until_released(victim);
+        assert!(cluster.may_run(number));
+        let victim = cluster.crash(number, &[crashing_request()]);
+        cluster.run_until_released(victim);
     }
     for number in 0..6 {
-        assert!(!net.may_run(number), "ran at {number}");
+        assert!(!cluster.may_run(number), "ran at {number}");
     }
 }
 
-// Five callers send the same request while one crash is known. Only one send runs; when it crashes
-// the second backend server, the others have not run and never will.
+// Guards against parallel resends that crash several backend servers while one crash is known. Of
+// five resends only one runs, and after its crash no executor runs the request.
 #[test]
-fn resends_at_the_same_time_run_one_at_a_time() {
-    let mut net = ExecutorNet::new(6);
-    assert!(net.may_run(0));
-    let victim = net.crash(0, &[poison()]);
-    net.until_released(victim);
-    let ran: Vec<usize> = (1..6).filter(|number| net.may_run(*number)).collect();
+fn concurrent_resends_run_one_at_a_time() {
+    let mut cluster = ExecutorCluster::new(6);
+    assert!(cluster.may_run(0));
+    let victim = cluster.crash(0, &[crashing_request()]);
+    cluster.run_until_released(victim);
+    let ran: Vec<usize> = (1..6).filter(|number| cluster.may_run(*number)).collect();
     assert_eq!(ran.len(), 1);
-    let victim = net.crash(ran[0], &[poison()]);
-    net.until_released(victim);
-    assert!((0..6).all(|number| !net.may_run(number)));
+    let victim = cluster.crash(ran[0], &[crashing_request()]);
+    cluster.run_until_released(victim);
+    assert!((0..6).all(|number| !cluster.may_run(number)));
 }
 
-// Another request ran on the backend server that crashed. Its caller sends it again, it completes,
-// and from then on it runs as any other.
+// Guards against blocking a request that only ran beside the cause. After it completes once, it
+// runs without restriction.
 #[test]
-fn a_request_that_ran_beside_the_cause_goes_on() {
-    let mut net = ExecutorNet::new(4);
+fn completed_request_is_cleared_after_a_crash() {
+    let mut cluster = ExecutorCluster::new(4);
     let beside = CrashSignature::of("brannock", "GET /quote?size=2", 0);
-    let victim = net.crash(0, &[beside, poison()]);
-    net.until_released(victim);
-    assert_eq!(net.nodes[1].check(net.now, beside), CrashCheck::Probation);
+    let victim = cluster.crash(0, &[beside, crashing_request()]);
+    cluster.run_until_released(victim);
+    assert_eq!(
+        cluster.nodes[1].check(cluster.now, beside),
+        CrashCheck::Probation
+    );
     let mut out = Vec::new();
-    net.nodes[1].completed(net.now, beside, &mut out);
-    net.carry(1, out);
-    net.run_for(Duration::from_millis(10));
-    for node in &net.nodes {
-        assert_eq!(node.check(net.now, beside), CrashCheck::Clear);
-        assert_eq!(node.check(net.now, poison()), CrashCheck::Probation);
+    cluster.nodes[1].completed(cluster.now, beside, &mut out);
+    cluster.process_commands(1, out);
+    cluster.run_for(Duration::from_millis(10));
+    for node in &cluster.nodes {
+        assert_eq!(node.check(cluster.now, beside), CrashCheck::Clear);
+        assert_eq!(
+            node.check(cluster.now, crashing_request()),
+            CrashCheck::Probation
+        );
     }
 }
 
-// One crash is reported by several ways and again and again. It stays one.
+// Guards against counting one crash twice when its report is resent.
 #[test]
-fn one_crash_reported_often_is_not_two() {
-    let mut net = ExecutorNet::new(3);
-    net.cut = vec![2];
-    net.crash(0, &[poison()]);
-    net.run_for(Duration::from_secs(3));
-    net.cut.clear();
-    net.run_for(Duration::from_secs(3));
-    for node in &net.nodes {
-        assert_eq!(node.check(net.now, poison()), CrashCheck::Probation);
+fn repeated_reports_of_one_crash_count_once() {
+    let mut cluster = ExecutorCluster::new(3);
+    cluster.partitioned = vec![2];
+    cluster.crash(0, &[crashing_request()]);
+    cluster.run_for(Duration::from_secs(3));
+    cluster.partitioned.clear();
+    cluster.run_for(Duration::from_secs(3));
+    for node in &cluster.nodes {
+        assert_eq!(
+            node.check(cluster.now, crashing_request()),
+            CrashCheck::Probation
+        );
     }
 }
 
 #[test]
-fn only_the_exact_request_is_stopped() {
-    let mut net = ExecutorNet::new(3);
-    net.crash(0, &[poison()]);
-    net.crash(1, &[poison()]);
-    net.run_for(Duration::from_millis(10));
+fn only_identical_requests_are_blocked() {
+    let mut cluster = ExecutorCluster::new(3);
+    cluster.crash(0, &[crashing_request()]);
+    cluster.crash(1, &[crashing_request()]);
+    cluster.run_for(Duration::from_millis(10));
     let others = [
         CrashSignature::of("brannock", "GET /quote?size=-2", 0),
         CrashSignature::of("moreton", "GET /quote?size=-1", 0),
         CrashSignature::of("brannock", "GET /quote?size=-1", 1),
     ];
     for signature in others {
-        assert_eq!(net.nodes[2].check(net.now, signature), CrashCheck::Clear);
+        assert_eq!(
+            cluster.nodes[2].check(cluster.now, signature),
+            CrashCheck::Clear
+        );
     }
 }
 
-// An executor is cut off from all others and knows of one crash. It cannot ask for a turn, so the
-// request is refused as not run rather than perhaps killing a third backend server.
+// Guards against running a suspect when its owner is unreachable. A partitioned executor cannot get
+// a turn and refuses the request.
 #[test]
-fn without_the_owner_a_suspect_does_not_run() {
-    let mut net = ExecutorNet::new(5);
-    let victim = net.crash(0, &[poison()]);
-    net.until_released(victim);
+fn suspect_does_not_run_without_its_owner() {
+    let mut cluster = ExecutorCluster::new(5);
+    let victim = cluster.crash(0, &[crashing_request()]);
+    cluster.run_until_released(victim);
     let askers: Vec<usize> = (0..5)
         .filter(|number| {
-            net.cut = vec![*number];
-            net.may_run(*number)
+            cluster.partitioned = vec![*number];
+            cluster.may_run(*number)
         })
         .collect();
     assert!(
@@ -250,24 +261,25 @@
     );
 }
 
-// An executor starts after the crashes. It learns of them before it can run the request.
+// Guards against an executor that starts after the crashes and lacks the evidence.
 #[test]
-fn a_new_executor_is_told() {
-    let mut net = ExecutorNet::new(3);
-    net.crash(0, &[poison()]);
-    net.crash(1, &[poison()]);
-    net.run_for(Duration::from_millis(10));
-    net.nodes
+fn new_executor_receives_evidence() {
+    let mut cluster = ExecutorCluster::new(3);
+    cluster.crash(0, &[crashing_request()]);
+    cluster.crash(1, &[crashing_request()]);
+    cluster.run_for(Duration::from_millis(10));
+    cluster
+        .nodes
         .push(CrashRegistry::new(instance(3), CrashSettings::default()));
     for number in 0..4 {
-        net.feed(number, executors(4));
+        cluster.deliver(number, executors(4));
     }
-    net.run_for(Duration::from_millis(10));
-    assert!(!net.may_run(3));
+    cluster.run_for(Duration::from_millis(10));
+    assert!(!cluster.may_run(3));
 }
 
 #[test]
-fn entries_expire_and_stay_bounded() {
+fn entries_expire_and_stay_within_capacity() {
     let settings = CrashSettings {
         capacity: 16,
         ..CrashSettings::default()
@@ -285,7 +297,7 @@
         let event = CrashEvent::Crashed {
             service: ServiceName::new("quotes"),
             victim: victim(life),
-            running: vec![poison()],
+            running: vec![crashing_request()],
         };
         registry.handle(Duration::from_secs(life), event, &mut out);
     }
@@ -298,7 +310,7 @@
         registry.handle(Duration::from_secs(10), event, &mut out);
     }
     assert_eq!(registry.entry_count(), 16);
-    let stopped = registry.check(Duration::from_secs(10), poison());
+    let stopped = registry.check(Duration::from_secs(10), crashing_request());
     assert!(matches!(stopped, CrashCheck::Stopped { .. }), "{stopped:?}");
     registry.tick(Duration::from_hours(1), &mut out);
     assert_eq!(registry.entry_count(), 0);
--- a/crates/limits/tests/fleet/mod.rs
+++ b/crates/limits/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few share nodes joined by a message queue whose delays, losses and cuts a test decides.
+//! Share nodes connected by a message queue. The tests control delays, losses and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,46 +10,47 @@
     ShareNode, ShareSettings,
 };
 
-/// The only customer.
+/// The only customer of the fleet.
 pub const CUSTOMER: CustomerIndex = CustomerIndex(0);
-/// Step of the fleet's clock.
+/// Duration of one simulation step.
 pub const STEP: Duration = Duration::from_millis(20);
-/// Usual one-way time of a message.
+/// Default one-way latency of a message.
 const DELAY: Duration = Duration::from_millis(2);
-/// Clock speed of a node without drift, in thousandths.
-pub const TRUE_SPEED: u32 = 1000;
+/// Speed of a clock without drift, in thousandths.
+pub const NORMAL_SPEED: u32 = 1000;
 
-/// One life of one node.
+/// One incarnation of one node.
 pub struct FleetNode {
-    /// The logic under test.
+    /// Node under test.
     pub share: ShareNode,
-    /// How the roster names it.
+    /// Roster entry of the node.
     pub member: ShareMember,
-    /// While paused it neither receives nor sends; its clock goes on.
+    /// Whether the node is paused. A paused node neither receives nor sends; its clock continues.
     pub paused: bool,
-    /// Whether the newest roster names it. One that is not may still run, cut off.
-    pub named: bool,
-    /// Whether it reads the log.
+    /// Whether the newest roster lists the node. A node that is not listed may still run,
+    /// partitioned.
+    pub is_listed: bool,
+    /// Whether the node reads the log.
     pub reads_log: bool,
-    /// Speed of its clock in thousandths.
+    /// Speed of the node's clock in thousandths.
     pub speed: u32,
     started: Duration,
     inbox: Vec<(InstanceId, ShareMessage)>,
 }
 
-/// Nodes, messages and cuts.
+/// Simulated fleet.
 pub struct ShareFleet {
-    /// True time.
+    /// Simulated time, without drift.
     pub now: Duration,
-    /// Every life of every node.
+    /// Every incarnation of every node.
     pub nodes: Vec<FleetNode>,
     /// Newest version of the roster.
     pub version: u64,
-    /// Directed pairs of node numbers of which the second does not hear the first.
-    pub cuts: BTreeSet<(usize, usize)>,
-    /// One-way time of a message.
+    /// Partitioned links, as pairs of sender and receiver.
+    pub partitioned_links: BTreeSet<(usize, usize)>,
+    /// One-way latency of a message.
     pub delay: Duration,
-    /// The contract.
+    /// Limits of the contract.
     pub limit: CustomerLimit,
     /// Settings of every node.
     pub settings: ShareSettings,
@@ -58,13 +59,13 @@
 }
 
 impl ShareFleet {
-    /// A fleet without nodes.
+    /// Creates a fleet without nodes.
     pub fn empty(settings: ShareSettings, rate_millis: u32, concurrency: u32) -> Self {
         Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
             version: 0,
-            cuts: BTreeSet::new(),
+            partitioned_links: BTreeSet::new(),
             delay: DELAY,
             limit: CustomerLimit {
                 customer: CustomerName::new("brannock"),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Starts a life of a node; the newest roster names it from now on.
+    /// Starts an incarnation of a node and adds it to the newest roster.
     pub fn join(&mut self, instance: usize, life: u64, domain: usize, speed: u32) {
         let own = InstanceId {
             node: NodeId::of(&format!("instance-{instance}")),
@@ -96,7 +97,7 @@
                 domain: DomainName::new(&format!("zone-{domain}")),
             },
             paused: false,
-            named: true,
+            is_listed: true,
             reads_log: true,
             speed,
             started: self.now,
@@ -105,24 +106,24 @@
         self.version += 1;
     }
 
-    /// Stops a node for good and takes it off the roster.
+    /// Stops a node permanently and removes it from the roster.
     pub fn stop(&mut self, number: usize) {
         self.nodes[number].paused = true;
         self.nodes[number].share =
             ShareNode::new(self.nodes[number].member.instance, self.settings.clone());
-        self.forget(number);
+        self.remove_from_roster(number);
     }
 
-    /// Takes a node off the roster without stopping it.
-    pub fn forget(&mut self, number: usize) {
-        self.nodes[number].named = false;
+    /// Removes a node from the roster without stopping it.
+    pub fn remove_from_roster(&mut self, number: usize) {
+        self.nodes[number].is_listed = false;
         self.version += 1;
     }
 
     fn members(&self) -> Arc<[ShareMember]> {
         self.nodes
             .iter()
-            .filter(|node| node.named)
+            .filter(|node| node.is_listed)
             .map(|node| node.member.clone())
             .collect()
     }
@@ -130,14 +131,14 @@
     fn settled(&self) -> u64 {
         self.nodes
             .iter()
-            .filter(|node| node.named)
+            .filter(|node| node.is_listed)
             .map(|node| self.adopted.get(&node.member.instance).copied())
             .map(Option::unwrap_or_default)
             .min()
             .unwrap_or(0)
     }
 
-    /// Lets one node adopt the newest roster and learn what all have adopted.
+    /// Makes one node adopt the newest roster and the version that all nodes have adopted.
     pub fn adopt(&mut self, number: usize) {
         let own = self.nodes[number].member.instance;
         self.adopted.insert(own, self.version);
@@ -146,10 +147,10 @@
             members: self.members(),
             settled: self.settled(),
         };
-        self.feed(number, event);
+        self.deliver(number, event);
     }
 
-    /// Lets every node adopt the newest roster and learn that all have.
+    /// Makes every node adopt the newest roster and learn that all others have adopted it.
     pub fn settle(&mut self) {
         for _ in 0..2 {
             for number in 0..self.nodes.len() {
@@ -158,21 +159,21 @@
         }
     }
 
-    /// Time on the clock of a node.
+    /// Returns the time on the clock of a node.
     pub fn clock(&self, number: usize) -> Duration {
         let node = &self.nodes[number];
-        self.now.saturating_sub(node.started) * node.speed / TRUE_SPEED
+        self.now.saturating_sub(node.started) * node.speed / NORMAL_SPEED
     }
 
-    /// Sends an event into a node.
-    pub fn feed(&mut self, number: usize, event: ShareEvent) {
+    /// Passes an event to a node and sends the resulting messages.
+    pub fn deliver(&mut self, number: usize, event: ShareEvent) {
         let mut out = Vec::new();
         let now = self.clock(number);
         self.nodes[number].share.handle(now, event, &mut out);
-        self.carry(number, out);
+        self.send_messages(number, out);
     }
 
-    fn carry(&mut self, number: usize, out: Vec<ShareCommand>) {
+    fn send_messages(&mut self, number: usize, out: Vec<ShareCommand>) {
         let from = self.nodes[number].member.instance;
         for command in out {
             let ShareCommand::Send { to, message } = command else {
@@ -180,7 +181,8 @@
             };
             let mut nodes = self.nodes.iter();
             let target = nodes.position(|node| node.member.instance == to);
-            let target = target.filter(|target| !self.cuts.contains(&(number, *target)));
+            let target =
+                target.filter(|target| !self.partitioned_links.contains(&(number, *target)));
             if let Some(target) = target {
                 self.queue
                     .push((self.now + self.delay, target, from, message));
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Offers one request at a node; true when it was admitted.
+    /// Sends one request to a node. Returns whether the node admitted it.
     pub fn request(&mut self, number: usize) -> bool {
         let now = self.clock(number);
         let node = &mut self.nodes[number];
@@ -201,7 +203,7 @@
         self.nodes[number].share.finished(now, CUSTOMER);
     }
 
-    /// Moves the clock one step and delivers what is due.
+    /// Advances the time by one step and delivers due messages.
     pub fn step(&mut self) {
         self.now += STEP;
         let (due, later) = std::mem::take(&mut self.queue)
@@ -213,30 +215,30 @@
         }
         for number in 0..self.nodes.len() {
             if !self.nodes[number].paused {
-                self.wake(number);
+                self.run_node(number);
             }
         }
     }
 
-    fn wake(&mut self, number: usize) {
+    fn run_node(&mut self, number: usize) {
         for (from, message) in std::mem::take(&mut self.nodes[number].inbox) {
-            self.feed(number, ShareEvent::Received { from, message });
+            self.deliver(number, ShareEvent::Received { from, message });
         }
         if self.nodes[number].reads_log {
             let event = ShareEvent::Anchored {
                 version: self.version,
                 since: self.clock(number),
             };
-            self.feed(number, event);
+            self.deliver(number, event);
         }
         let now = self.clock(number);
         let mut out = Vec::new();
         self.nodes[number].share.tick(now, &mut out);
-        self.carry(number, out);
+        self.send_messages(number, out);
     }
 
-    /// Rate and slots in force in the whole fleet. Paused and forgotten nodes count: they use
-    /// what they have the moment they go on.
+    /// Returns the rate and slots in force in the whole fleet. Includes paused and removed nodes,
+    /// because they use their rights as soon as they continue.
     pub fn in_force(&self) -> (u64, u32) {
         let mut sum = (0, 0);
         for (number, node) in self.nodes.iter().enumerate() {
--- a/crates/limits/tests/gate.rs
+++ b/crates/limits/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Admission beside a backend server.
+//! Tests for admission control in front of a backend server.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -33,19 +33,19 @@
     }
 }
 
-fn fill(gate: &mut SlotGate) {
+fn fill_slots(gate: &mut SlotGate) {
     for work in 0..5 {
         let decision = gate.offer(at(0), WorkId(work), class("filler", 0, 10_000));
         assert_eq!(decision, GateDecision::Run);
     }
 }
 
-// All slots run and the queue would take 60 ms, so a caller who waits 55 ms more cannot be served.
-// It is told so at once instead of waiting for nothing, and when to come back.
+// Guards against queueing a request that cannot meet its deadline. All slots are busy for 50 ms, so
+// a deadline in 55 ms leaves no time for 50 ms of service; the refusal contains a retry time.
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once() {
+fn request_with_unreachable_deadline_is_refused_immediately() {
     let mut gate = warm_gate();
-    fill(&mut gate);
+    fill_slots(&mut gate);
     let decision = gate.offer(at(0), WorkId(9), class("a", 0, 55));
     let GateDecision::Refused { code, retry_after } = decision else {
         panic!("decided {decision:?}");
@@ -56,12 +56,12 @@
     assert_eq!(decision, GateDecision::Queued);
 }
 
-// A caller waits in the queue while the backend server turns slow. As soon as its deadline is out
-// of reach it is refused as not run, before any slot frees.
+// Guards against keeping queued work whose deadline has become unreachable because the backend
+// server is slow. The work is refused as not run before any slot becomes free.
 #[test]
-fn queued_work_is_refused_when_its_deadline_is_out_of_reach() {
+fn queued_work_is_refused_when_its_deadline_becomes_unreachable() {
     let mut gate = warm_gate();
-    fill(&mut gate);
+    fill_slots(&mut gate);
     gate.offer(at(0), WorkId(9), class("a", 0, 200));
     let mut out = Vec::new();
     gate.tick(at(149), &mut out);
@@ -74,12 +74,12 @@
     assert_eq!(gate.load(at(151)).queued, 0);
 }
 
-// The backend server announces that it leaves while five requests run and one waits. New ones are
-// refused, and all six are finished.
+// Guards against losing admitted work when the backend server shuts down. New requests are refused,
+// while five running requests and one queued request are finished.
 #[test]
-fn a_closed_gate_finishes_what_it_has() {
+fn closed_gate_finishes_running_and_queued_work() {
     let mut gate = warm_gate();
-    fill(&mut gate);
+    fill_slots(&mut gate);
     gate.offer(at(0), WorkId(9), class("a", 0, 1000));
     gate.close();
     let decision = gate.offer(at(1), WorkId(10), class("a", 0, 1000));
@@ -95,10 +95,10 @@
     assert!(gate.is_idle());
 }
 
-// A backend server has just started. It gets one request at first and the rest wait, until its
-// slots have opened one after the other.
+// Guards against sending a full load to a cold backend server. One slot is open at first, and the
+// others open one after the other.
 #[test]
-fn slots_open_one_after_the_other_at_a_cold_start() {
+fn slots_open_gradually_after_a_cold_start() {
     let settings = GateSettings::default();
     let mut gate = SlotGate::new(settings, at(0));
     let started: Vec<u32> = (0..=5)
@@ -119,9 +119,9 @@
 }
 
 #[test]
-fn a_cancelled_wait_frees_its_place() {
+fn cancelled_work_leaves_the_queue() {
     let mut gate = warm_gate();
-    fill(&mut gate);
+    fill_slots(&mut gate);
     gate.offer(at(0), WorkId(9), class("a", 0, 1000));
     assert!(gate.cancel(at(1), WorkId(9)));
     assert!(!gate.cancel(at(1), WorkId(9)));
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn greater_priority_and_earlier_deadline_go_first() {
+fn higher_priority_and_earlier_deadline_run_first() {
     let mut gate = warm_gate();
-    fill(&mut gate);
+    fill_slots(&mut gate);
     gate.offer(at(0), WorkId(10), class("a", 0, 900));
     gate.offer(at(0), WorkId(11), class("a", 0, 800));
     gate.offer(at(0), WorkId(12), class("a", 5, 1000));
@@ -147,10 +147,11 @@
     assert_eq!(out, started);
 }
 
-// One customer floods a backend server with five times what it can do, another sends a request
-// now and then. The small one is never refused and waits for the next slot only.
+// Guards against a flood that crowds out another customer. One customer sends five times the
+// capacity; the other sends a request occasionally, is never refused and waits for one slot at
+// most.
 #[test]
-fn a_flood_leaves_room_and_the_next_slot_to_others() {
+fn flood_does_not_block_other_customers() {
     let mut gate = warm_gate();
     let mut ends: BTreeSet<(Duration, WorkId)> = BTreeSet::new();
     let mut small: Vec<(WorkId, Duration)> = Vec::new();
@@ -192,8 +193,9 @@
     assert!(small.len() > 50, "the small customer met a busy gate");
 }
 
-// Any order of offers, ends, cancellations and ticks: every work is refused, cancelled or run to
-// its end exactly once, slots never exceed the limit, and an emptied gate counts nothing.
+// Guards against leaked counts under any order of offers, ends, cancellations and ticks. Each unit
+// of work is refused, cancelled or finished exactly once, the slots never exceed the limit, and an
+// empty gate counts nothing.
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 64,
@@ -203,7 +205,7 @@
     })]
 
     #[test]
-    fn counts_never_leak(seed in any::<u64>()) {
+    fn counts_match_running_and_queued_work(seed in any::<u64>()) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut gate = SlotGate::new(GateSettings::default(), Duration::ZERO);
         let mut running: Vec<WorkId> = Vec::new();
--- a/crates/limits/tests/holder_count.rs
+++ b/crates/limits/tests/holder_count.rs
@@ -1,4 +1,4 @@
-//! The number of holders among which a bound is divided.
+//! Tests for the number of holders among which a limit is divided.
 
 use std::time::Duration;
 
--- a/crates/limits/tests/quota.rs
+++ b/crates/limits/tests/quota.rs
@@ -1,8 +1,9 @@
-//! Quotas of client accounts over a fleet, in virtual time: what is admitted beyond a quota and refused below it.
+//! Tests for quotas of client accounts over a simulated fleet: admissions beyond a quota and
+//! refusals below it.
 //!
-//! Load: requests of an account come to all nodes evenly and at random (Poisson), as they do behind a
-//! spread of clients. Messages take three milliseconds. Bounds are those that an operator states: in any
-//! five seconds the quota and a tenth more, and twenty requests besides.
+//! The requests of an account arrive at all nodes evenly and at random (Poisson), as from many
+//! independent clients. Messages take three milliseconds. The limits are those that an operator
+//! states: in any five seconds, the quota plus a tenth, plus twenty requests.
 
 use std::time::Duration;
 
@@ -15,9 +16,9 @@
 };
 
 const ACCOUNT: AccountId = AccountId(7);
-/// Step of virtual time, in milliseconds: the way between two nodes.
+/// Length of a simulation step in milliseconds, which is also the latency of a message.
 const STEP_MS: u64 = 3;
-/// Steps between two runs of a node's periodic work.
+/// Number of steps between two runs of a node's periodic work.
 const TICK_STEPS: u64 = 33;
 
 struct QuotaFleet {
@@ -28,20 +29,20 @@
     keepers: Vec<QuotaKeeper>,
     reports: Vec<(usize, usize, UseReport)>,
     news: Vec<(usize, InstanceId, ShareNews)>,
-    random: SmallRng,
+    rng: SmallRng,
     step: u64,
-    /// Milliseconds at which a request was admitted.
+    /// Times of the admitted requests in milliseconds.
     admitted: Vec<u64>,
     asked: u64,
-    /// Nodes that cannot reach those of the other side.
-    cut: usize,
-    /// A node that was lost and that the others still count as present.
+    /// Nodes with a number below this are partitioned from the others; zero means no partition.
+    partition_end: usize,
+    /// Node that was lost and that the others still count as present.
     lost: Option<usize>,
-    /// A node that has joined, and how many of the others have heard of it.
+    /// Node that has joined, and the number of nodes that know of it.
     joined: Option<(usize, usize)>,
 }
 
-/// Factor between the numbers of two nodes and their ids.
+/// Distance between the ids of two consecutive nodes.
 const ID_STEP: u64 = 7919;
 
 fn instance(number: usize) -> InstanceId {
@@ -52,7 +53,7 @@
     }
 }
 
-fn number_of(instance: InstanceId) -> usize {
+fn index_of(instance: InstanceId) -> usize {
     usize::try_from(instance.node.0 / ID_STEP).expect("small")
 }
 
@@ -71,46 +72,46 @@
             keepers: (0..count).map(|_| QuotaKeeper::new(settings)).collect(),
             reports: Vec::new(),
             news: Vec::new(),
-            random: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             step: 0,
             admitted: Vec::new(),
             asked: 0,
-            cut: 0,
+            partition_end: 0,
             lost: None,
             joined: None,
         }
     }
 
-    /// The nodes that a node knows.
-    fn known_to(&self, node: usize) -> Vec<InstanceId> {
+    /// Returns the nodes that a node knows.
+    fn nodes_known_to(&self, node: usize) -> Vec<InstanceId> {
         let unknown = match self.joined {
-            Some((joined, hearers)) if node >= hearers => Some(joined),
+            Some((joined, informed)) if node >= informed => Some(joined),
             _ => None,
         };
         let known = self.side(node).filter(|other| Some(*other) != unknown);
         known.map(|other| self.nodes[other]).collect()
     }
 
-    /// The node that ranks first for the account.
+    /// Returns the node that ranks first for the account.
     fn first_keeper(&self) -> usize {
-        number_of(keepers_of(ACCOUNT, &self.nodes)[0])
+        index_of(keepers_of(ACCOUNT, &self.nodes)[0])
     }
 
-    /// A node starts again and knows nothing.
+    /// Restarts a node with empty state.
     fn restart(&mut self, node: usize) {
         self.holders[node] = QuotaHolder::new(self.settings, self.step);
         self.keepers[node] = QuotaKeeper::new(self.settings);
     }
 
     fn side(&self, node: usize) -> std::ops::Range<usize> {
-        if node < self.cut {
-            0..self.cut
+        if node < self.partition_end {
+            0..self.partition_end
         } else {
-            self.cut..self.nodes.len()
+            self.partition_end..self.nodes.len()
         }
     }
 
-    /// Lets requests come at this rate for so long.
+    /// Simulates requests at this rate for a number of seconds.
     fn run(&mut self, seconds: u64, rate: f64) {
         let nodes = self.nodes.len();
         for _ in 0..seconds * 1000 / STEP_MS {
@@ -119,9 +120,9 @@
             self.deliver(now);
             let mut expected = rate * Duration::from_millis(STEP_MS).as_secs_f64();
             while expected > 0.0 {
-                if self.random.random::<f64>() < expected {
-                    let node = self.random.random_range(0..nodes);
-                    self.ask(now, node);
+                if self.rng.random::<f64>() < expected {
+                    let node = self.rng.random_range(0..nodes);
+                    self.send_request(now, node);
                 }
                 expected -= 1.0;
             }
@@ -134,7 +135,7 @@
         }
     }
 
-    fn ask(&mut self, now: Duration, node: usize) {
+    fn send_request(&mut self, now: Duration, node: usize) {
         self.asked += 1;
         if self.holders[node].admit(now, ACCOUNT, self.terms).is_ok() {
             self.admitted.push(self.step * STEP_MS);
@@ -146,8 +147,8 @@
             return;
         }
         for report in self.holders[node].reports(now) {
-            for keeper in keepers_of(ACCOUNT, &self.known_to(node)) {
-                self.reports.push((node, number_of(keeper), report));
+            for keeper in keepers_of(ACCOUNT, &self.nodes_known_to(node)) {
+                self.reports.push((node, index_of(keeper), report));
             }
         }
         for news in self.keepers[node].news(now) {
@@ -168,9 +169,9 @@
         }
     }
 
-    /// Most that was admitted in any window beyond what the operator allows; below zero where it was
-    /// always less.
-    fn most_beyond(&self) -> f64 {
+    /// Returns the maximum excess of any window over the limit that the operator states. Negative
+    /// if no window reached the limit.
+    fn max_excess(&self) -> f64 {
         let window = u64::try_from(self.settings.window.as_millis()).expect("some seconds");
         let allowed = self.terms.rate * self.settings.window.as_secs_f64() + self.terms.burst;
         let allowed = allowed * (1.0 + self.settings.overage) + self.settings.slack;
@@ -191,13 +192,14 @@
     }
 }
 
-/// Rates of accounts, in requests a second: most are small, a few large.
+/// Quotas of accounts, in requests per second: mostly small, a few large.
 const RATES: [f64; 4] = [2.0, 10.0, 40.0, 140.0];
 
-// Callers of an account that keeps to six tenths of its quota are refused nothing. Were each node to
-// hold its even part, 97 of 100 nodes would have less than a token for most of the time.
+// Guards against refusals within the quota. An account at six tenths of its quota is refused at
+// most one request in a hundred. If each node enforced an even part, 97 of 100 nodes would have
+// less than a token most of the time.
 #[test]
-fn an_account_within_its_quota_is_refused_nothing() {
+fn account_within_its_quota_is_not_refused() {
     for rate in RATES {
         let mut fleet = QuotaFleet::new(96, rate, 1);
         fleet.run(20, rate * 0.6);
@@ -210,17 +212,18 @@
     }
 }
 
-// One account sends five times its quota at once, after it was calm. What is admitted before the holders
-// know it is made up for, so that no window goes beyond the bound; what the quota allows is admitted.
+// Guards against exceeding the limit when an account suddenly sends five times its quota. What the
+// holders admit before they receive a share is compensated for, and the quota itself remains
+// usable.
 #[test]
-fn an_account_that_sends_five_times_its_quota_is_held_to_it() {
+fn account_at_five_times_its_quota_is_limited() {
     for seed in 1..=2 {
         for rate in RATES {
             let mut fleet = QuotaFleet::new(96, rate, seed);
             fleet.run(10, rate * 0.6);
             fleet.run(20, rate * 5.0);
-            let beyond = fleet.most_beyond();
-            assert!(beyond <= 0.0, "{rate}: {beyond} beyond the bound");
+            let excess = fleet.max_excess();
+            assert!(excess <= 0.0, "{rate}: {excess} beyond the bound");
             let quota = rate * 20.0 + fleet.terms.burst;
             let used = fleet.admitted_since(10) / quota;
             assert!(used >= 0.9, "{rate}: {used} of the quota was used");
@@ -228,23 +231,24 @@
     }
 }
 
-// A sixth of the fleet is cut off from the rest while an account sends five times its quota on both
-// sides. Each side has a keeper, and both together keep to the quota.
+// Guards against admitting the quota twice during a partition. A sixth of the fleet is partitioned
+// while an account sends five times its quota on both sides; each side has a keeper.
 #[test]
-fn two_sides_of_a_cut_share_the_quota() {
+fn partitioned_sides_share_the_quota() {
     for rate in RATES {
         let mut fleet = QuotaFleet::new(96, rate, 4);
         fleet.run(10, rate * 0.6);
-        fleet.cut = 16;
+        fleet.partition_end = 16;
         fleet.run(20, rate * 5.0);
-        let beyond = fleet.most_beyond();
-        assert!(beyond <= 0.0, "{rate}: {beyond} beyond the bound");
+        let excess = fleet.max_excess();
+        assert!(excess <= 0.0, "{rate}: {excess} beyond the bound");
     }
 }
 
-// The account calms down, and its callers are no longer refused within two seconds.
+// Guards against throttling that outlasts the surge. Four seconds after the demand falls below the
+// quota, no request is refused.
 #[test]
-fn an_account_that_calms_down_is_free_again() {
+fn throttling_ends_after_a_surge() {
     let mut fleet = QuotaFleet::new(96, 40.0, 5);
     fleet.run(10, 200.0);
     fleet.run(4, 20.0);
@@ -255,10 +259,10 @@
     assert_eq!(refused, 0);
 }
 
-// All nodes lose power while an account sends five times its quota, and nobody knows any more what it
-// used. Its new keeper does not give it a second burst.
+// Guards against a second burst after all nodes lose power while an account sends five times its
+// quota. The new keeper does not know what was used before.
 #[test]
-fn a_quota_holds_over_the_loss_of_all_nodes() {
+fn quota_holds_after_the_loss_of_all_nodes() {
     for rate in [40.0, 170.0] {
         let mut fleet = QuotaFleet::new(96, rate, 6);
         fleet.run(10, rate * 0.6);
@@ -268,58 +272,58 @@
         fleet.keepers = fresh.keepers;
         fleet.reports.clear();
         fleet.news.clear();
-        // A process that lost its power takes a second to come back.
+        // A process takes a second to restart after a power loss.
         fleet.run(1, 0.0);
         fleet.run(6, rate * 5.0);
-        let beyond = fleet.most_beyond();
-        assert!(beyond <= 0.0, "{rate}: {beyond} beyond the bound");
+        let excess = fleet.max_excess();
+        assert!(excess <= 0.0, "{rate}: {excess} beyond the bound");
     }
 }
 
-/// Sizes of fleets, and rates of an account that is large in each.
-const FLEETS: [(usize, f64); 4] = [(25, 40.0), (96, 170.0), (300, 170.0), (1000, 400.0)];
+/// Fleet sizes, each with the quota of a large account.
+const FLEET_SIZES: [(usize, f64); 4] = [(25, 40.0), (96, 170.0), (300, 170.0), (1000, 400.0)];
 
-// Guards against an account without a limit while its keeper is dead and nobody knows yet.
+// Guards against an unlimited account while its keeper is dead and the death is not yet detected.
 #[test]
-fn a_quota_holds_while_a_dead_keeper_counts_as_present() {
-    for (nodes, rate) in FLEETS {
+fn quota_holds_before_the_death_of_a_keeper_is_detected() {
+    for (nodes, rate) in FLEET_SIZES {
         let mut fleet = QuotaFleet::new(nodes, rate, 8);
         fleet.run(8, rate * 0.6);
         fleet.lost = Some(fleet.first_keeper());
         fleet.run(5, rate * 4.0);
-        let beyond = fleet.most_beyond();
-        assert!(beyond <= 0.0, "{nodes} nodes: {beyond} beyond the bound");
+        let excess = fleet.max_excess();
+        assert!(excess <= 0.0, "{nodes} nodes: {excess} beyond the bound");
     }
 }
 
-// Guards against an account of which two keepers see a half each: a node that ranks first has joined, and
-// only half of the others have heard of it.
+// Guards against two keepers that each see half of an account: a node that ranks first has joined,
+// and only half of the other nodes know of it.
 #[test]
-fn a_quota_holds_while_nodes_disagree_on_the_keeper() {
-    for (nodes, rate) in FLEETS {
+fn quota_holds_while_nodes_disagree_on_the_keeper() {
+    for (nodes, rate) in FLEET_SIZES {
         let mut fleet = QuotaFleet::new(nodes, rate, 9);
         fleet.joined = Some((fleet.first_keeper(), 0));
         fleet.run(8, rate * 0.6);
         fleet.joined = Some((fleet.first_keeper(), nodes / 2));
         fleet.run(5, rate * 4.0);
-        let beyond = fleet.most_beyond();
-        assert!(beyond <= 0.0, "{nodes} nodes: {beyond} beyond the bound");
+        let excess = fleet.max_excess();
+        assert!(excess <= 0.0, "{nodes} nodes: {excess} beyond the bound");
     }
 }
 
-// Guards against a quota that is given anew with each restart of a keeper.
+// Guards against a quota that is granted anew at each restart of a keeper.
 #[test]
-fn a_quota_holds_while_its_keepers_restart_in_turn() {
-    for (nodes, rate) in FLEETS {
+fn quota_holds_while_its_keepers_restart() {
+    for (nodes, rate) in FLEET_SIZES {
         let mut fleet = QuotaFleet::new(nodes, rate, 10);
         fleet.run(8, rate * 0.6);
         for turn in 0..6 {
             let keepers = keepers_of(ACCOUNT, &fleet.nodes);
             let keeper = keepers[turn % keepers.len()];
-            fleet.restart(number_of(keeper));
+            fleet.restart(index_of(keeper));
             fleet.run(1, rate * 4.0);
         }
-        let beyond = fleet.most_beyond();
-        assert!(beyond <= 0.0, "{nodes} nodes: {beyond} beyond the bound");
+        let excess = fleet.max_excess();
+        assert!(excess <= 0.0, "{nodes} nodes: {excess} beyond the bound");
     }
 }
--- a/crates/limits/tests/retry_budget.rs
+++ b/crates/limits/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retry budgets.
+//! Tests for retry budgets.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
     }
 }
 
-// Callers see their first tries fail, and the fleet repeats each. A thousand first tries in the
-// window allow a tenth of that in repeats, whatever the number of failures.
+// Guards against a retry storm. When every first try fails, a thousand first tries allow a tenth of
+// that in repeats.
 #[test]
-fn repeats_are_a_tenth_of_first_tries() {
+fn repeats_are_limited_to_a_tenth_of_first_tries() {
     let mut budget = RetryBudget::new(&settings(10, 0));
     let mut sent = 0;
     for millis in 0..1000 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn deposits_leave_with_the_window() {
+fn deposits_expire_with_the_window() {
     let mut budget = RetryBudget::new(&settings(10, 0));
     for _ in 0..100 {
         budget.deposit(at(500));
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn a_clock_that_stands_or_steps_back_adds_nothing() {
+fn stopped_or_reversed_clock_adds_nothing() {
     let mut budget = RetryBudget::new(&settings(100, 0));
     budget.deposit(at(20_000));
     assert!(budget.withdraw(at(19_000)));
     assert!(!budget.withdraw(at(20_000)));
 }
 
-// A bound of 75 repeats in a window is kept by a hundred nodes, three quarters of a repeat each, and
-// all of them see more failures than that. With thresholds that are spread evenly, together they
-// repeat what the bound allows; each alone repeats once at most.
+// Guards against small parts that never allow a repeat. A hundred nodes share a limit of 75 repeats
+// per window, three quarters of a repeat each. With evenly spread thresholds, they repeat 75 times
+// in total.
 #[test]
-fn small_parts_add_up_to_the_whole() {
+fn small_parts_add_up_to_the_limit() {
     let mut sent = 0;
     for node in 1..=100 {
         let mut budget = RetryBudget::new(&settings(0, 0));
@@ -77,10 +77,9 @@
     assert_eq!(sent, 75);
 }
 
-// The threshold is less than a whole repeat, and what was spent does not come back before its window
-// has passed.
+// Guards against a threshold below a whole repeat allowing more than one repeat per window.
 #[test]
-fn a_part_is_spent_once_in_a_window() {
+fn part_below_one_repeat_is_used_once_per_window() {
     let mut budget = RetryBudget::new(&settings(0, 0));
     budget.set_part(BudgetPart {
         slack: 750,
@@ -91,9 +90,10 @@
     assert!(budget.withdraw(at(10_500)));
 }
 
-// A repeat is made that cannot be refused any more. What it takes is missing until the window has passed.
+// Guards against losing track of repeats that cannot be refused. Their charge reduces the balance
+// until the window has passed.
 #[test]
-fn what_is_charged_beyond_the_budget_is_owed() {
+fn charges_beyond_the_budget_leave_a_deficit() {
     let mut budget = RetryBudget::new(&settings(100, 0));
     budget.charge(at(0));
     budget.charge(at(0));
@@ -104,8 +104,8 @@
     assert!(budget.withdraw(at(400)));
 }
 
-// Guards against withdrawals late in a part of the window that expire early, so that one window allows twice
-// the budget.
+// Guards against withdrawals late in a part of the window that expire early and allow twice the
+// budget in one window.
 #[test]
 fn no_window_holds_more_repeats_than_the_budget() {
     let mut budget = RetryBudget::new(&settings(0, 1));
@@ -129,10 +129,10 @@
     assert_eq!(max_count, Some(10));
 }
 
-// Guards against repeats that wait for a slot and expire from the budget less than a window after their server
-// was handed them.
+// Guards against repeats that wait for a slot and expire from the budget less than a window after
+// they reached their server.
 #[test]
-fn a_repeat_counts_from_when_it_is_made() {
+fn restarted_withdrawal_counts_for_a_full_window() {
     let mut budget = RetryBudget::new(&settings(0, 1));
     while budget.withdraw(at(0)) {}
     for _ in 0..10 {
--- a/crates/limits/tests/settings.rs
+++ b/crates/limits/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings in JSON, with every finding and its place.
+//! Tests for settings in JSON and for the findings of their validation.
 
 use sycamorelink_limits::{BudgetSettings, CrashSettings, GateSettings, ShareSettings};
 
 #[test]
-fn defaults_are_valid_and_written_with_units() {
+fn defaults_are_valid_and_serialized_with_units() {
     let shares = ShareSettings::default();
     let gate = GateSettings::default();
     let budget = BudgetSettings::default();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn durations_need_a_unit() {
+fn durations_without_a_unit_are_rejected() {
     let error = serde_json::from_str::<GateSettings>(r#"{"warm_up": "5"}"#).expect_err("no unit");
     insta::assert_snapshot!(error);
 }
--- a/crates/limits/tests/share.rs
+++ b/crates/limits/tests/share.rs
@@ -1,27 +1,33 @@
-//! Fleet-wide limits as callers see them.
+//! Tests for fleet-wide limits from the callers' point of view.
 
 mod fleet;
 
 use std::time::Duration;
 
-use fleet::{CUSTOMER, STEP, ShareFleet, TRUE_SPEED};
+use fleet::{CUSTOMER, NORMAL_SPEED, STEP, ShareFleet};
 use sycamorelink_limits::{Admission, CustomerLimit, ShareEvent, ShareSettings};
 
 const RATE_MILLIS: u32 = 100_000;
 const CONCURRENCY: u32 = 50;
 const DOMAINS: usize = 4;
 
-fn started(count: usize, rate_millis: u32, concurrency: u32) -> ShareFleet {
+fn started_fleet(count: usize, rate_millis: u32, concurrency: u32) -> ShareFleet {
     let mut fleet = ShareFleet::empty(ShareSettings::default(), rate_millis, concurrency);
     for number in 0..count {
-        fleet.join(number, 1, number % DOMAINS, TRUE_SPEED);
+        fleet.join(number, 1, number % DOMAINS, NORMAL_SPEED);
     }
     fleet.settle();
     fleet
 }
 
-/// Sends `per_second` short requests a second to each of the nodes; gives how many were admitted.
-fn offer(fleet: &mut ShareFleet, nodes: &[usize], per_second: u32, length: Duration) -> u32 {
+/// Sends `per_second` short requests per second to each of the nodes and returns how many were
+/// admitted.
+fn send_requests(
+    fleet: &mut ShareFleet,
+    nodes: &[usize],
+    per_second: u32,
+    length: Duration,
+) -> u32 {
     let end = fleet.now + length;
     let mut admitted = 0;
     let mut owed = 0;
@@ -45,11 +51,11 @@
     Duration::from_secs(count)
 }
 
-// A developer starts one daemon and sends a request. Nobody else can hold a lease, so it is its
-// own keeper at once and the request does not wait for any lease to lapse.
+// Guards against a fleet of one that waits for leases of others to expire. The single node is its
+// own keeper and admits the request at the second step.
 #[test]
-fn a_fleet_of_one_works_at_once() {
-    let mut fleet = started(1, RATE_MILLIS, CONCURRENCY);
+fn single_node_admits_after_one_step() {
+    let mut fleet = started_fleet(1, RATE_MILLIS, CONCURRENCY);
     fleet.step();
     let now = fleet.clock(0);
     assert!(matches!(
@@ -62,56 +68,56 @@
     assert_eq!(admission, Admission::Admitted);
 }
 
-// Seventeen daemons, one of which gets all requests of a customer: it can use nearly the whole
-// contract, and when the callers move to another daemon, so does the share.
+// Guards against shares that stay at nodes without callers. One of seventeen daemons gets all
+// requests of a customer and can use nearly the whole contract; when the callers move, the share
+// follows.
 #[test]
-fn the_share_follows_the_callers() {
-    let mut fleet = started(17, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[3], 90, seconds(5));
-    let first = offer(&mut fleet, &[3], 90, seconds(10));
+fn share_follows_the_callers() {
+    let mut fleet = started_fleet(17, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[3], 90, seconds(5));
+    let first = send_requests(&mut fleet, &[3], 90, seconds(10));
     assert!(first >= 890, "admitted {first} of 900");
-    offer(&mut fleet, &[9], 90, seconds(20));
-    let moved = offer(&mut fleet, &[9], 90, seconds(10));
+    send_requests(&mut fleet, &[9], 90, seconds(20));
+    let moved = send_requests(&mut fleet, &[9], 90, seconds(10));
     assert!(moved >= 890, "admitted {moved} of 900");
 }
 
-// The daemon that holds most of the share stops answering and its leases lapse. Callers of the
-// others get what it had.
+// Guards against losing the share of a holder that has failed. When its leases have expired,
+// callers of another daemon get the share.
 #[test]
-fn a_lost_holders_share_comes_back() {
-    let mut fleet = started(17, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[3], 90, seconds(10));
+fn share_of_a_lost_holder_is_reused() {
+    let mut fleet = started_fleet(17, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[3], 90, seconds(10));
     fleet.nodes[3].paused = true;
-    offer(&mut fleet, &[9], 80, seconds(30));
-    let admitted = offer(&mut fleet, &[9], 80, seconds(10));
+    send_requests(&mut fleet, &[9], 80, seconds(30));
+    let admitted = send_requests(&mut fleet, &[9], 80, seconds(10));
     assert!(admitted >= 720, "admitted {admitted} of 800");
 }
 
-// One daemon after the other is replaced gracefully, until none of the first ones is left. The
-// customer has its share all the while.
+// Guards against losing the share during a rolling replacement of all daemons.
 #[test]
-fn replaced_daemons_hand_the_share_on() {
-    let mut fleet = started(4, RATE_MILLIS, CONCURRENCY);
+fn share_survives_replacement_of_all_daemons() {
+    let mut fleet = started_fleet(4, RATE_MILLIS, CONCURRENCY);
     for number in 0..4 {
-        fleet.join(4 + number, 1, number % DOMAINS, TRUE_SPEED);
+        fleet.join(4 + number, 1, number % DOMAINS, NORMAL_SPEED);
         fleet.settle();
         fleet.stop(number);
         fleet.settle();
-        offer(&mut fleet, &[4 + number], 80, seconds(5));
-        let admitted = offer(&mut fleet, &[4 + number], 80, seconds(5));
+        send_requests(&mut fleet, &[4 + number], 80, seconds(5));
+        let admitted = send_requests(&mut fleet, &[4 + number], 80, seconds(5));
         assert!(admitted >= 390, "admitted {admitted} of 400");
     }
 }
 
-// A silent daemon is taken off the roster while it still runs, cut off. It has stopped using its
-// share by then.
+// Guards against a partitioned daemon that still uses its share after its removal from the roster.
+// Its rights end before it is removed.
 #[test]
-fn a_forgotten_daemon_uses_nothing() {
-    let mut fleet = started(4, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[0, 1], 30, seconds(5));
+fn removed_daemon_uses_nothing() {
+    let mut fleet = started_fleet(4, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[0, 1], 30, seconds(5));
     fleet.nodes[0].reads_log = false;
-    fleet.cuts = (1..4).flat_map(|other| [(0, other), (other, 0)]).collect();
-    offer(&mut fleet, &[1], 30, seconds(5));
+    fleet.partitioned_links = (1..4).flat_map(|other| [(0, other), (other, 0)]).collect();
+    send_requests(&mut fleet, &[1], 30, seconds(5));
     let silent = fleet.settings.removal_wait();
     let end = fleet.now + silent;
     while fleet.now < end {
@@ -122,28 +128,27 @@
     assert!(!fleet.nodes[0].share.is_active(now));
     fleet.nodes[0].share.admit(now, CUSTOMER);
     assert_eq!(fleet.nodes[0].share.share().rate(now, CUSTOMER), 0);
-    fleet.forget(0);
+    fleet.remove_from_roster(0);
     for number in [1, 2, 3, 1, 2, 3] {
         fleet.adopt(number);
     }
-    offer(&mut fleet, &[1], 80, seconds(5));
-    let admitted = offer(&mut fleet, &[1], 80, seconds(5));
+    send_requests(&mut fleet, &[1], 80, seconds(5));
+    let admitted = send_requests(&mut fleet, &[1], 80, seconds(5));
     assert!(admitted >= 390, "admitted {admitted} of 400");
 }
 
-// A daemon is paused while it holds a lease and goes on after the lease has lapsed, unaware of
-// it. The first request it sees is not admitted on the old lease.
+// Guards against a paused holder that admits requests on a lease that expired during the pause.
 #[test]
-fn a_paused_holder_finds_its_lease_lapsed() {
-    let mut fleet = started(17, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[3], 50, seconds(5));
+fn paused_holder_does_not_use_an_expired_lease() {
+    let mut fleet = started_fleet(17, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[3], 50, seconds(5));
     let now = fleet.clock(3);
     let share = fleet.nodes[3].share.share();
     let leased = share.rate(now, CUSTOMER);
     assert!(leased >= 50_000, "leased {leased}");
     fleet.nodes[3].paused = true;
     let long = fleet.settings.long_lease;
-    offer(&mut fleet, &[9], 1, long);
+    send_requests(&mut fleet, &[9], 1, long);
     let now = fleet.clock(3);
     fleet.nodes[3].share.admit(now, CUSTOMER);
     let left = fleet.nodes[3].share.share().rate(now, CUSTOMER);
@@ -151,27 +156,27 @@
     assert_eq!(left, base);
 }
 
-// The clock stood still while the machine was paused, so the lease looks fresh. The daemon finds
-// that the wall clock went ahead and says so: the lease is dropped, and its base share too until
-// it has read the log.
+// Guards against stale leases when the monotonic clock stops during a pause. After the daemon
+// detects that the wall clock has advanced, it drops its lease, and its base share too until it has
+// read the log.
 #[test]
-fn a_pause_the_clock_does_not_show_drops_leases() {
-    let mut fleet = started(17, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[3], 50, seconds(5));
-    fleet.feed(3, ShareEvent::Resumed);
+fn pause_not_shown_by_the_clock_drops_leases() {
+    let mut fleet = started_fleet(17, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[3], 50, seconds(5));
+    fleet.deliver(3, ShareEvent::Resumed);
     let now = fleet.clock(3);
     assert_eq!(fleet.nodes[3].share.share().rate(now, CUSTOMER), 0);
-    offer(&mut fleet, &[3], 50, seconds(2));
-    let admitted = offer(&mut fleet, &[3], 50, seconds(4));
+    send_requests(&mut fleet, &[3], 50, seconds(2));
+    let admitted = send_requests(&mut fleet, &[3], 50, seconds(4));
     assert!(admitted >= 190, "admitted {admitted} of 200");
 }
 
-// An operator amends the contract to a tenth. Every holder keeps to it at once, long before its
-// lease is renewed.
+// Guards against leases that outlive an amendment. After the contract is reduced to a tenth, every
+// holder keeps to the new limit immediately, before its lease is renewed.
 #[test]
-fn an_amended_contract_binds_leases_in_force() {
-    let mut fleet = started(17, RATE_MILLIS, CONCURRENCY);
-    offer(&mut fleet, &[3, 4, 5], 25, seconds(10));
+fn amended_contract_limits_existing_leases() {
+    let mut fleet = started_fleet(17, RATE_MILLIS, CONCURRENCY);
+    send_requests(&mut fleet, &[3, 4, 5], 25, seconds(10));
     let limit = CustomerLimit {
         rate_millis: RATE_MILLIS / 10,
         concurrency: CONCURRENCY / 10,
@@ -182,18 +187,18 @@
             index: CUSTOMER,
             limit: limit.clone(),
         };
-        fleet.feed(number, event);
+        fleet.deliver(number, event);
     }
     let (rate, slots) = fleet.in_force();
     assert!(rate <= u64::from(RATE_MILLIS / 10), "rate {rate}");
     assert!(slots <= CONCURRENCY / 10, "slots {slots}");
 }
 
-// Four callers of a customer with two slots come through four daemons. Each daemon gets a slot in
-// turn; none is shut out for good.
+// Guards against starvation when slots are scarce. Four daemons with callers share two slots, and
+// each gets a slot in turn.
 #[test]
-fn few_slots_go_round() {
-    let mut fleet = started(4, 1_000_000, 2);
+fn scarce_slots_rotate_among_nodes() {
+    let mut fleet = started_fleet(4, 1_000_000, 2);
     let mut admitted = [0; 4];
     let mut running = [false; 4];
     for step in 0..6000_u32 {
@@ -213,11 +218,12 @@
     assert!(admitted.iter().all(|count| *count > 50), "{admitted:?}");
 }
 
-// The contract is used up. A refused caller who comes back when told finds a token there.
+// Guards against a retry time that is too early. A caller that returns after `retry_after` gets a
+// token.
 #[test]
-fn retry_after_is_when_the_token_returns() {
-    let mut fleet = started(1, 2_000, CONCURRENCY);
-    offer(&mut fleet, &[0], 10, seconds(20));
+fn token_is_available_after_retry_after() {
+    let mut fleet = started_fleet(1, 2_000, CONCURRENCY);
+    send_requests(&mut fleet, &[0], 10, seconds(20));
     let now = fleet.clock(0);
     let share = &mut fleet.nodes[0].share;
     let hint = loop {
@@ -231,33 +237,32 @@
     assert_eq!(admission, Admission::Admitted, "after {hint:?}");
 }
 
-// A daemon joins a running fleet. Until everybody knows of it, it keeps nothing, and the share it
-// will keep is not used by anybody else twice.
+// Guards against a joining keeper that leases units that others still use. It keeps nothing until
+// all members have adopted the roster that lists it.
 #[test]
-fn a_joining_keeper_waits_for_everybody() {
-    let mut fleet = started(4, RATE_MILLIS, CONCURRENCY);
-    fleet.join(4, 1, 0, TRUE_SPEED);
+fn joining_keeper_waits_until_all_adopt_the_roster() {
+    let mut fleet = started_fleet(4, RATE_MILLIS, CONCURRENCY);
+    fleet.join(4, 1, 0, NORMAL_SPEED);
     fleet.adopt(4);
     assert!(!fleet.nodes[4].share.is_active(fleet.clock(4)));
     fleet.settle();
     assert!(fleet.nodes[4].share.is_active(fleet.clock(4)));
 }
 
-// A holder skips the roster in which a failure domain was gone, and its domains before and after
-// are the same. Its lease from a keeper who had the units of that domain meanwhile must not stay
-// in force beside the leases of the domain's new keeper.
+// Guards against a holder that skips the roster in which a failure domain was missing. Its lease
+// from the interim keeper must not stay in force beside leases of the domain's new keeper.
 #[test]
-fn a_skipped_roster_leaves_no_lease_behind() {
-    let mut fleet = started(3, RATE_MILLIS, CONCURRENCY);
+fn skipped_roster_leaves_no_stale_lease() {
+    let mut fleet = started_fleet(3, RATE_MILLIS, CONCURRENCY);
     fleet.stop(2);
     fleet.adopt(1);
     let long = fleet.settings.long_lease + seconds(10);
-    offer(&mut fleet, &[0], 120, long);
-    fleet.cuts = [(0, 1), (1, 0)].into();
-    fleet.join(3, 1, 2, TRUE_SPEED);
+    send_requests(&mut fleet, &[0], 120, long);
+    fleet.partitioned_links = [(0, 1), (1, 0)].into();
+    fleet.join(3, 1, 2, NORMAL_SPEED);
     fleet.settle();
     for _ in 0..20 {
-        offer(&mut fleet, &[0, 3], 120, seconds(1));
+        send_requests(&mut fleet, &[0, 3], 120, seconds(1));
         let (rate, _) = fleet.in_force();
         assert!(rate <= u64::from(RATE_MILLIS), "rate {rate}");
     }
--- a/crates/limits/tests/share_never_above.rs
+++ b/crates/limits/tests/share_never_above.rs
@@ -1,4 +1,4 @@
-//! The shares of a contract never add up to more than the contract.
+//! Property test: the shares of a contract never add up to more than the contract.
 
 mod fleet;
 
@@ -16,7 +16,8 @@
 const DOMAINS: usize = 3;
 const RUN: Duration = Duration::from_secs(90);
 
-/// Short times, so that many leases lapse and many rosters change within one run.
+/// Returns settings with short times, so that many leases expire and many rosters change in one
+/// run.
 fn settings() -> ShareSettings {
     ShareSettings {
         lease: Duration::from_secs(3),
@@ -28,11 +29,11 @@
     }
 }
 
-/// A seeded run of faults and requests.
+/// Seeded run of faults and requests.
 struct FaultSchedule {
     rng: SmallRng,
     fleet: ShareFleet,
-    /// Since when each node cannot read the log.
+    /// Time since which each node has not read the log; `None` while it reads.
     silent_since: Vec<Option<Duration>>,
     running: Vec<(Duration, usize)>,
     lives: Vec<u64>,
@@ -67,63 +68,67 @@
         self.silent_since.push(None);
     }
 
-    fn any_node(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         self.rng.random_range(0..self.fleet.nodes.len())
     }
 
-    fn named_count(&self) -> usize {
-        self.fleet.nodes.iter().filter(|node| node.named).count()
+    fn listed_count(&self) -> usize {
+        self.fleet
+            .nodes
+            .iter()
+            .filter(|node| node.is_listed)
+            .count()
     }
 
-    fn fault(&mut self) {
-        let number = self.any_node();
+    fn inject_fault(&mut self) {
+        let number = self.random_node();
         match self.rng.random_range(0..14) {
-            0 => self.cut_some(),
-            1 => self.fleet.cuts.clear(),
-            2 if self.fleet.nodes[number].named => self.fleet.nodes[number].paused = true,
-            3 => self.thaw(),
-            4 if self.named_count() < 8 => self.join_new(),
-            5 if self.named_count() > 1 && self.fleet.nodes[number].named => {
+            0 => self.partition_randomly(),
+            1 => self.fleet.partitioned_links.clear(),
+            2 if self.fleet.nodes[number].is_listed => self.fleet.nodes[number].paused = true,
+            3 => self.resume_paused(),
+            4 if self.listed_count() < 8 => self.join_new(),
+            5 if self.listed_count() > 1 && self.fleet.nodes[number].is_listed => {
                 self.fleet.stop(number);
             }
             6 => self.restart(number),
             7 => self.fleet.nodes[number].reads_log = false,
-            8 => self.read_log_again(),
+            8 => self.resume_log_reading(),
             9 => self.fleet.settle_reachable(),
             10 => self.fleet.delay = Duration::from_millis(self.rng.random_range(2..450)),
             11 => self.fleet.delay = Duration::from_millis(2),
-            _ => self.forget_silent(),
+            _ => self.remove_silent(),
         }
     }
 
-    /// One-way or both ways, between two parts of the fleet.
-    fn cut_some(&mut self) {
+    /// Partitions the fleet into two parts, in one direction or both.
+    fn partition_randomly(&mut self) {
         let both = self.rng.random_bool(0.5);
         let count = self.fleet.nodes.len();
         let sides: Vec<bool> = (0..count).map(|_| self.rng.random_bool(0.5)).collect();
         for from in 0..count {
             for to in 0..count {
                 if sides[from] != sides[to] && (both || sides[from]) {
-                    self.fleet.cuts.insert((from, to));
+                    self.fleet.partitioned_links.insert((from, to));
                 }
             }
         }
     }
 
-    fn thaw(&mut self) {
-        for node in self.fleet.nodes.iter_mut().filter(|node| node.named) {
+    fn resume_paused(&mut self) {
+        for node in self.fleet.nodes.iter_mut().filter(|node| node.is_listed) {
             node.paused = false;
         }
     }
 
-    fn read_log_again(&mut self) {
-        for node in self.fleet.nodes.iter_mut().filter(|node| node.named) {
+    fn resume_log_reading(&mut self) {
+        for node in self.fleet.nodes.iter_mut().filter(|node| node.is_listed) {
             node.reads_log = true;
         }
     }
 
     fn restart(&mut self, number: usize) {
-        if !self.fleet.nodes[number].named {
+        if !self.fleet.nodes[number].is_listed {
             return;
         }
         let name = self.fleet.nodes[number].member.instance.node;
@@ -135,20 +140,20 @@
         self.join(instance);
     }
 
-    /// Takes nodes off the roster that could not make sure of their place for long enough. They
-    /// go on running.
-    fn forget_silent(&mut self) {
+    /// Removes nodes from the roster that could not confirm their entry for long enough. They
+    /// continue to run.
+    fn remove_silent(&mut self) {
         let hold = self.fleet.settings.removal_wait();
         for number in 0..self.fleet.nodes.len() {
             let since = self.silent_since[number];
             let long = since.is_some_and(|since| self.fleet.now >= since + hold);
-            if long && self.fleet.nodes[number].named && self.named_count() > 1 {
-                self.fleet.forget(number);
+            if long && self.fleet.nodes[number].is_listed && self.listed_count() > 1 {
+                self.fleet.remove_from_roster(number);
             }
         }
     }
 
-    fn note_silence(&mut self) {
+    fn record_silence(&mut self) {
         for (number, since) in self.silent_since.iter_mut().enumerate() {
             let node = &self.fleet.nodes[number];
             if node.reads_log && !node.paused {
@@ -159,27 +164,27 @@
         }
     }
 
-    /// Nodes that read the log adopt the newest roster, each when it gets to it.
-    fn read_rosters(&mut self) {
+    /// Lets nodes that read the log adopt the newest roster, each at a random time.
+    fn adopt_rosters(&mut self) {
         for number in 0..self.fleet.nodes.len() {
             let node = &self.fleet.nodes[number];
-            let reads = node.named && node.reads_log && !node.paused;
+            let reads = node.is_listed && node.reads_log && !node.paused;
             if reads && self.rng.random_bool(0.02) {
                 self.fleet.adopt(number);
             }
         }
     }
 
-    fn requests(&mut self) {
+    fn send_and_finish_requests(&mut self) {
         let now = self.fleet.now;
         for _ in 0..self.rng.random_range(0..18) {
-            // Most of the demand at a few nodes, which change with time.
+            // Most of the demand goes to one node, which changes with time.
             let count = self.fleet.nodes.len();
             let hot = usize::try_from(now.as_secs() / 10).unwrap_or(0) % count;
             let number = if self.rng.random_bool(0.7) {
                 hot
             } else {
-                self.any_node()
+                self.random_node()
             };
             if self.fleet.request(number) {
                 let length = Duration::from_millis(self.rng.random_range(5..200));
@@ -196,32 +201,32 @@
     }
 
     fn run(mut self) -> u64 {
-        let mut most = 0;
+        let mut max_rate = 0;
         while self.fleet.now < RUN {
             if self.rng.random_bool(0.03) {
-                self.fault();
+                self.inject_fault();
             }
-            self.note_silence();
-            self.read_rosters();
-            self.requests();
+            self.record_silence();
+            self.adopt_rosters();
+            self.send_and_finish_requests();
             self.fleet.step();
             let (rate, slots) = self.fleet.in_force();
             let now = self.fleet.now;
             assert!(rate <= u64::from(RATE_MILLIS), "rate {rate} at {now:?}");
             assert!(slots <= CONCURRENCY, "slots {slots} at {now:?}");
-            most = most.max(rate);
+            max_rate = max_rate.max(rate);
         }
-        most
+        max_rate
     }
 }
 
 impl ShareFleet {
-    /// Everybody who can read the log adopts the newest roster.
+    /// Makes every node that reads the log adopt the newest roster.
     fn settle_reachable(&mut self) {
         for _ in 0..2 {
             for number in 0..self.nodes.len() {
                 let node = &self.nodes[number];
-                if node.named && node.reads_log && !node.paused {
+                if node.is_listed && node.reads_log && !node.paused {
                     self.adopt(number);
                 }
             }
@@ -229,11 +234,10 @@
     }
 }
 
-// The caller sees refusals where a share is unused, never more admissions than the contract has.
-// Nodes are cut off one way and both ways, paused past their leases, restarted, lost, taken off
-// the roster while they still run, and see new rosters late and in different order, with clocks
-// that run apart and messages that take long. What all of them could use at one moment is added up
-// after every step.
+// Guards against admitting more than the contract under any combination of faults: partitions in
+// one direction or both, pauses beyond the lease, restarts, losses, removal of running nodes,
+// rosters that arrive late and in different order, clock drift and slow messages. Each step adds up
+// what all nodes could use at that moment. Unused shares may be refused.
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 64,
@@ -243,18 +247,18 @@
     })]
 
     #[test]
-    fn shares_never_add_up_to_more(seed in any::<u64>()) {
+    fn shares_never_exceed_the_contract(seed in any::<u64>()) {
         FaultSchedule::new(seed).run();
     }
 }
 
-/// The schedule above is worth something only if shares come near the contract in it.
+/// Guards against a schedule that proves nothing because shares never come near the contract.
 #[test]
 fn schedule_uses_most_of_the_contract() {
-    let most = (0..8).map(|seed| FaultSchedule::new(seed).run()).max();
+    let max_rate = (0..8).map(|seed| FaultSchedule::new(seed).run()).max();
     assert!(
-        most >= Some(u64::from(RATE_MILLIS) * 8 / 10),
-        "most in force: {most:?}"
+        max_rate >= Some(u64::from(RATE_MILLIS) * 8 / 10),
+        "most in force: {max_rate:?}"
     );
     assert!(STEP < settings().ask_interval);
 }
