--- a/crates/engine/tests/session/fleet_form.rs
+++ b/crates/engine/tests/session/fleet_form.rs
@@ -1,4 +1,5 @@
-//! Sessions under a fleet contract: no keys, so that the executor's word is all there is.
+//! Sessions under a fleet contract. Requests have no keys, so whether a request has run is known
+//! only from its executor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 
 use crate::world::{BackendScript, SessionWorld, name_of, node};
 
-/// Long enough for any session to come to rest.
+/// Time after which every session is idle.
 const REST: Duration = Duration::from_secs(4);
 
 pub fn contract(version: u64, prices: &str) -> FleetContract {
@@ -45,8 +46,8 @@
     }
 }
 
-/// A contract under which the whole fleet may repeat this often in ten seconds.
-pub fn repeating(repeats: u32) -> FleetContract {
+/// Returns a contract under which the whole fleet may make this many repeats in ten seconds.
+pub fn contract_with_repeats(repeats: u32) -> FleetContract {
     FleetContract {
         retry_budget: RetryBudget {
             share: 0.0,
@@ -57,8 +58,8 @@
     }
 }
 
-/// Backend servers of these nodes answer all with an error from now on.
-pub fn fail_at(world: &mut SessionWorld, names: &[&str]) {
+/// Makes the backend servers of these nodes answer every request with an error.
+pub fn fail_backends_of(world: &mut SessionWorld, names: &[&str]) {
     for name in names {
         let script = BackendScript {
             status: 500,
@@ -68,19 +69,19 @@
     }
 }
 
-/// How many lines of what happened hold all of these words.
-fn lines_with(world: &SessionWorld, words: &[&str]) -> usize {
+/// Returns the number of trace lines that contain all of these words.
+fn count_trace_lines(world: &SessionWorld, words: &[&str]) -> usize {
     let trace = world.trace();
     let with = |line: &&str| words.iter().all(|word| line.contains(word));
     trace.lines().filter(with).count()
 }
 
-/// Nodes of which all but `a` have a backend server.
-fn a_node_before(count: u8) -> SessionWorld {
-    a_node_before_with(count, contract(1, "/prices/"))
+/// Starts a fleet in which `a` has no backend server and `count` other nodes have one each.
+fn fleet_with_empty_node(count: u8) -> SessionWorld {
+    fleet_with_empty_node_under(count, contract(1, "/prices/"))
 }
 
-fn a_node_before_with(count: u8, contract: FleetContract) -> SessionWorld {
+fn fleet_with_empty_node_under(count: u8, contract: FleetContract) -> SessionWorld {
     let mut world = SessionWorld::start_fleet(count + 1, contract);
     let gone = NodeEvent::UpstreamWithdrawn {
         slot: 0,
@@ -91,8 +92,8 @@
     world
 }
 
-/// A booking through `a` while these ways are cut for a second.
-fn book_over_cuts(world: &mut SessionWorld, cuts: &[(&str, &str)]) {
+/// Sends a booking through `a` while these directed links are cut for a second.
+fn book_during_cuts(world: &mut SessionWorld, cuts: &[(&str, &str)]) {
     for (from, to) in cuts {
         world.wire.cuts.insert((node(from), node(to)));
     }
@@ -102,31 +103,31 @@
     world.run_for(REST);
 }
 
-// A booking is lost on the way to the node beside the backend server. The way heals, the connection
-// counts as lost, and that node says that it has not begun the booking: it runs elsewhere, once.
+// A booking is lost on the way to the executor. After the link recovers, the connection counts as
+// lost and the executor confirms that the booking did not start. It runs once, at another server.
 #[test]
 fn a_booking_lost_on_the_way_runs_once() {
-    let mut world = a_node_before(2);
-    book_over_cuts(&mut world, &[("a", "b"), ("a", "c")]);
+    let mut world = fleet_with_empty_node(2);
+    book_during_cuts(&mut world, &[("a", "b"), ("a", "c")]);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
     insta::assert_snapshot!(world.trace());
 }
 
-// A booking runs and its reply is lost. The node beside the backend server says that it has begun
-// it: the caller is told that it may have run, and it does not run again.
+// A booking runs and its reply is lost. The executor reports that it started the booking, so the
+// caller is informed that the booking may have run, and it does not run again.
 #[test]
 fn a_booking_whose_reply_is_lost_is_not_run_again() {
-    let mut world = a_node_before(1);
-    book_over_cuts(&mut world, &[("b", "a")]);
+    let mut world = fleet_with_empty_node(1);
+    book_during_cuts(&mut world, &[("b", "a")]);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
     insta::assert_snapshot!(world.trace());
 }
 
-// The node beside the backend server cannot be asked either. The caller is told soon that its
-// booking may have run.
+// The executor cannot be asked whether it started the booking. The caller is informed promptly that
+// the booking may have run.
 #[test]
 fn a_booking_that_nobody_can_tell_of_may_have_run() {
-    let mut world = a_node_before(1);
+    let mut world = fleet_with_empty_node(1);
     world.wire.cuts.insert((node("a"), node("b")));
     world.call("a", 1, "POST", "/bookings", None);
     world.run_for(REST);
@@ -134,8 +135,8 @@
     insta::assert_snapshot!(world.trace());
 }
 
-// One node alone hears of a newer contract, as when the source turns the others away. They take it
-// from that node, and none goes back to an older one that comes late.
+// Only one node receives a newer contract from the source, as when the source refuses the others.
+// The others pull it from that node, and none returns to an older contract that arrives late.
 #[test]
 fn a_newer_contract_reaches_every_node_and_none_goes_back() {
     let mut world = SessionWorld::start_fleet(4, contract(3, "/prices/"));
@@ -151,10 +152,10 @@
     assert_eq!(world.engines()[&node("c")].fleet_version(), 7);
 }
 
-// The node that published a newer contract cannot be reached by one of the others, which hears of it
-// from the rest. That node asks the rest for it as well.
+// One node cannot reach the publisher of a newer contract and learns of the version from the other
+// nodes. The node pulls the contract from them.
 #[test]
-fn a_contract_whose_publisher_is_out_of_reach_comes_from_others() {
+fn contract_of_unreachable_publisher_is_pulled_from_others() {
     let mut world = SessionWorld::start_fleet(4, contract(3, "/prices/"));
     world.wire.cuts.insert((node("b"), node("d")));
     world.wire.cuts.insert((node("d"), node("b")));
@@ -164,15 +165,15 @@
     assert_eq!(world.engines()[&node("d")].fleet_version(), 7);
 }
 
-// All backend servers fail, and the fleet of twelve may repeat six times: half a repeat for each
-// node. Some nodes repeat once and the others not at all, rather than none of them ever.
+// All backend servers fail, and the fleet of twelve may make six repeats, half a repeat per node.
+// Guards against a division of the bound in which no node ever has a whole repeat left.
 #[test]
-fn a_fleet_repeats_what_its_nodes_have_in_parts_of_one() {
+fn fractional_repeat_budgets_add_up_to_the_bound() {
     let nodes: Vec<String> = (0..12).map(name_of).collect();
     let names: Vec<&str> = nodes.iter().map(String::as_str).collect();
-    let mut world = SessionWorld::start_fleet(12, repeating(6));
+    let mut world = SessionWorld::start_fleet(12, contract_with_repeats(6));
     world.run_for(REST);
-    fail_at(&mut world, &names);
+    fail_backends_of(&mut world, &names);
     for (name, number) in names.iter().zip(1..) {
         world.call(name, number, "GET", "/prices/a", None);
         world.run_for(Duration::from_millis(100));
@@ -182,21 +183,21 @@
     assert!((3..=9).contains(&repeats), "{repeats} repeats");
 }
 
-// A node is told to leave. Its callers stay: once it refuses them, they come back to it every tenth
-// of a second. It ends all the same, since it owes them nothing.
+// A node drains while its callers, once refused, retry every tenth of a second. Guards against
+// refused callers that keep the node from finishing the drain.
 #[test]
-fn callers_that_are_refused_do_not_keep_a_leaving_node() {
-    let mut world = a_node_before(2);
+fn refused_callers_do_not_delay_a_drain() {
+    let mut world = fleet_with_empty_node(2);
     world.tell("a", NodeEvent::DrainRequested);
     for number in 1..=70 {
         world.call("a", number, "GET", "/prices/a", None);
         world.run_for(Duration::from_millis(100));
     }
-    assert_eq!(lines_with(&world, &["a -> drained"]), 1);
+    assert_eq!(count_trace_lines(&world, &["a -> drained"]), 1);
 }
 
-/// A fleet whose backend server beside `a` hangs after 120 such calls were answered.
-fn a_server_that_hangs(method: &str, target: &str) -> SessionWorld {
+/// Starts a fleet whose backend server at `a` hangs after answering 120 such calls.
+fn fleet_with_hanging_server(method: &str, target: &str) -> SessionWorld {
     let mut world = SessionWorld::start_fleet(4, contract(1, "/prices/"));
     for number in 1..=120 {
         world.call("a", number, method, target, None);
@@ -210,18 +211,18 @@
     world
 }
 
-// The backend server beside the caller stops answering; nothing of what it is sent ends. Callers of prices get
-// their answers from others well before their deadline, because the node beside it tells by the age of
-// its runs and the callers' nodes send elsewhere what waits there.
+// The local backend server of the callers' node stops answering. Guards against price requests that
+// wait there until their deadline: the executor detects the fault by the age of its runs, and the
+// callers' nodes send the waiting requests elsewhere.
 #[test]
-fn prices_at_a_server_that_hangs_are_answered_by_others() {
-    let mut world = a_server_that_hangs("GET", "/prices/a");
+fn prices_at_a_hanging_server_are_answered_elsewhere() {
+    let mut world = fleet_with_hanging_server("GET", "/prices/a");
     for number in 121..=180 {
         world.call("a", number, "GET", "/prices/a", None);
         world.run_for(Duration::from_millis(30));
     }
     world.run_for(Duration::from_secs(7));
-    let late = lines_with(&world, &["deadline-exceeded"]);
+    let late = count_trace_lines(&world, &["deadline-exceeded"]);
     assert_eq!(late, 0, "{late} prices were not answered");
     assert!(
         world.runs.values().any(|runs| *runs > 1),
@@ -229,42 +230,43 @@
     );
 }
 
-// The same server hangs while it is sent bookings, which must not run twice. Those that reach it before
-// it is found out are lost; afterwards they go to the others, and none runs a second time.
+// The same server hangs while it receives bookings, which must not run twice. Bookings that reach
+// it before the detection are lost; later ones go to other servers, and none runs a second time.
 #[test]
-fn bookings_stay_away_from_a_server_that_hangs() {
-    let mut world = a_server_that_hangs("POST", "/bookings");
+fn bookings_avoid_a_hanging_server() {
+    let mut world = fleet_with_hanging_server("POST", "/bookings");
     for number in 121..=160 {
         world.call("a", number, "POST", "/bookings", None);
         world.run_for(Duration::from_millis(250));
     }
     world.run_for(Duration::from_secs(7));
-    let lost = lines_with(&world, &["deadline-exceeded"]);
+    let lost = count_trace_lines(&world, &["deadline-exceeded"]);
     assert!(lost <= 4, "{lost} bookings of 40 were lost");
     assert!(world.runs.values().all(|runs| *runs <= 1));
 }
 
-// The same server goes on hanging. Every other second a price is sent there to find out whether it
-// is whole again. Nothing turns any more, so that no news is told; yet its caller is answered by
-// another server, because the node beside it tells that the run has become late.
+// The same server keeps hanging and receives a price request as a trial every other second. Its
+// state does not change, so nothing is announced, but the executor reports the late run and the
+// caller is answered by another server.
 #[test]
-fn prices_that_try_a_server_known_to_hang_are_answered_by_others() {
-    let mut world = a_server_that_hangs("GET", "/prices/a");
+fn trial_prices_at_a_hanging_server_are_answered_elsewhere() {
+    let mut world = fleet_with_hanging_server("GET", "/prices/a");
     for number in 121..=320 {
         world.call("a", number, "GET", "/prices/a", None);
         world.run_for(Duration::from_millis(100));
     }
     world.run_for(Duration::from_secs(7));
-    let late = lines_with(&world, &["deadline-exceeded"]);
+    let late = count_trace_lines(&world, &["deadline-exceeded"]);
     assert_eq!(late, 0, "{late} prices were not answered");
     let repeated = world.runs.values().filter(|runs| **runs > 1).count();
     assert!(repeated >= 5, "{repeated} were tried there");
 }
 
-/// A contract with a second service, `files`, under which each may be repeated this often in ten seconds.
-fn with_files(repeats: u32) -> FleetContract {
+/// Returns a contract with a second service, `files`, that allows each service this many repeats in
+/// ten seconds.
+fn contract_with_files(repeats: u32) -> FleetContract {
     let files = ServiceName::new("files");
-    let mut contract = repeating(repeats);
+    let mut contract = contract_with_repeats(repeats);
     let mut route = contract.routes[1].clone();
     route.name = Arc::from("files");
     route.prefix = Arc::from("/files/");
@@ -274,8 +276,8 @@
     contract
 }
 
-/// The backend server beside a node is one of `files` from now on.
-fn serve_files(world: &mut SessionWorld, name: &str) {
+/// Replaces the local backend server of a node by one of the service `files`.
+fn replace_by_files_server(world: &mut SessionWorld, name: &str) {
     let gone = NodeEvent::UpstreamWithdrawn {
         slot: 0,
         life: None,
@@ -292,12 +294,13 @@
     world.tell(name, NodeEvent::UpstreamAnnounced(announced));
 }
 
-/// How often a look into the files runs when they fail, after a price that ran at `b` made eight calls to
-/// them. The price is a repeat if the server beside `a`, which it is asked of, fails it first.
-fn runs_after_calls(price_is_repeated: bool) -> u32 {
-    let mut world = SessionWorld::start_fleet(4, with_files(12));
-    serve_files(&mut world, "c");
-    serve_files(&mut world, "d");
+/// Returns how often a request to `files` runs when it fails, after a price request that ran at `b`
+/// made eight calls to `files`. The price request is sent to `a` and is a repeat at `b` if the
+/// server at `a` fails it first.
+fn count_runs_after_calls(price_is_repeated: bool) -> u32 {
+    let mut world = SessionWorld::start_fleet(4, contract_with_files(12));
+    replace_by_files_server(&mut world, "c");
+    replace_by_files_server(&mut world, "d");
     world.run_for(REST);
     let slow = BackendScript {
         time: Duration::from_secs(4),
@@ -305,46 +308,46 @@
     };
     world.scripts.insert(node("b"), slow);
     let first = if price_is_repeated { "a" } else { "b" };
-    fail_at(&mut world, &["a"]);
+    fail_backends_of(&mut world, &["a"]);
     world.call(first, 1, "GET", "/prices/a", None);
     world.run_for(Duration::from_millis(300));
     for number in 2..=25 {
         world.call("b", number, "GET", "/files/a", None);
         world.run_for(Duration::from_millis(100));
     }
-    fail_at(&mut world, &["c", "d"]);
+    fail_backends_of(&mut world, &["c", "d"]);
     world.call("a", 100, "GET", "/files/a", None);
     world.run_for(Duration::from_secs(2));
     world.runs.get(&RequestId(100)).copied().unwrap_or_default()
 }
 
-// A price fails, is repeated elsewhere, and its second run calls another service. Those calls count as
-// repeats of that service, whose bound they use up: what fails there afterwards is not repeated. The calls of
-// a first run cost it nothing.
+// A price request fails, is repeated elsewhere, and the second run calls another service. Those
+// calls count as repeats at the called service and use up its bound, so later failures there are
+// not repeated. Calls of a first run do not count.
 #[test]
 fn calls_of_a_repeated_run_take_from_the_bound_of_what_they_call() {
-    assert_eq!(runs_after_calls(true), 1);
-    assert_eq!(runs_after_calls(false), 2);
+    assert_eq!(count_runs_after_calls(true), 1);
+    assert_eq!(count_runs_after_calls(false), 2);
 }
 
-/// The failure domain of a node's name among three.
-fn domain_among_three(name: &str) -> u8 {
+/// Returns the failure domain, out of three, of the node with this name.
+fn domain_of_three(name: &str) -> u8 {
     (name.as_bytes()[0] - b'a') % 3
 }
 
-/// Followers in each of three failure domains.
+/// Returns the number of followers in each of three failure domains.
 fn followers_by_domain(world: &SessionWorld) -> [usize; 3] {
     let mut counts = [0; 3];
     for number in 0..24 {
         let name = name_of(number);
         let follows = world.followers.contains(&node(&name));
-        counts[usize::from(domain_among_three(&name))] += usize::from(follows);
+        counts[usize::from(domain_of_three(&name))] += usize::from(follows);
     }
     counts
 }
 
-/// The nodes that follow the source hear of a contract there, all at the same moment.
-fn tell_followers(world: &mut SessionWorld, version: u64) {
+/// Delivers a contract from the source to all its followers at the same time.
+fn deliver_to_followers(world: &mut SessionWorld, version: u64) {
     let newer = Arc::new(contract(version, "/rates/"));
     let followers = world.followers.clone();
     for name in (0..48).map(name_of) {
@@ -354,9 +357,9 @@
     }
 }
 
-// Twenty-four nodes wait for contracts at a service of which each call has a price. Three of each
-// failure domain follow it. All three of one domain end, and others take their place; a contract
-// that only the followers hear of is in force everywhere.
+// Twenty-four nodes read contracts from a service that bills each call. Three nodes of each failure
+// domain follow it. After all three followers of one domain end, other nodes replace them, and a
+// contract that only the followers receive is in force everywhere.
 #[test]
 fn a_few_nodes_of_each_failure_domain_follow_the_source() {
     let mut world = SessionWorld::start_fleet_in(3, 24, contract(3, "/prices/"));
@@ -364,28 +367,28 @@
     assert_eq!(followers_by_domain(&world), [3, 3, 3]);
     let ended: Vec<String> = (0..24)
         .map(name_of)
-        .filter(|name| domain_among_three(name) == 0 && world.followers.contains(&node(name)))
+        .filter(|name| domain_of_three(name) == 0 && world.followers.contains(&node(name)))
         .collect();
     for name in &ended {
         world.kill(name);
     }
     world.run_for(Duration::from_secs(20));
     assert_eq!(followers_by_domain(&world), [3, 3, 3]);
-    tell_followers(&mut world, 7);
+    deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_secs(2));
     let engines = world.engines();
     assert!(engines.values().all(|engine| engine.fleet_version() == 7));
 }
 
-// Forty-eight nodes in three failure domains; nine follow the source and hear of a contract at the same time. The
-// others take it from them. Asked by all, the one that told of it first would send a contract of many KB
-// to thirty-nine over one slow link; they divide themselves over the followers.
+// Forty-eight nodes in three failure domains, of which nine follow the source and receive a
+// contract at the same time. Guards against the first announcer sending a contract of many KB to
+// the other thirty-nine over one slow link: the pulls must be spread over the followers.
 #[test]
-fn no_node_is_asked_for_a_contract_by_all() {
+fn contract_pulls_are_spread_over_the_followers() {
     let mut world = SessionWorld::start_fleet_in(3, 48, contract(3, "/prices/"));
     world.run_for(REST);
     world.pulls.clear();
-    tell_followers(&mut world, 7);
+    deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_millis(500));
     let engines = world.engines();
     assert!(engines.values().all(|engine| engine.fleet_version() == 7));
@@ -393,22 +396,24 @@
     assert!(most <= 12, "one node was asked {most} times");
 }
 
-// A large part of the fleet restarts, and gossip is late by seconds; here none arrives. The nodes that follow the
-// source tell their failure domain of a contract, and it is in force everywhere within a second.
+// Guards against contracts that depend on gossip, which is seconds late while a large part of the
+// fleet restarts; here all gossip is lost. The followers announce a contract in their failure
+// domain, and it is in force everywhere within a second.
 #[test]
 fn a_contract_does_not_wait_for_gossip() {
     let mut world = SessionWorld::start_fleet_in(3, 24, contract(3, "/prices/"));
     world.run_for(REST);
     world.wire.gossip_lost = true;
-    tell_followers(&mut world, 7);
+    deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_secs(1));
     let engines = world.engines();
     assert!(engines.values().all(|engine| engine.fleet_version() == 7));
 }
 
-// The nodes hear of a version that nobody gives them. After a second they look at the source themselves.
+// The nodes learn of a version that no peer can send. After a second they follow the source
+// themselves.
 #[test]
-fn a_version_that_no_peer_gives_is_looked_for_at_the_source() {
+fn version_missing_at_all_peers_is_read_from_the_source() {
     let mut world = SessionWorld::start_fleet_in(1, 14, contract(3, "/prices/"));
     world.run_for(REST);
     let before = world.followers.len();
@@ -432,8 +437,8 @@
     );
 }
 
-// A node is told nothing, because nobody has heard of it for long enough; here what followers tell and all gossip
-// is lost. It asks one of them every second, and goes on with the new contract.
+// A node receives neither announcements of its followers nor gossip, as before other nodes know it.
+// The node checks for a newer contract every second and receives it.
 #[test]
 fn a_node_that_is_told_nothing_asks_for_a_newer_contract() {
     let mut world = SessionWorld::start_fleet_in(1, 14, contract(3, "/prices/"));
@@ -446,7 +451,7 @@
     for id in world.followers.clone() {
         world.wire.cuts.insert((id, node(&out_of_reach)));
     }
-    tell_followers(&mut world, 7);
+    deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_millis(50));
     world.wire.cuts.clear();
     world.run_for(Duration::from_millis(1500));
@@ -454,10 +459,10 @@
     assert_eq!(version, 7);
 }
 
-// The same where the followers of the node's failure domain are the ones that were lost, and nobody has noticed: it
-// learns of the contract from the nodes of another domain.
+// The same while the followers of the node's failure domain are dead and not yet detected as such.
+// The node receives the contract from nodes of another domain.
 #[test]
-fn a_node_whose_followers_are_lost_asks_others() {
+fn node_with_dead_followers_pulls_from_other_domains() {
     let mut world = SessionWorld::start_fleet_in(3, 48, contract(3, "/prices/"));
     world.run_for(REST);
     world.wire.gossip_lost = true;
@@ -465,7 +470,7 @@
     let followers = world.followers.clone();
     let followers = followers.into_iter().filter_map(name_of_node);
     let (lost, left): (Vec<String>, Vec<String>) =
-        followers.partition(|name| domain_among_three(name) == 0);
+        followers.partition(|name| domain_of_three(name) == 0);
     for name in &lost {
         world.kill(name);
     }
@@ -479,9 +484,10 @@
     assert_eq!(behind.count(), 0);
 }
 
-// Guards against calls of every node of a fleet that starts before its contract is published.
+// Guards against every node of a starting fleet calling the source before its contract is
+// published.
 #[test]
-fn few_nodes_of_a_fleet_that_starts_look_for_a_contract_that_is_not_there() {
+fn few_nodes_of_a_starting_fleet_poll_for_a_missing_contract() {
     let mut world = SessionWorld::start_fleet_first(3, 48);
     let mut most = 0;
     for _ in 0..100 {
@@ -489,7 +495,7 @@
         most = most.max(world.followers.len());
     }
     assert!((1..=15).contains(&most), "{most} of 48 followed the source");
-    tell_followers(&mut world, 7);
+    deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_secs(1));
     let engines = world.engines();
     assert!(engines.values().all(|engine| engine.fleet_version() == 7));
--- a/crates/engine/tests/session/joining.rs
+++ b/crates/engine/tests/session/joining.rs
@@ -1,19 +1,20 @@
-//! Nodes that start together, each of which knows only itself.
+//! Membership transfer to nodes that start together and each know only themselves.
 
 use sycamorelink_core::ServiceName;
 
 use crate::fleet_form::contract;
 use crate::world::SessionWorld;
 
-/// Nodes that start at once.
+/// Number of nodes that start at the same time.
 const NODES: u8 = 60;
-/// Bytes that each may gossip a second: to tell all of all, as much as a thousand nodes need with the default.
+/// Gossip budget of each node in bytes per second. Relative to the size of the fleet this equals
+/// the default budget in a fleet of a thousand nodes.
 const GOSSIP_BYTES: u32 = 1_000;
 
-// Guards against work for a few servers beside many that nobody has heard of: gossip alone takes minutes
-// until all nodes of a large fleet that starts know all others.
+// Guards against work being sent to the few servers that are known while others are idle: gossip
+// alone takes minutes to inform all nodes of a large fleet of each other.
 #[test]
-fn nodes_that_start_together_soon_know_all_servers() {
+fn nodes_that_start_together_learn_all_servers() {
     let world = SessionWorld::start_fleet_with_gossip(NODES, contract(1, "/prices/"), GOSSIP_BYTES);
     let orders = ServiceName::new("orders");
     for (id, engine) in world.engines() {
--- a/crates/engine/tests/session/leaving.rs
+++ b/crates/engine/tests/session/leaving.rs
@@ -1,5 +1,5 @@
-//! A daemon ends after it acknowledged that the backend server beside it leaves. Its next life hears a
-//! late announcement from before first.
+//! Restarts of a daemon that acknowledged that its local backend server leaves. The first
+//! announcement that the new incarnation receives may be a delayed one from before.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::fleet_form::contract;
 use crate::world::{SessionWorld, name_of, node};
 
-/// Nodes of the fleet.
+/// Number of nodes in the fleet.
 const NODES: u8 = 12;
-/// How long a daemon takes to be started again.
+/// Time that a daemon takes to restart.
 const RESTART: Duration = Duration::from_millis(300);
-/// By when a server that does not leave has to be taken: a fraction of the pause between heartbeats.
-const TAKEN: Duration = Duration::from_millis(700);
+/// Limit for accepting a server that is not leaving: a fraction of the interval between heartbeats.
+const ACCEPT_LIMIT: Duration = Duration::from_millis(700);
 
 fn announced(life: &str, born: u64, order: u64, phase: UpstreamPhase) -> UpstreamAnnouncement {
     let id = LifeId {
@@ -38,15 +38,16 @@
     world.tell("a", NodeEvent::UpstreamAnnounced(announced));
 }
 
-/// The phase in which the server beside `a` is known there; none when it is not taken.
+/// Returns the phase of the local server of `a`, or `None` if the node has not accepted it.
 fn phase_of(world: &SessionWorld) -> Option<UpstreamPhase> {
     let engine = &world.engines()[&node("a")];
     let upstreams = engine.local_upstreams().into_iter();
     upstreams.map(|(_, announced, _)| announced.phase).next()
 }
 
-/// A fleet in which `a` has acknowledged that the server `s` beside it, born at 1000, leaves.
-fn a_leaving_fleet() -> SessionWorld {
+/// Starts a fleet in which `a` has acknowledged that its local server `s`, started at 1000 ms,
+/// leaves.
+fn fleet_with_leaving_server() -> SessionWorld {
     let mut world = SessionWorld::start_fleet(NODES, contract(1, "/prices/"));
     announce(&mut world, ("s", 1_000), 5, UpstreamPhase::Ready);
     announce(&mut world, ("s", 1_000), 6, UpstreamPhase::Leaving);
@@ -60,11 +61,12 @@
     world.start_node(0, 2);
 }
 
-// Guards against work for a server whose leaving the former life of the daemon had acknowledged.
+// Guards against work for a server whose leaving the previous incarnation of the daemon
+// acknowledged.
 #[test]
 fn the_next_life_takes_no_late_announcement_of_a_server_that_leaves() {
     for wait in [0, 30, 400, 1_000] {
-        let mut world = a_leaving_fleet();
+        let mut world = fleet_with_leaving_server();
         restart(&mut world);
         world.run_for(Duration::from_millis(wait));
         announce(&mut world, ("s", 1_000), 5, UpstreamPhase::Ready);
@@ -77,11 +79,11 @@
     }
 }
 
-// Guards against the same where two of the three keepers end at the same time.
+// Guards against the same failure while two of the three replicas end at the same time.
 #[test]
 fn one_keeper_is_enough() {
     for first in 1..NODES {
-        let mut world = a_leaving_fleet();
+        let mut world = fleet_with_leaving_server();
         for number in [first, first % (NODES - 1) + 1] {
             world.kill(&name_of(number));
         }
@@ -92,10 +94,10 @@
     }
 }
 
-// Guards against a server that withdrew while its late announcement waited.
+// Guards against accepting a server that withdrew while its delayed announcement was held.
 #[test]
-fn a_server_that_withdraws_in_the_wait_is_not_taken() {
-    let mut world = a_leaving_fleet();
+fn server_that_withdraws_while_held_is_not_accepted() {
+    let mut world = fleet_with_leaving_server();
     restart(&mut world);
     announce(&mut world, ("t", 9_000), 5, UpstreamPhase::Ready);
     let life = Some(LifeId {
@@ -107,33 +109,33 @@
     assert_ne!(phase_of(&world), Some(UpstreamPhase::Ready));
 }
 
-// Guards against idle capacity: a server that started again under its name does not leave.
+// Guards against idle capacity: a server that restarted under its name is not leaving.
 #[test]
-fn a_server_that_started_again_under_its_name_is_taken() {
-    let mut world = a_leaving_fleet();
+fn server_restarted_under_its_name_is_accepted() {
+    let mut world = fleet_with_leaving_server();
     restart(&mut world);
     announce(&mut world, ("s", 2_000), 1, UpstreamPhase::Ready);
-    world.run_for(TAKEN);
+    world.run_for(ACCEPT_LIMIT);
     assert_eq!(phase_of(&world), Some(UpstreamPhase::Ready));
 }
 
-// Guards against a wait without end: nobody can answer a daemon that is cut off or alone.
+// Guards against waiting forever for replies: no node can answer a daemon that is cut off or alone.
 #[test]
-fn a_daemon_that_reaches_nobody_takes_its_server_soon() {
-    let mut world = a_leaving_fleet();
+fn isolated_daemon_accepts_its_server_after_the_timeout() {
+    let mut world = fleet_with_leaving_server();
     for number in 1..NODES {
         world.wire.cuts.insert((node("a"), node(&name_of(number))));
     }
     restart(&mut world);
     announce(&mut world, ("t", 2_000), 1, UpstreamPhase::Ready);
-    world.run_for(TAKEN);
+    world.run_for(ACCEPT_LIMIT);
     assert_eq!(phase_of(&world), Some(UpstreamPhase::Ready));
 }
 
-// Guards against a wait for answers that lose their meaning: all nodes lose power at once.
+// Guards against waiting for replies that no node can give: all nodes restart at the same time.
 #[test]
-fn a_fleet_that_starts_anew_takes_its_servers_soon() {
-    let mut world = a_leaving_fleet();
+fn fully_restarted_fleet_accepts_its_servers_after_the_timeout() {
+    let mut world = fleet_with_leaving_server();
     for number in 0..NODES {
         world.kill(&name_of(number));
     }
@@ -142,6 +144,6 @@
         world.start_node(number, 2);
     }
     announce(&mut world, ("t", 2_000), 1, UpstreamPhase::Ready);
-    world.run_for(TAKEN);
+    world.run_for(ACCEPT_LIMIT);
     assert_eq!(phase_of(&world), Some(UpstreamPhase::Ready));
 }
--- a/crates/engine/tests/session/repeat_bound.rs
+++ b/crates/engine/tests/session/repeat_bound.rs
@@ -8,7 +8,7 @@
 use sycamorelink_engine::{LifeId, NodeEvent, UpstreamAnnouncement, UpstreamLife, WorkEnd};
 use sycamorelink_policy::UpstreamPhase;
 
-use crate::fleet_form::{fail_at, repeating};
+use crate::fleet_form::{contract_with_repeats, fail_backends_of};
 use crate::world::{BackendScript, SessionWorld, name_of, node};
 
 /// Number of nodes, each with one backend server.
@@ -22,7 +22,7 @@
 
 /// Starts a fleet whose bound on repeats does not grow with the number of requests.
 fn bounded_fleet() -> SessionWorld {
-    let mut world = SessionWorld::start_fleet(NODES, repeating(MAX_REPEATS));
+    let mut world = SessionWorld::start_fleet(NODES, contract_with_repeats(MAX_REPEATS));
     world.run_for(WINDOW);
     world
 }
@@ -31,7 +31,7 @@
 fn fail_all_backends(world: &mut SessionWorld) {
     let names: Vec<String> = (0..NODES).map(name_of).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    fail_at(world, &names);
+    fail_backends_of(world, &names);
 }
 
 /// Makes every backend server decline its work.
