--- a/crates/engine/src/holding.rs
+++ b/crates/engine/src/breaker.rs
@@ -1,8 +1,8 @@
-//! Holding work off the backend server beside this node, and what is told of each decision on work.
+//! Circuit breaker checks for work offered to a local backend server, and reports on that work.
 //!
 //! ```text
 //! offer ─ breaker ─┬─ admitted, or a trial ─▶ slot gate
-//!                  └─ held ─▶ refused, not run: the caller's node asks elsewhere
+//!                  └─ rejected ─▶ refused as not run: the caller's node retries elsewhere
 //! end of a run ────▶ breaker
 //! ```
 
@@ -19,16 +19,25 @@
 use crate::node::NodeEngine;
 use crate::note::NodeNote;
 
-/// Chance of failing from which work that must not repeat is not run even where all that were asked
-/// are suspect: a caller is better told that it has not run when less than half of it would end well.
-const INSIST_MOST: f64 = 0.75;
+/// Failure chance from which the breaker refuses non-idempotent work even when every other upstream
+/// that was asked is suspect too.
+///
+/// Such work may not be repeated, so a "not run" refusal serves the caller better than a run that
+/// is expected to end well less than half of the time.
+const MAX_FORCED_FAILURE_CHANCE: f64 = 0.75;
 
-/// How long after the failed answer to a call an error of the backend server that made it is explained by
-/// that: a backend server answers at once when a call that it needs fails, from the same instance.
-const EXPLAINED_FOR: Duration = Duration::from_millis(20);
+/// Time after a failed call during which an error from the backend server that made the call is
+/// attributed to that call.
+///
+/// A backend server answers at once when a call that it needs fails, and the call goes through the
+/// node of the same instance.
+const FAILED_CALL_WINDOW: Duration = Duration::from_millis(20);
 
 impl NodeEngine {
-    /// Under customers' contracts the callers' view decides alone, as their tests measure it.
+    /// Returns whether the breaker of the upstream lets the work run.
+    ///
+    /// Under customers' contracts the breaker is not consulted: there, ejection relies on the
+    /// callers' view alone, and the tests of that mode measure exactly this.
     pub(crate) fn passes_breaker(&mut self, now: Duration, work: WorkId) -> bool {
         if !self.has_fleet_form() {
             return true;
@@ -44,7 +53,7 @@
             return true;
         }
         let least_suspect = policy.is_on(PolicyMechanism::LeastSuspect)
-            && upstream.breaker.chance(now) < INSIST_MOST;
+            && upstream.breaker.chance(now) < MAX_FORCED_FAILURE_CHANCE;
         if state.offer.insist && (state.offer.trial_fit || least_suspect) {
             return true;
         }
@@ -53,8 +62,8 @@
         verdict != BreakerVerdict::Held
     }
 
-    /// Tells what was decided on work, with what decided it.
-    pub(crate) fn note_decided(
+    /// Reports the decision on tracked work, with the load and failure odds at that moment.
+    pub(crate) fn note_work_decision(
         &mut self,
         work: WorkId,
         refused: Option<RefusalCode>,
@@ -65,11 +74,11 @@
         };
         let left = state.deadline.saturating_sub(self.now);
         let offer = state.offer.clone();
-        self.note_offer_decided(&offer, refused, left, out);
+        self.note_offer_decision(&offer, refused, left, out);
     }
 
     /// Reports the decision on an offer, including one refused before it is tracked as work.
-    pub(crate) fn note_offer_decided(
+    pub(crate) fn note_offer_decision(
         &mut self,
         offer: &WorkOffer,
         refused: Option<RefusalCode>,
@@ -90,8 +99,13 @@
         }));
     }
 
-    /// Tells how work ended.
-    pub(crate) fn note_done(&self, now: Duration, report: &WorkReport, out: &mut Vec<NodeCommand>) {
+    /// Reports how a run ended and how long it waited and took.
+    pub(crate) fn note_work_end(
+        &self,
+        now: Duration,
+        report: &WorkReport,
+        out: &mut Vec<NodeCommand>,
+    ) {
         let Some(state) = self.works.get(&report.work) else {
             return;
         };
@@ -107,10 +121,12 @@
         }));
     }
 
-    /// Failure: it takes some ten milliseconds to tell a backend server that ended from a lost
-    /// connection, and work that must not repeat is handed to a failing server meanwhile. Either way
-    /// the server is suspect, so the breaker hears at once.
-    pub(crate) fn on_work_broke(
+    /// Records a lost connection in the breaker before the cause is known.
+    ///
+    /// Distinguishing a crashed backend server from a lost connection takes some ten milliseconds,
+    /// in which a failing server would be given more non-idempotent work. The server is suspect in
+    /// either case, so the breaker is updated at once.
+    pub(crate) fn on_work_connection_lost(
         &mut self,
         now: Duration,
         work: WorkId,
@@ -119,17 +135,25 @@
         let Some(state) = self.works.get_mut(&work) else {
             return;
         };
-        state.broke = true;
-        self.tell_breaker(now, work, Some(SampleKind::ConnectionLost), out);
+        state.connection_lost = true;
+        self.record_in_breaker(now, work, Some(SampleKind::ConnectionLost), out);
     }
 
-    /// Whether a run ended with an error because a call of its own failed.
+    /// Attributes an error of a run to a failed call that the run itself made.
     ///
-    /// Failure: a backend server answers an error when a service that it calls failed. Its neighbours do
-    /// the same, and all servers of a sound service are held off for the faults of another. The node beside
-    /// it gave that call its final answer a moment before, so the error is explained.
-    pub(crate) fn explains_error(&mut self, now: Duration, work: WorkId, kind: SampleKind) -> bool {
-        let called = self.call_failed.filter(|at| now < *at + EXPLAINED_FOR);
+    /// A backend server returns an error when a service that it calls failed. Every server of the
+    /// calling service does so at the same time, and without this check the breakers would reject
+    /// work for healthy servers because of another service's fault. This node returned the failed
+    /// answer to that call a moment before, so it can attribute the error.
+    pub(crate) fn attributes_error_to_call(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        kind: SampleKind,
+    ) -> bool {
+        let called = self
+            .last_failed_call
+            .filter(|at| now < *at + FAILED_CALL_WINDOW);
         let started = self.works.get(&work).map(|state| state.started);
         let within = called.zip(started).is_some_and(|(at, since)| at >= since);
         let explained = self.has_fleet_form() && kind == SampleKind::Failed && within;
@@ -138,13 +162,13 @@
             && let Some(upstream) = self.upstreams.get_mut(&state.offer.slot)
         {
             upstream.breaker.ended_unjudged(work.0);
-            self.call_failed = None;
+            self.last_failed_call = None;
         }
         explained
     }
 
-    /// Tells the breaker how work ended; `kind` is none when it ended without a run.
-    pub(crate) fn tell_breaker(
+    /// Records the end of work in the breaker; `kind` is `None` when the work ended without a run.
+    pub(crate) fn record_in_breaker(
         &mut self,
         now: Duration,
         work: WorkId,
@@ -160,7 +184,7 @@
         let Some(upstream) = self.upstreams.get_mut(&slot) else {
             return;
         };
-        // What ran in a life that has ended says nothing about the one that followed.
+        // A run in an earlier life of the server says nothing about the current one.
         let kind = kind.filter(|_| life == upstream.life_id());
         if let Some(kind) = kind {
             upstream.breaker.ended(now, work.0, kind);
@@ -169,7 +193,7 @@
             upstream.breaker.trial_ended();
         }
         if self.has_fleet_form() {
-            self.check_standing(now, slot, kind, out);
+            self.check_health(now, slot, kind, out);
         }
     }
 }
--- a/crates/engine/src/command.rs
+++ b/crates/engine/src/command.rs
@@ -1,4 +1,4 @@
-//! What the node asks for: typed commands, one for each thing that the daemon can do.
+//! Commands that the engine returns: one variant for each thing that the daemon can do.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,166 +17,168 @@
 use crate::message::PeerMessage;
 use crate::note::NodeNote;
 
-/// Everything that a node can ask of the daemon around it.
+/// Actions that the engine requests from the daemon around it.
 #[derive(Clone, Debug)]
 pub enum NodeCommand {
-    /// Give the caller its final answer. Nothing more follows for this request.
+    /// Send the caller a refusal as its final answer. No further command names this request.
     Refuse {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
-        /// The answer.
+        /// Code, run state and retry delay of the refusal.
         refusal: RequestRefusal,
     },
-    /// Read the whole body and report `BodyRead`.
+    /// Read the whole request body and report it with `NodeEvent::BodyRead`.
     ReadBody {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
-        /// Greatest length in bytes; beyond it the answer is `body-too-large`.
+        /// Maximum length in bytes; a longer body is refused as `body-too-large`.
         limit: u64,
     },
-    /// Carry out an attempt.
+    /// Send an attempt to its upstream.
     Dispatch(Box<AttemptOrder>),
-    /// Stop an attempt; its end is not reported.
+    /// Cancel an attempt. The daemon does not report its end.
     CancelAttempt {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
     },
-    /// Hand the caller the whole error reply that this attempt gave.
+    /// Forward the complete error reply of this attempt to the caller.
     Deliver {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
     },
-    /// Hand the caller a reply kept from an earlier send of the same key.
+    /// Answer with the reply stored for an earlier send of the same key.
     AnswerKept {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
-        /// The reply, as encoded by the executor's daemon.
+        /// The reply, as encoded by the daemon of the executor.
         reply: Arc<[u8]>,
     },
-    /// Tell the caller that an earlier send ran and that its reply is no longer kept.
+    /// Answer that an earlier send of the key ran and that its reply is no longer stored.
     AnswerGone {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
     },
-    /// Hand the work to the backend server.
+    /// Forward the work to the backend server.
     RunWork {
-        /// The work.
+        /// Id of the work, as given by the daemon.
         work: WorkId,
-        /// The life of the backend server that is meant, where it named itself.
+        /// Name of the backend server's life that must run the work; `None` if it announced no
+        /// name.
         life: Option<Arc<str>>,
     },
-    /// Refuse the work; the backend server has not seen it and will not.
+    /// Refuse the work. The backend server was not sent the work and will not be.
     RefuseWork {
-        /// The work.
+        /// Id of the work, as given by the daemon.
         work: WorkId,
-        /// The answer.
+        /// Code, run state and retry delay of the refusal.
         refusal: RequestRefusal,
-        /// Load beside the backend server.
+        /// Load of the backend server, for the caller's node.
         load: LoadHint,
     },
-    /// Tell the failure of work that crashed its backend server.
+    /// Report the failure of work during which the backend server crashed, held until now.
     ReleaseWork {
-        /// The work.
+        /// Id of the work, as given by the daemon.
         work: WorkId,
     },
-    /// Stop work that runs or waits.
+    /// Cancel work that is queued or running.
     CancelWork {
-        /// The work.
+        /// Id of the work, as given by the daemon.
         work: WorkId,
     },
-    /// Send a message over the inner protocol. Delivery is not relied upon.
+    /// Send a message over the peer protocol. The engine does not rely on its delivery.
     SendPeer {
-        /// The receiver's life that is meant.
+        /// The receiving instance; another life of the node must not get the message.
         to: InstanceId,
-        /// Its address.
+        /// Peer protocol address of the receiver.
         address: SocketAddr,
-        /// The message.
+        /// Content of the message.
         message: PeerMessage,
     },
-    /// Send a datagram.
+    /// Send a gossip datagram.
     SendDatagram {
-        /// The receiver.
+        /// Gossip address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// Content of the datagram.
         message: RosterMessage,
     },
-    /// Append a record to the guard's stream.
+    /// Append a record to the guard stream of the platform's log.
     AppendGuard {
-        /// The record.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
     /// Append a record to the stream of contract changes.
     AppendContract {
-        /// The record.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
-    /// Read one record of the contract stream and report `ContractReadBack`.
+    /// Read one record of the contract stream and report it with `NodeEvent::ContractReadBack`.
     ReadContract {
-        /// Its offset.
+        /// Offset of the record in the stream.
         offset: u64,
     },
-    /// Read the contract stream again from its oldest record.
+    /// Read the contract stream again from its oldest retained record.
     RereadContracts,
-    /// Begin to follow the source of the fleet contract, or cease to.
+    /// Start or stop polling the source of the fleet contract.
     FollowSource {
-        /// Whether to follow it.
+        /// True to start, false to stop.
         follow: bool,
     },
-    /// Look where nodes announce themselves for others, and have them find this node.
+    /// Read the directory in which nodes register, and register this node there.
     FindMembers,
-    /// This life's incarnation is lower than one that peers remember: leave this one for the next life to
-    /// begin above, and end.
+    /// Store an incarnation for the next start of this node and exit. Peers remember a higher
+    /// incarnation than that of this life, so the next one must begin above it.
     RecordIncarnation(NodeIncarnation),
-    /// The compiled contracts changed; publish the new table to the request path.
+    /// Publish the newly compiled contracts to the request path.
     ContractsChanged,
-    /// Everything this node held is handed over or finished.
+    /// Report that this node has handed over or finished everything.
     Drained,
-    /// Something worth a numbered event.
+    /// Record a numbered event in the log and the metrics.
     Note(NodeNote),
 }
 
-/// One attempt to be carried out.
+/// Everything that the daemon needs to send one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOrder {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The caller's own id of the request, else the fleet's.
+    /// Request id given by the caller, or the one that the fleet generated.
     pub label: Arc<str>,
-    /// Where it goes.
+    /// Target of the attempt.
     pub upstream: UpstreamId,
-    /// The life of the node beside the upstream that is meant.
+    /// The instance beside the upstream that must take the attempt; another life of that node must
+    /// not.
     pub executor: InstanceId,
-    /// That node's inner-protocol address; none when it is this node.
+    /// Peer protocol address of the executor; `None` when this node is the executor.
     pub address: Option<SocketAddr>,
-    /// Customer.
+    /// Customer whose contract matched the request.
     pub customer: CustomerName,
-    /// The client account that the backend server is told of; none where the caller brought no key.
+    /// Client account reported to the backend server; `None` when the caller sent no key.
     pub account: Option<CustomerName>,
-    /// Service.
+    /// Service that the route selected.
     pub service: ServiceName,
-    /// Priority, greater is more important.
+    /// Priority; a greater value is more important.
     pub priority: u8,
-    /// Time left to the deadline.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// Signature without the body; the daemon mixes the body's hash into it.
+    /// Crash signature without the body; the daemon mixes in the hash of the body.
     pub signature: u64,
-    /// Proof of the grants, for a request that must not repeat.
+    /// Proof of the guards' grants; `None` unless the request is keyed.
     pub ticket: Option<DispatchTicket>,
-    /// Header in which the backend server repeats the request id, if the contract names one.
+    /// Header in which the backend server echoes the request id, if the contract names one.
     pub reply_id_header: Option<Arc<str>>,
-    /// Greatest request body, in bytes.
+    /// Maximum size of the request body in bytes.
     pub max_body: u64,
-    /// Bytes of a reply held until it is whole; the daemon may hold fewer.
+    /// Reply bytes to buffer until the reply is complete; the daemon may buffer fewer.
     pub reply_buffer: usize,
-    /// Whether it may serve as a trial of a backend server that may be failing: it may be run more
-    /// than once, and has not been tried yet.
+    /// Whether the attempt may serve as a trial of a suspect backend server: the request is
+    /// idempotent and no earlier attempt may have run.
     pub trial_fit: bool,
-    /// Whether it is to run although the upstream may be failing.
+    /// Whether the executor must run the attempt although its breaker rejects work.
     pub insist: bool,
-    /// How long it may wait for a slot; none when only its deadline bounds the wait.
+    /// Maximum wait for a slot; `None` when only the deadline bounds the wait.
     pub patience: Option<Duration>,
-    /// Which kind of work it is: a hash of its route, for what is learned of run times.
+    /// Hash of the route, by which run times are learned.
     pub kind: u64,
-    /// How it counts towards the bound on repeats.
+    /// How the attempt counts towards the bound on repeats.
     pub arrival: ArrivalKind,
 }
--- a/crates/engine/src/crashing.rs
+++ b/crates/engine/src/crash_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the backend servers that run them.
+//! Isolation of requests that crash the backend servers that run them.
 
 use std::time::Duration;
 
@@ -12,6 +12,7 @@
 use crate::node::NodeEngine;
 use crate::note::NodeNote;
 use crate::request::{WorkPhase, WorkState};
+
 impl NodeEngine {
     pub(crate) fn ask_turn(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
         let Some(state) = self.works.get_mut(&work) else {
@@ -42,7 +43,7 @@
         );
     }
 
-    pub(crate) fn give_turn_back(
+    pub(crate) fn return_turn(
         &mut self,
         now: Duration,
         signature: CrashSignature,
@@ -53,8 +54,9 @@
         self.on_crash_commands(now, commands, out);
     }
 
-    /// The backend server ended while it ran work. All that it ran is noted, since any of it may
-    /// be the cause, and it gets no more work until it announces itself again.
+    /// Handles a backend server that crashed while it ran work. Any of its running requests may be
+    /// the cause, so all of them are recorded. The server gets no more work until it announces
+    /// itself again.
     pub(crate) fn on_backend_crash(
         &mut self,
         now: Duration,
@@ -71,7 +73,7 @@
             upstream: UpstreamId { node, slot },
             incarnation: life,
         };
-        self.held_works.entry(victim).or_default().push(work);
+        self.held_failures.entry(victim).or_default().push(work);
         let upstream_service = upstream.announced.service.clone();
         let first = upstream.up;
         upstream.up = false;
@@ -111,7 +113,7 @@
                 CrashCommand::Send { to, message } => {
                     self.send_peer(to, PeerMessage::Crash(message), out);
                 }
-                CrashCommand::Release { victim, .. } => self.release_works(victim, out),
+                CrashCommand::Release { victim, .. } => self.release_failures(victim, out),
                 CrashCommand::Turn {
                     ask,
                     granted,
@@ -124,12 +126,14 @@
         }
     }
 
-    /// Failure: a request ended a backend server, its caller is told and sends it again, and the
-    /// resend overtakes the news on its way to the next executor, which runs it. The failure is
-    /// told once the other executors have acknowledged the news, which takes one round trip, and
-    /// after [`sycamorelink_limits::CrashSettings::report_wait`] in any case.
-    fn release_works(&mut self, victim: CrashVictim, out: &mut Vec<NodeCommand>) {
-        let works = self.held_works.remove(&victim).unwrap_or_default();
+    /// Releases the failures of work on a crashed server.
+    ///
+    /// A caller that receives the failure may resend the request at once, and the resend could
+    /// reach the next executor before the crash report does. The failure is therefore held until
+    /// the other executors have acknowledged the report, which takes one round trip, or until
+    /// [`sycamorelink_limits::CrashSettings::report_wait`] has passed.
+    fn release_failures(&mut self, victim: CrashVictim, out: &mut Vec<NodeCommand>) {
+        let works = self.held_failures.remove(&victim).unwrap_or_default();
         out.extend(
             works
                 .into_iter()
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a request that may go on to attempts at upstreams.
+//! Upstream selection, and the dispatch of attempts and hedges.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +14,37 @@
 use crate::note::NodeNote;
 use crate::request::{OpenAttempt, RequestState};
 
-/// Upstreams that are asked before one that held the request off is made to run it. Failure: some
-/// upstreams fail part of their requests and are left idle, the others are full, and callers are
-/// refused. A try that may fail is better than none; what must not repeat is still refused by the node
-/// beside the upstream, since its caller is better told that it has not run.
-const ASKED_MOST: u16 = 7;
-/// Upstreams that held a request off before the least suspect of them is made to run it: a try that may
-/// fail is better than a refusal, and each further question costs the caller a way there and back.
-const HELD_MOST: usize = 3;
-/// How long an instance that owes an answer gets nothing new; told again while it owes it.
-pub(crate) const QUIET_FOR: Duration = Duration::from_millis(300);
-/// The same for one that the membership suspects: until it is found dead or cleared.
+/// Number of attempts after which an upstream whose breaker rejected the request must run it, where
+/// upstreams are not selected by cost.
+///
+/// Without this limit, upstreams that fail part of their requests stay idle while the others are
+/// full and callers are refused, although an attempt that may fail is better than none.
+/// Non-idempotent requests are still refused by the node beside the upstream, because a caller is
+/// better served by a "not run" answer.
+const FORCE_AFTER_ATTEMPTS: u16 = 7;
+/// Number of upstreams that may reject a request before the least suspect of them must run it,
+/// where upstreams are selected by cost.
+///
+/// An attempt that may fail is better than a refusal, and each further upstream costs the caller a
+/// round trip.
+const FORCE_AFTER_REFUSALS: usize = 3;
+/// Time in which no new work goes to an instance with an overdue heartbeat answer.
+/// `PeerQuiet` events repeat while the answer is overdue.
+pub(crate) const OVERDUE_AVOIDANCE: Duration = Duration::from_millis(300);
+/// Time in which no new work goes to an instance that the membership suspects. Long enough for the
+/// membership to find the instance dead or alive.
 pub(crate) const SUSPECT_FOR: Duration = Duration::from_secs(2);
-/// How long an upstream that held work off is not asked again by this node where choices do not go by
-/// cost: half of the usual time between two trials there.
-const HELD_FOR: Duration = Duration::from_millis(800);
-/// Share of the objective within which a run has to begin: work takes a third of it on average.
-const START_SHARE: f64 = 0.6;
-/// When a caller should come back to a service without a usable upstream.
-const NO_UPSTREAM_WAIT: Duration = Duration::from_secs(1);
+/// Time in which an upstream that rejected work is not selected again, where upstreams are not
+/// selected by cost: half of the usual interval between two trials there.
+const REJECTION_AVOIDANCE: Duration = Duration::from_millis(800);
+/// Fraction of the latency objective within which a run must start. A run takes a third of the
+/// objective on average.
+const MAX_START_FRACTION: f64 = 0.6;
+/// Retry delay given to callers of a service without a usable upstream.
+const NO_UPSTREAM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl NodeEngine {
-    /// Picks an upstream that was not tried, with the life of the node beside it.
+    /// Selects an upstream that was not tried yet, and returns it with the instance beside it.
     pub(crate) fn choose(
         &mut self,
         now: Duration,
@@ -45,13 +54,17 @@
         let by_cost = self.chooses_by_cost();
         self.ensure_pool(now, &service);
         self.pool_used.insert(service.clone(), now);
-        self.held_off.retain(|_, until| *until > now);
+        self.avoided_upstreams.retain(|_, until| *until > now);
         let state = self.requests.get(&id)?;
         let kind = state.rule.work_kind();
         let pool = self.pools.get_mut(&service)?;
         let tried = state.plan.exclude();
         let tried = tried.as_slice();
-        let apart: Vec<UpstreamId> = tried.iter().chain(self.held_off.keys()).copied().collect();
+        let excluded: Vec<UpstreamId> = tried
+            .iter()
+            .chain(self.avoided_upstreams.keys())
+            .copied()
+            .collect();
         let seeks_trial = by_cost
             && self.settings.policy.is_on(PolicyMechanism::EvenTrials)
             && is_trial_fit(state)
@@ -66,69 +79,75 @@
                 pool.pick(now, exclude)
             }
         };
-        let first = (apart.len() > tried.len()).then(|| pick(&apart));
+        let first = (excluded.len() > tried.len()).then(|| pick(&excluded));
         let upstream = first.flatten().or_else(|| pick(tried))?;
         let executor = self.instance_of(upstream.node)?;
         Some((upstream, executor))
     }
 
-    /// Whether upstreams are chosen by their expected cost. Customers' contracts weigh them by the
-    /// callers' scores alone.
+    /// Returns whether upstreams are selected by expected cost. Under customers' contracts the
+    /// weights follow the callers' scores alone.
     fn chooses_by_cost(&self) -> bool {
         self.has_fleet_form() && self.settings.policy.is_on(PolicyMechanism::CostChoice)
     }
 
-    /// Failure: an instance is lost without a word, and for the second until its connections count
-    /// as silent it is sent more work, of which nobody will know whether it ran. An instance that
-    /// owes an answer gets nothing new for a moment; the connection, and the work on it, is left
-    /// alone, so that a mere pause costs nothing else.
+    /// Excludes the upstreams of a node from selection for a time.
+    ///
+    /// When an instance is lost without notice, its connections take about a second to count as
+    /// silent. Work sent in that second ends with an unknown outcome, so an instance with an
+    /// overdue answer gets no new work. Its connections and the work on them stay untouched, so a
+    /// mere pause has no further cost.
     pub(crate) fn hold_node_off(&mut self, now: Duration, node: NodeId, hold: Duration) {
         if !self.has_fleet_form() {
             return;
         }
         let pools = self.pools.values();
-        let behind: Vec<UpstreamId> = pools
+        let node_upstreams: Vec<UpstreamId> = pools
             .flat_map(ServicePool::standings)
             .map(|standing| standing.id)
             .filter(|id| id.node == node)
             .collect();
-        for upstream in behind {
-            self.held_off.insert(upstream, now + hold);
+        for upstream in node_upstreams {
+            self.avoided_upstreams.insert(upstream, now + hold);
         }
     }
 
-    /// The membership found a suspected node alive.
+    /// Selects the upstreams of a node again after the membership found a suspected node alive.
     pub(crate) fn hold_no_more(&mut self, node: NodeId) {
-        self.held_off.retain(|upstream, _| upstream.node != node);
+        self.avoided_upstreams
+            .retain(|upstream, _| upstream.node != node);
     }
 
-    /// Notes that an upstream holds work off.
-    pub(crate) fn note_held_off(&mut self, now: Duration, upstream: UpstreamId) {
+    /// Excludes an upstream that rejected work from selection for a time.
+    pub(crate) fn avoid_upstream(&mut self, now: Duration, upstream: UpstreamId) {
         if self.chooses_by_cost() {
-            // The refusal told the chance that it fails, which goes into its cost.
+            // The refusal reported the upstream's failure chance, which its cost includes.
             return;
         }
-        self.held_off.insert(upstream, now + HELD_FOR);
+        self.avoided_upstreams
+            .insert(upstream, now + REJECTION_AVOIDANCE);
     }
 
-    /// The upstream that is to run a request although it held it off, once enough were asked.
-    pub(crate) fn insist_on(&self, now: Duration, id: RequestId) -> Option<UpstreamId> {
+    /// Returns the upstream that must run a request although its breaker rejected the request, once
+    /// enough upstreams were asked.
+    pub(crate) fn forced_upstream(&self, now: Duration, id: RequestId) -> Option<UpstreamId> {
         let state = self.requests.get(&id)?;
         if !self.chooses_by_cost() {
-            let asked = state.attempts >= ASKED_MOST;
-            return asked.then(|| self.last_held(id)).flatten();
+            let asked = state.attempts >= FORCE_AFTER_ATTEMPTS;
+            return asked.then(|| self.last_refusing_upstream(id)).flatten();
         }
-        let asked = state.held.len() >= HELD_MOST && !state.insisted;
+        let asked = state.rejected_by.len() >= FORCE_AFTER_REFUSALS && !state.was_forced;
         let pool = self.pools.get(&state.rule.service).filter(|_| asked)?;
-        pool.cheapest_of(now, &state.held, state.rule.work_kind())
+        pool.cheapest_of(now, &state.rejected_by, state.rule.work_kind())
             .map(|(id, _)| id)
     }
 
-    /// An upstream that held the request off and was not yet made to run it.
-    pub(crate) fn last_held(&self, id: RequestId) -> Option<UpstreamId> {
+    /// Returns the last upstream that rejected the request, unless one was already forced to run
+    /// it.
+    pub(crate) fn last_refusing_upstream(&self, id: RequestId) -> Option<UpstreamId> {
         let state = self.requests.get(&id)?;
-        let last = state.held.last().copied();
-        last.filter(|_| !state.insisted)
+        let last = state.rejected_by.last().copied();
+        last.filter(|_| !state.was_forced)
     }
 
     pub(crate) fn refuse_no_upstream(
@@ -141,7 +160,7 @@
         self.refuse(now, id, refusal, out);
     }
 
-    /// Sends an unkeyed request to the next upstream.
+    /// Dispatches an unkeyed request to the next upstream.
     pub(crate) fn dispatch_next(
         &mut self,
         now: Duration,
@@ -156,7 +175,7 @@
         self.arm_hedge(now, id);
     }
 
-    /// Orders one attempt.
+    /// Orders one attempt and records it as open.
     pub(crate) fn dispatch(
         &mut self,
         now: Duration,
@@ -175,8 +194,9 @@
         let number = state.attempts;
         state.attempts += 1;
         state.plan.tried(upstream);
-        let insist = state.held.contains(&upstream) || state.held.len() >= HELD_MOST;
-        state.insisted |= insist;
+        let insist = state.rejected_by.contains(&upstream)
+            || state.rejected_by.len() >= FORCE_AFTER_REFUSALS;
+        state.was_forced |= insist;
         state.open.push(OpenAttempt {
             number,
             upstream,
@@ -207,9 +227,9 @@
             reply_buffer: usize::try_from(state.rule.reply_buffer).unwrap_or(usize::MAX),
             trial_fit: is_trial_fit(state),
             insist,
-            patience: patience_of(now, state),
+            patience: max_slot_wait(now, state),
             kind: state.rule.work_kind(),
-            arrival: arrival_of(state),
+            arrival: arrival_kind(state),
         };
         out.push(NodeCommand::Note(NodeNote::AttemptSent {
             label: Arc::clone(&order.label),
@@ -243,12 +263,13 @@
         }
     }
 
-    /// A reply is later than usual: a second attempt elsewhere, if the budget allows it.
+    /// Sends a second attempt to another upstream when a reply is later than usual and the budget
+    /// allows it.
     pub(crate) fn on_hedge(&mut self, now: Duration, id: RequestId, out: &mut Vec<NodeCommand>) {
         let Some(state) = self.requests.get(&id) else {
             return;
         };
-        if state.open.len() != 1 || state.has_run_everywhere() {
+        if state.open.len() != 1 || state.has_reached_run_limit() {
             return;
         }
         let Some((upstream, _)) = self.choose(now, id) else {
@@ -270,7 +291,7 @@
     }
 }
 
-fn arrival_of(state: &RequestState) -> ArrivalKind {
+fn arrival_kind(state: &RequestState) -> ArrivalKind {
     if state.arrivals > 0 || state.open.len() > 1 {
         ArrivalKind::Repeat
     } else {
@@ -278,21 +299,23 @@
     }
 }
 
-/// Whether a request may run on an upstream that may be failing: it may be repeated, and has not been.
+/// Returns whether a request may run on a suspect upstream: it is idempotent, and no attempt may
+/// have run.
 fn is_trial_fit(state: &RequestState) -> bool {
     state.rule.repeat == RepeatClass::Idempotent && state.uncertain == 0
 }
 
-/// How long a request may wait for a slot: a run has to begin well within the objective, or the
-/// slot is better used for one that still can meet it. Customers' contracts leave it to the deadline.
-fn patience_of(now: Duration, state: &RequestState) -> Option<Duration> {
+/// Returns the maximum wait for a slot. A run must start well within the latency objective;
+/// otherwise the slot is better used for a request that can still meet it. Customers' contracts set
+/// no such limit, and only the deadline applies.
+fn max_slot_wait(now: Duration, state: &RequestState) -> Option<Duration> {
     state.rule.attempts?;
     let latency = state.rule.objective?.latency;
-    let latest = state.arrived + latency.mul_f64(START_SHARE);
+    let latest = state.arrived + latency.mul_f64(MAX_START_FRACTION);
     Some(latest.saturating_sub(now))
 }
 
-/// The refusal where no upstream may be used.
+/// Returns the refusal for a service without a usable upstream.
 pub(crate) fn no_upstream() -> RequestRefusal {
-    RequestRefusal::not_run(RefusalCode::NoUpstream).retry_after(NO_UPSTREAM_WAIT)
+    RequestRefusal::not_run(RefusalCode::NoUpstream).retry_after(NO_UPSTREAM_RETRY_DELAY)
 }
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -1,7 +1,7 @@
-//! From the end of an attempt to the final answer.
+//! Completion of requests: from the end of an attempt to the final answer.
 //!
-//! Every way out goes through [`NodeEngine::finish`], so that shares, timers and attempts are given
-//! back exactly once.
+//! Every request ends in [`NodeEngine::finish`], which releases shares, timers and attempts exactly
+//! once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,22 +16,22 @@
 use crate::note::{NodeNote, RequestSummary};
 use crate::request::{OpenAttempt, RequestPhase, RequestState};
 
-/// First status that counts as a server's error.
+/// Lowest HTTP status that counts as a server error.
 const SERVER_ERROR: u16 = 500;
 
-/// Why a request ends.
+/// How a request ended.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEnd {
-    /// A reply with this status was handed on.
+    /// A reply with this status was forwarded to the caller.
     Replied(u16),
-    /// It is refused.
+    /// The request was refused.
     Refused(RequestRefusal),
-    /// The caller went away; nobody is left to answer.
+    /// The caller disconnected, so no answer is sent.
     CallerGone,
 }
 
 impl RequestEnd {
-    /// Whether the caller got no good answer.
+    /// Returns whether the caller got a refusal or a server error.
     fn is_failure(&self) -> bool {
         match self {
             Self::Replied(status) => *status >= SERVER_ERROR,
@@ -73,10 +73,11 @@
         }
         if let Some(pool) = self.pools.get_mut(&service) {
             let mut sample = sample_of(report, now.saturating_sub(attempt.sent));
-            // Under a fleet contract the breaker beside the upstream answers for failures that its
-            // node saw and told; here only what the way between shows counts.
-            let told = report.load.is_some() || attempt.upstream.node == own;
-            sample.excused |= fleet && told && sample.kind != SampleKind::Served;
+            // Under a fleet contract the breaker beside the upstream accounts for failures that its
+            // node observed and reported. Here only failures of the connection between the nodes
+            // count.
+            let reported = report.load.is_some() || attempt.upstream.node == own;
+            sample.excused |= fleet && reported && sample.kind != SampleKind::Served;
             pool.observe(now, attempt.upstream, &sample);
             if report.kind == SampleKind::Served {
                 pool.learn_reply_size(kind_of_work, report.reply_bytes);
@@ -97,7 +98,7 @@
         self.on_failed(now, id, attempt, report, out);
     }
 
-    /// An attempt failed, was refused, or brought a server's error.
+    /// Handles an attempt that failed, was refused or returned a server error.
     pub(crate) fn on_failed(
         &mut self,
         now: Duration,
@@ -108,21 +109,22 @@
     ) {
         let held_off = report.code == Some(RefusalCode::UpstreamSuspect);
         if held_off {
-            self.note_held_off(now, attempt.upstream);
+            self.avoid_upstream(now, attempt.upstream);
         }
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        // Failure: one request ends every backend server that runs it, and each retry takes one
-        // more. What ended a second one is not tried again, whatever the executors have heard.
+        // One request can crash every backend server that runs it, and each retry would take down
+        // one more. After the second crash the request is not retried, regardless of
+        // what the executors have recorded.
         state.crashed_twice |= report.kind == SampleKind::Crashed
             && state
                 .last
                 .as_ref()
                 .is_some_and(|last| last.kind == SampleKind::Crashed);
-        state.last_at = Some(attempt.upstream);
-        // What the bound on repeats forbids says nothing about the request: its answer is the end of
-        // the attempt before.
+        state.last_upstream = Some(attempt.upstream);
+        // A refusal because of the bound on repeats says nothing about the request. The answer is
+        // then taken from the previous attempt.
         if report.code != Some(RefusalCode::RepeatsSpent) || state.last.is_none() {
             state.last = Some(report.clone());
         }
@@ -134,7 +136,7 @@
         state.arrivals += u16::from(report.run != RunState::NotRun || turned_away);
         state.repeats_refused += u16::from(report.code == Some(RefusalCode::RepeatsSpent));
         if held_off {
-            state.held.push(attempt.upstream);
+            state.rejected_by.push(attempt.upstream);
         }
         if !state.open.is_empty() {
             return;
@@ -149,7 +151,7 @@
         self.try_elsewhere(now, id, report, out);
     }
 
-    /// Tries another upstream, or gives the final answer.
+    /// Retries at another upstream, or sends the final answer.
     pub(crate) fn try_elsewhere(
         &mut self,
         now: Duration,
@@ -164,11 +166,11 @@
             run: report.run,
             request_fault: report.code == Some(RefusalCode::CrashRequest)
                 || state.crashed_twice
-                || state.has_run_everywhere(),
+                || state.has_reached_run_limit(),
             retry_after: None,
         };
         let label = Arc::clone(&state.caller.label);
-        let from = state.last_at;
+        let from = state.last_upstream;
         let replayable = state.caller.replayable || report.run == RunState::NotRun;
         let service = state.rule.service.clone();
         let usual = report.service_time.unwrap_or_default();
@@ -184,7 +186,7 @@
                 self.retry(now, id, report, out);
             }
             RetryDecision::Retry | RetryDecision::Stop(_) => {
-                self.give_last(now, id, report, out);
+                self.answer_from_last(now, id, report, out);
             }
         }
     }
@@ -196,18 +198,18 @@
         report: &AttemptReport,
         out: &mut Vec<NodeCommand>,
     ) {
-        let next = self.insist_on(now, id).or_else(|| {
+        let next = self.forced_upstream(now, id).or_else(|| {
             let chosen = self.choose(now, id);
             chosen.map(|(upstream, _)| upstream)
         });
-        match next.or_else(|| self.last_held(id)) {
+        match next.or_else(|| self.last_refusing_upstream(id)) {
             Some(upstream) => self.dispatch(now, id, upstream, out),
             None => self.give_answer(now, id, report, out),
         }
     }
 
-    /// The final answer from the last attempt that says something about the request.
-    fn give_last(
+    /// Sends the final answer from the last attempt that says something about the request.
+    fn answer_from_last(
         &mut self,
         now: Duration,
         id: RequestId,
@@ -218,7 +220,7 @@
         self.give_answer(now, id, &last.unwrap_or_else(|| report.clone()), out);
     }
 
-    /// The final answer after a failed attempt.
+    /// Sends the final answer after a failed attempt.
     pub(crate) fn give_answer(
         &mut self,
         now: Duration,
@@ -242,8 +244,10 @@
         Some(self.refusal_for(id, &report))
     }
 
-    /// Failure: a request was tried twice, the second try was refused, and the caller is told "not
-    /// run" although the first may have run. The run state is therefore that of all attempts.
+    /// Returns the refusal for a request whose last attempt ended with this report.
+    ///
+    /// The run state covers all attempts. If the first attempt may have run and only the second was
+    /// refused as not run, the caller must not be answered "not run".
     pub(crate) fn refusal_for(&self, id: RequestId, report: &AttemptReport) -> RequestRefusal {
         let ran = self
             .requests
@@ -281,7 +285,7 @@
         let service = state.rule.service.clone();
         let dispatched = !open.is_empty();
         for attempt in open {
-            self.abandon(
+            self.cancel_open_attempt(
                 now,
                 id,
                 (&label, &service),
@@ -301,8 +305,8 @@
         self.refuse(now, id, refusal, out);
     }
 
-    /// Stops an attempt that is under way and notes what that says of its upstream.
-    pub(crate) fn abandon(
+    /// Cancels an open attempt and records the sample for its upstream.
+    pub(crate) fn cancel_open_attempt(
         &mut self,
         now: Duration,
         id: RequestId,
@@ -345,8 +349,8 @@
         self.finish(now, id, RequestEnd::CallerGone, out);
     }
 
-    /// Gives the final answer, unless the request has one: the guard may have answered it while
-    /// the end of its dispatch was being told.
+    /// Sends a refusal as the final answer, unless the request already has one: the guard may have
+    /// answered while the end of the dispatch was reported to it.
     pub(crate) fn refuse(
         &mut self,
         now: Duration,
@@ -364,7 +368,7 @@
         self.finish(now, id, RequestEnd::Refused(refusal), out);
     }
 
-    /// Ends a request: attempts still open are stopped, and all it held is given back.
+    /// Ends a request: cancels its open attempts and releases everything it holds.
     pub(crate) fn finish(
         &mut self,
         now: Duration,
@@ -377,7 +381,7 @@
         };
         self.timers
             .remove(&(state.deadline, TimerPurpose::Deadline, id));
-        self.leave_queue(state.customer, id);
+        self.leave_share_queue(state.customer, id);
         if state.share_held {
             self.shares.finished(now, state.customer);
         }
@@ -385,12 +389,12 @@
             self.give_quota_back(&state, refusal);
         }
         if state.account.is_none() && end.is_failure() {
-            self.call_failed = Some(now);
+            self.last_failed_call = Some(now);
         }
         let label = Arc::clone(&state.caller.label);
         let service = state.rule.service.clone();
         for attempt in state.open {
-            self.abandon(
+            self.cancel_open_attempt(
                 now,
                 id,
                 (&label, &service),
@@ -425,9 +429,11 @@
     report.status.is_some_and(|status| status >= SERVER_ERROR)
 }
 
-/// The latency is measured between the same two moments here as the pool's own record of the
-/// attempt; the daemon's would differ by the waits between threads, and the pool would take the
-/// attempt for one still in flight.
+/// Returns the sample of an attempt for the pool of its service.
+///
+/// `latency` spans the same two moments as the pool's own record of the attempt. The latency
+/// measured by the daemon differs by delays between threads, and the pool would take the attempt
+/// for one still in flight.
 fn sample_of(report: &AttemptReport, latency: Duration) -> UpstreamSample {
     let mut sample = UpstreamSample::new(report.kind, latency);
     sample.service_time = report.service_time;
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What the node is told: typed events, one for each thing that can happen outside the decisions.
+//! Events that the daemon passes to the engine: one variant for each kind of external input.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,237 +16,238 @@
 
 use crate::message::PeerMessage;
 
-/// Everything that can happen to a node.
+/// External inputs of a node.
 #[derive(Clone, Debug)]
 pub enum NodeEvent {
-    /// Time passed.
+    /// The time returned by `NodeEngine::next_wake` was reached.
     Tick,
-    /// A caller sent a request; its body has not been read.
+    /// The head of a caller's request arrived; its body was not read yet.
     RequestArrived(CallerRequest),
-    /// The body of a keyed request was read whole.
+    /// The body of a keyed request was read completely.
     BodyRead {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
         /// Hash of method, target and body.
         fingerprint: KeyFingerprint,
     },
-    /// The caller went away before its answer was complete.
+    /// The caller disconnected before its answer was complete.
     CallerGone {
-        /// The request.
+        /// Id of the caller's request.
         request: RequestId,
     },
-    /// An attempt of a request came to its end.
+    /// An attempt of a request ended.
     AttemptEnded(AttemptReport),
-    /// A peer, or this node's own caller side, offers work for an upstream beside this node.
+    /// A peer, or the ingress side of this node, offered work for a local upstream.
     WorkOffered(WorkOffer),
-    /// Whoever offered the work no longer wants it.
+    /// The node that offered the work cancelled it.
     WorkCancelled {
-        /// The work.
+        /// Id of the work, as given in its offer.
         work: WorkId,
     },
-    /// The connection broke under work. How it ended follows, once it is known whether the backend
-    /// server lives.
+    /// The connection that carried work was lost. `WorkEnded` follows once it is known whether the
+    /// backend server is alive.
     WorkBroke {
-        /// The work.
+        /// Id of the work, as given in its offer.
         work: WorkId,
     },
-    /// The backend server ended the work.
+    /// The work ended, with or without a run.
     WorkEnded(WorkReport),
-    /// A message from a peer over the inner protocol.
+    /// A message arrived over the peer protocol.
     PeerReceived {
-        /// The sender, as proved when the connection was made.
+        /// The sender, as authenticated when the connection was opened.
         from: InstanceId,
-        /// What it said.
+        /// Content of the message.
         message: PeerMessage,
     },
-    /// A datagram from a peer.
+    /// A gossip datagram arrived.
     DatagramReceived {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it said.
+        /// Content of the datagram.
         message: RosterMessage,
     },
-    /// The inner protocol could not reach a peer.
+    /// The peer protocol could not reach a peer.
     PeerUnreachable {
-        /// The peer.
+        /// Node id of the peer.
         node: NodeId,
     },
-    /// A peer owes the answer to a heartbeat. Its connection is not given up yet.
+    /// A peer has not answered a heartbeat in time. Its connection is kept for now.
     PeerQuiet {
-        /// The peer.
+        /// Node id of the peer.
         node: NodeId,
     },
-    /// A connection to a peer had gone silent or broken, and a new one was opened.
+    /// A silent or broken connection to a peer was replaced by a new one.
     PeerReconnected {
-        /// The peer.
+        /// Node id of the peer.
         node: NodeId,
     },
-    /// A backend server beside this node announced itself or renewed its announcement.
+    /// A local backend server announced itself or renewed its announcement.
     UpstreamAnnounced(UpstreamAnnouncement),
-    /// A backend server beside this node withdrew.
+    /// A local backend server withdrew its announcement.
     UpstreamWithdrawn {
-        /// Its number on this node.
+        /// Number of the backend server on this node.
         slot: u16,
-        /// The life that withdraws, where it says so.
+        /// The life that withdraws; `None` if the server did not name one.
         life: Option<LifeId>,
     },
-    /// Records of the platform's log, in order.
+    /// Records were read from the platform's log, in order.
     LogRead {
-        /// Which stream they are from.
+        /// Stream that was read.
         stream: LogStream,
         /// Oldest offset that the log still has.
         first: u64,
         /// Offset after the last record read.
         next: u64,
-        /// The records.
+        /// The records, by ascending offset.
         records: Vec<LogEntry>,
     },
-    /// A stream of the log was read to its present end.
+    /// A stream of the log was read to its current end.
     LogCurrent {
-        /// Which stream.
+        /// Stream that was read.
         stream: LogStream,
         /// Whether reading began at the first record ever written.
         whole: bool,
     },
-    /// Records were trimmed before this node read them.
+    /// Records were trimmed from the log before this node read them.
     LogGap {
-        /// Which stream.
+        /// Stream that was trimmed.
         stream: LogStream,
         /// Oldest offset that is kept.
         first: u64,
     },
-    /// One record of the contract stream, read back on request.
+    /// A record of the contract stream was read for a `ReadContract` command.
     ContractReadBack {
-        /// Its offset.
+        /// Offset of the record.
         offset: u64,
-        /// Its bytes.
+        /// The encoded record.
         bytes: Arc<[u8]>,
     },
-    /// The newest fleet contract that the source has.
+    /// The source returned its newest fleet contract.
     FleetContract(Arc<FleetContract>),
-    /// Gossip addresses of other nodes were read from where nodes announce themselves.
+    /// Gossip addresses of other nodes were read from the directory.
     SeedsFound(Vec<SocketAddr>),
-    /// Where nodes announce themselves was read for the first time.
+    /// The directory of nodes was read for the first time.
     DirectoryRead {
-        /// Entries of other nodes that were found.
+        /// Number of entries of other nodes.
         entries: usize,
     },
-    /// Whether the platform's log can be reached changed.
+    /// The platform's log became reachable or unreachable.
     LogReachable(bool),
     /// The platform asked this node to leave.
     DrainRequested,
-    /// This node stops now; peers are told.
+    /// This node stops now. The engine notifies its peers.
     Departed,
 }
 
-/// A stream of the platform's log.
+/// Streams of the platform's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogStream {
-    /// Changes of contracts.
+    /// Contract changes.
     Contracts,
     /// Founding records of the at-most-once guard.
     Guard,
 }
 
-/// One record of the platform's log.
+/// A record of the platform's log.
 #[derive(Clone, Debug)]
 pub struct LogEntry {
-    /// Its offset.
+    /// Offset of the record in its stream.
     pub offset: u64,
-    /// Its bytes.
+    /// The encoded record.
     pub bytes: Arc<[u8]>,
 }
 
 /// The head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The request.
+    /// Id that this node assigned to the request.
     pub id: RequestId,
-    /// The caller's own id of the request, else the fleet's; the same in every process's logs.
+    /// Request id given by the caller, or the one that the fleet generated. All processes log the
+    /// same one.
     pub label: Arc<str>,
-    /// The caller's token, as sent; empty where callers bring none.
+    /// Token sent by the caller; empty where callers use none.
     pub token: Arc<str>,
-    /// Digest of the key of a client account of the fleet contract, if the caller brought one.
+    /// Digest of the caller's client account key under a fleet contract; `None` without a key.
     pub account_key: Option<ContentDigest>,
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: Arc<str>,
-    /// Host that the request names, in lower case and without a port; empty where none counts.
+    /// Host of the request, in lower case and without the port; empty where routes ignore hosts.
     pub host: Arc<str>,
-    /// Path without the query.
+    /// Path without the query string.
     pub path: Arc<str>,
-    /// Path with the query.
+    /// Path with the query string.
     pub target: Arc<str>,
-    /// The `Idempotency-Key`, if any.
+    /// Value of the `Idempotency-Key` header.
     pub key: Option<Arc<str>>,
-    /// The body's length, where the caller told it.
+    /// Length of the body in bytes; `None` if the caller did not send it.
     pub body_length: Option<u64>,
-    /// Whether the daemon can hold the whole body and so send it again.
+    /// Whether the daemon can buffer the whole body and so send it again.
     pub replayable: bool,
-    /// Time that the caller still gives, if it said so.
+    /// Time that the caller allows for the answer; `None` if it did not say.
     pub time_left: Option<Duration>,
 }
 
-/// How an attempt ended, seen from the caller's side.
+/// The end of an attempt, as observed by the ingress side.
 #[derive(Clone, Debug)]
 pub struct AttemptReport {
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// Classification of the end for failure detection.
     pub kind: SampleKind,
-    /// What is known about the backend server having run it.
+    /// Whether the backend server may have run the request.
     pub run: RunState,
-    /// Status of the reply, if there was one.
+    /// HTTP status of the reply; `None` without a reply.
     pub status: Option<u16>,
-    /// Time from sending it to its end.
+    /// Time from the dispatch to the end of the attempt.
     pub latency: Duration,
-    /// Service time as measured beside the backend server.
+    /// Run time measured beside the backend server; `None` if it was not reported.
     pub service_time: Option<Duration>,
-    /// Load as told by the node beside the backend server.
+    /// Load reported by the executor; `None` if the executor did not answer.
     pub load: Option<LoadHint>,
-    /// Code of the executor's refusal, if it refused.
+    /// Code of the executor's refusal; `None` if the executor did not refuse.
     pub code: Option<RefusalCode>,
-    /// When the refusing executor said to come back.
+    /// Retry delay given by the executor's refusal.
     pub retry_after: Option<Duration>,
-    /// Bytes of the reply's body that came.
+    /// Bytes of the reply body that were received.
     pub reply_bytes: u64,
 }
 
 /// Work offered to the executor.
 #[derive(Clone, Debug)]
 pub struct WorkOffer {
-    /// Number given by this node's shell.
+    /// Id assigned by the daemon of this node.
     pub work: WorkId,
-    /// Who offers it.
+    /// Instance that offers the work.
     pub from: InstanceId,
-    /// The attempt that it carries out.
+    /// The attempt that the work carries out.
     pub attempt: AttemptId,
-    /// The caller's own id of the request, else the fleet's.
+    /// Request id given by the caller, or the one that the fleet generated.
     pub label: Arc<str>,
-    /// The upstream's number on this node.
+    /// Number of the upstream on this node.
     pub slot: u16,
-    /// Customer.
+    /// Customer whose contract matched the request.
     pub customer: CustomerName,
-    /// Service.
+    /// Service that the route selected.
     pub service: ServiceName,
-    /// Priority, greater is more important.
+    /// Priority; a greater value is more important.
     pub priority: u8,
-    /// Time left to the deadline.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// Signature for the crash-request registry; zero when the body was not seen whole.
+    /// Signature for the crash registry; zero if the body was not seen completely.
     pub signature: u64,
-    /// Proof of the grants, for a request that must not repeat.
+    /// Proof of the guards' grants; `None` unless the request is keyed.
     pub ticket: Option<DispatchTicket>,
-    /// Whether it may serve as a trial of a backend server that may be failing: it may be run more
-    /// than once, and has not been tried yet.
+    /// Whether the work may serve as a trial of a suspect backend server: the request is idempotent
+    /// and no earlier attempt may have run.
     pub trial_fit: bool,
-    /// Whether it is to run although the backend server may be failing: others were asked before
-    /// and held it off as well.
+    /// Whether to run the work although the breaker rejects work, because other upstreams rejected
+    /// it as well.
     pub insist: bool,
-    /// How long it may wait for a slot; none when only its deadline bounds the wait.
+    /// Maximum wait for a slot; `None` when only the deadline bounds the wait.
     pub patience: Option<Duration>,
-    /// Which kind of work it is: a hash of its route, for what is learned of run times.
+    /// Hash of the route, by which run times are learned.
     pub kind: u64,
-    /// How it counts towards the bound on repeats.
+    /// How the work counts towards the bound on repeats.
     pub arrival: ArrivalKind,
 }
 
@@ -254,101 +255,102 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ArrivalKind {
-    /// The first of its request.
+    /// First arrival of a request.
     First,
-    /// The first of a request that comes from a run which was a repeat itself. It takes from the bound,
-    /// and is not refused for it.
+    /// First arrival of a request that was made by a run which was itself a repeat. This arrival
+    /// consumes the bound but is never refused because of it.
     CalledByRepeat,
-    /// A further one: a backend server may have been handed the request before.
+    /// Later arrival: a backend server may have been given the request before.
     Repeat,
 }
 
-/// How work ended at the backend server.
+/// The end of work at the backend server.
 #[derive(Clone, Debug)]
 pub struct WorkReport {
-    /// The work.
+    /// Id of the work.
     pub work: WorkId,
-    /// How it ended.
+    /// How the work ended.
     pub end: WorkEnd,
-    /// Status of a whole reply.
+    /// HTTP status of a complete reply; `None` otherwise.
     pub status: Option<u16>,
     /// Time that the backend server took.
     pub service_time: Duration,
-    /// The whole reply, where it is small enough to be kept for a resend.
+    /// The complete reply, if small enough to be stored for a resend.
     pub reply: Option<Arc<[u8]>>,
 }
 
 /// Ways in which work ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkEnd {
-    /// The backend server gave a whole reply.
+    /// The backend server sent a complete reply.
     Replied,
     /// The backend server answered that it did not run the work.
     Declined,
-    /// Another life, or another server, answered in place of the one that was meant.
+    /// Another life of the server, or another server, answered in place of the intended one.
     Replaced,
-    /// The backend server could not be connected to, so it never saw the work.
+    /// The backend server could not be connected to and never received the work.
     NotStarted,
-    /// The backend server went away while it ran the work.
+    /// The backend server crashed while it ran the work.
     Crashed,
-    /// The connection broke while the backend server ran the work; the server itself lives.
+    /// The connection was lost during the run, and the backend server is alive.
     ConnectionLost,
-    /// The reply was cut short, malformed or belonged to another request.
+    /// The reply was truncated, malformed or for another request.
     Rejected,
-    /// No byte of a reply in time.
+    /// No byte of a reply arrived in time.
     Silent,
-    /// The work was cancelled while it ran.
+    /// The work was cancelled during the run.
     Cancelled,
 }
 
-/// A backend server's announcement of itself.
+/// Announcement of a backend server to the node beside it.
 #[derive(Clone, Debug)]
 pub struct UpstreamAnnouncement {
-    /// Its number on this node.
+    /// Number of the backend server on this node.
     pub slot: u16,
-    /// The service it runs.
+    /// Service that the server runs.
     pub service: ServiceName,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the server runs concurrently.
     pub slots: u16,
-    /// Whether it is ready.
+    /// Whether the server is starting, ready or leaving.
     pub phase: UpstreamPhase,
-    /// Which life of the backend server speaks, where it says so.
+    /// Life of the server that sent the announcement; `None` if it did not name one.
     pub life: Option<UpstreamLife>,
-    /// How much longer it stays slow after its start; none when it does not say.
+    /// Remaining time in which the server is slow after its start; `None` if not announced.
     pub warm_up: Option<Duration>,
 }
 
-/// Which life of a backend server is meant. A server may start again under the name that it had; the
-/// time of its start then tells the lives apart.
+/// Identity of one life of a backend server. A restarted server may reuse its name; the start times
+/// then tell the lives apart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LifeId {
-    /// Name that the server goes by.
+    /// Name of the server.
     pub name: Arc<str>,
-    /// When the life began by the server's own clock, as time since the Unix epoch; none where it
-    /// does not say. Compared only between lives of one name, which run on one clock.
+    /// Start time by the server's own clock, since the Unix epoch; `None` if not announced. Only
+    /// compared between lives of one name, which share a clock.
     pub started: Option<Duration>,
 }
 
 impl LifeId {
-    /// Whether this life of the same name began before the other one. One that does not say when it
-    /// began is taken as the earlier.
+    /// Returns whether this life began before another life of the same name. A life without a start
+    /// time counts as the earlier one.
     #[must_use]
     pub fn is_earlier_than(&self, other: &Self) -> bool {
         self.name == other.name && self.started < other.started
     }
 
-    /// Whether this names the other life: one who withdraws need not say when its life began.
+    /// Returns whether this identity refers to the other life. A withdrawal may omit the start time
+    /// and then matches every life of the name.
     #[must_use]
     pub fn names(&self, other: &Self) -> bool {
         self.name == other.name && (self.started.is_none() || self.started == other.started)
     }
 }
 
-/// One life of a backend server, from its start to its end.
+/// Life of a backend server, with the order of its announcements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamLife {
-    /// Which life.
+    /// Identity of the life.
     pub id: LifeId,
-    /// Grows with each announcement of this life, so that a late one can be told.
+    /// Sequence number that grows with each announcement of this life; identifies late ones.
     pub order: u64,
 }
--- a/crates/engine/src/executor.rs
+++ b/crates/engine/src/executor.rs
@@ -1,8 +1,8 @@
-//! The executor side: work for the backend servers beside this node.
+//! Executor: admission and execution of work for the backend servers beside this node.
 //!
 //! ```text
 //! offer ─ upstream there? ─ crash check ─ guard (keyed) ─ slot gate ─ run ─ end
-//!              └────────────┴───────────────┴───────────────┴─▶ refused, not run
+//!              └────────────┴───────────────┴───────────────┴─▶ refused as not run
 //! ```
 
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use crate::node::{HandoverState, LocalUpstream, NodeEngine};
 use crate::request::{WorkPhase, WorkState};
 
-/// First status that counts as a server's error.
+/// Lowest HTTP status that counts as a server error.
 const SERVER_ERROR: u16 = 500;
-/// When a caller refused by a leaving or absent upstream should come back.
-const ABSENT_WAIT: Duration = Duration::from_millis(500);
+/// Retry delay given for an upstream that is gone, leaving or suspect.
+const UPSTREAM_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl NodeEngine {
     pub(crate) fn on_work_offered(
@@ -41,7 +41,7 @@
             started: now,
             life: None,
             on_turn: false,
-            broke: false,
+            connection_lost: false,
             on_trial: false,
             offer,
         };
@@ -53,7 +53,7 @@
             && !self.take_repeat(now, slot, state.offer.kind)
         {
             let refusal = RequestRefusal::not_run(RefusalCode::RepeatsSpent);
-            self.note_offer_decided(&state.offer, Some(refusal.code), state.offer.time_left, out);
+            self.note_offer_decision(&state.offer, Some(refusal.code), state.offer.time_left, out);
             let load = self.load_of(slot);
             out.push(NodeCommand::RefuseWork {
                 work,
@@ -65,7 +65,7 @@
         self.works.insert(work, state);
         if !self.serves(slot, &service) {
             let refusal = RequestRefusal::not_run(RefusalCode::NoUpstream);
-            self.refuse_work(work, refusal.retry_after(ABSENT_WAIT), out);
+            self.refuse_work(work, refusal.retry_after(UPSTREAM_RETRY_DELAY), out);
             return;
         }
         if self.fence_mark(attempt) == Some(FenceMark::Refused) {
@@ -75,7 +75,7 @@
         }
         if !self.passes_breaker(now, work) {
             let refusal = RequestRefusal::not_run(RefusalCode::UpstreamSuspect);
-            self.refuse_work(work, refusal.retry_after(ABSENT_WAIT), out);
+            self.refuse_work(work, refusal.retry_after(UPSTREAM_RETRY_DELAY), out);
             return;
         }
         if signature.0 == 0 {
@@ -89,17 +89,19 @@
         }
     }
 
-    /// Failure: a backend server ends, one of another service takes its place beside this node, and
-    /// a peer that has not heard of it sends work of the old service. The work names its service,
-    /// and what runs here now is compared with it.
+    /// Returns whether the upstream exists and runs the service of the work.
+    ///
+    /// After a backend server ends, one of another service can take its number on this node, and a
+    /// peer with outdated membership sends work of the old service. The service named in work is
+    /// therefore compared with the service that runs here now.
     fn serves(&self, slot: u16, service: &ServiceName) -> bool {
         let upstream = self.upstreams.get(&slot);
-        let there =
+        let is_up =
             upstream.is_some_and(|upstream| upstream.up && upstream.announced.service == *service);
-        there && self.handover != HandoverState::Drained
+        is_up && self.handover != HandoverState::Drained
     }
 
-    /// A keyed request needs the executor's own record before it may run here.
+    /// Passes keyed work to the guard, which must have its own record before the work may run here.
     pub(crate) fn ask_guard(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
         let Some(state) = self.works.get(&work) else {
             return;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The guard lets the attempt run here.
+    /// Continues with keyed work that the guard permits to run here.
     pub(crate) fn on_work_granted(
         &mut self,
         now: Duration,
@@ -131,11 +133,12 @@
         self.ask_gate(now, work, out);
     }
 
-    /// Under a fleet contract all work waits in one lane, by priority and deadline.
+    /// Offers work to the slot gate of its upstream.
     ///
-    /// Failure: work is queued by client account, and the calls that backend servers make, which belong to
-    /// none, share one lane among eighty. They are turned away first though a run waits for each of them.
-    /// Quotas hold accounts apart.
+    /// Under a fleet contract all work shares one lane, ordered by priority and deadline. With a
+    /// lane for each client account, the calls made by backend servers, which belong to no account,
+    /// would share one lane among eighty and be refused first, although a run waits for each of
+    /// these calls. Quotas isolate the accounts instead.
     fn ask_gate(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
         let fleet = self.has_fleet_form();
         let Some(state) = self.works.get_mut(&work) else {
@@ -195,18 +198,19 @@
             upstream.breaker.started(now, work.0, kind, allowed);
         }
         self.mark_fence(now, attempt, FenceMark::Begun);
-        self.note_decided(work, None, out);
+        self.note_work_decision(work, None, out);
         out.push(NodeCommand::RunWork { work, life });
     }
 
-    /// The node beside a backend server sees every run on it, whoever sent it, and so finds a
-    /// gray failure before any caller's node could.
-    fn observe_here(&mut self, now: Duration, report: &WorkReport) {
+    /// Records the end of a run in the pool of its service. This node observes every run on the
+    /// local backend server, regardless of the sender, and so detects a gray failure before any
+    /// caller's node could.
+    fn observe_local_run(&mut self, now: Duration, report: &WorkReport) {
         let Some(state) = self.works.get(&report.work) else {
             return;
         };
         let latency = now.saturating_sub(state.started);
-        let mut sample = UpstreamSample::new(kind_of(report), latency);
+        let mut sample = UpstreamSample::new(sample_kind_of(report), latency);
         sample.excused = self.has_fleet_form() && sample.kind != SampleKind::Served;
         let id = upstream_id(self.own.instance, state.offer.slot);
         if let Some(pool) = self.pools.get_mut(&state.offer.service) {
@@ -214,8 +218,8 @@
         }
     }
 
-    /// Refuses work that the gate did not take. A keyed one is told to the guard as not run, so
-    /// that it may run elsewhere.
+    /// Refuses work that the gate did not accept. For keyed work the guard records that the work
+    /// has not run, so that it may run elsewhere.
     pub(crate) fn refuse_gated(
         &mut self,
         now: Duration,
@@ -224,7 +228,7 @@
         retry_after: Option<Duration>,
         out: &mut Vec<NodeCommand>,
     ) {
-        self.settle_work(now, work, WorkOutcome::NotRun, out);
+        self.settle_guard_work(now, work, WorkOutcome::NotRun, out);
         let refusal = RequestRefusal {
             retry_after,
             ..RequestRefusal::not_run(code)
@@ -232,7 +236,7 @@
         self.refuse_work(work, refusal, out);
     }
 
-    fn settle_work(
+    fn settle_guard_work(
         &mut self,
         now: Duration,
         work: WorkId,
@@ -255,8 +259,8 @@
         out: &mut Vec<NodeCommand>,
     ) {
         self.return_repeat(self.now, work);
-        self.tell_breaker(self.now, work, None, out);
-        self.note_decided(work, Some(refusal.code), out);
+        self.record_in_breaker(self.now, work, None, out);
+        self.note_work_decision(work, Some(refusal.code), out);
         if let Some(state) = self.works.remove(&work) {
             let load = self.load_of(state.offer.slot);
             out.push(NodeCommand::RefuseWork {
@@ -292,24 +296,24 @@
     ) {
         self.return_repeat(now, work);
         let running = self.works.get(&work);
-        let running = running.filter(|state| state.phase == WorkPhase::Running && !state.broke);
+        let running =
+            running.filter(|state| state.phase == WorkPhase::Running && !state.connection_lost);
         let kind = running.map(|_| SampleKind::Cancelled);
-        self.tell_breaker(now, work, kind, out);
+        self.record_in_breaker(now, work, kind, out);
         let Some(state) = self.works.remove(&work) else {
             return;
         };
         let mut commands = Vec::new();
         if let Some(upstream) = self.upstreams.get_mut(&state.offer.slot) {
             upstream.gate.cancel(now, work);
-            // Failure: the order to run and the cancellation cross, the work is never begun, and
-            // no end of it is reported. Its slot stays taken for good. No more is heard of work
-            // that is cancelled this way, so the slot is given back here.
+            // If the order to run and the cancellation cross, the work is never started and no end
+            // is reported. The slot is released here, or it would stay occupied forever.
             upstream.gate.finished(now, work, &mut commands);
         }
         self.on_gate_commands(now, commands, out);
         self.note_if_idle(state.offer.slot, out);
         if state.on_turn {
-            self.give_turn_back(now, state.signature(), out);
+            self.return_turn(now, state.signature(), out);
         }
         self.tick_gates(now, out);
     }
@@ -327,12 +331,15 @@
         let slot = state.offer.slot;
         let signature = state.signature();
         let on_turn = state.on_turn;
-        self.note_done(now, report, out);
-        let told = self.works.get(&work).is_some_and(|state| state.broke);
-        let kind = (!told).then(|| kind_of(report));
-        let kind = kind.filter(|kind| !self.explains_error(now, work, *kind));
-        self.tell_breaker(now, work, kind, out);
-        self.observe_here(now, report);
+        self.note_work_end(now, report, out);
+        let already_recorded = self
+            .works
+            .get(&work)
+            .is_some_and(|state| state.connection_lost);
+        let kind = (!already_recorded).then(|| sample_kind_of(report));
+        let kind = kind.filter(|kind| !self.attributes_error_to_call(now, work, *kind));
+        self.record_in_breaker(now, work, kind, out);
+        self.observe_local_run(now, report);
         match report.end {
             WorkEnd::Crashed => self.on_backend_crash(now, work, slot, out),
             WorkEnd::Replaced => self.on_replaced(now, slot, out),
@@ -342,10 +349,10 @@
                 self.crash.completed(now, signature, &mut commands);
                 self.on_crash_commands(now, commands, out);
             }
-            _ if on_turn => self.give_turn_back(now, signature, out),
+            _ if on_turn => self.return_turn(now, signature, out),
             _ => {}
         }
-        self.settle_work(now, work, outcome_of(report), out);
+        self.settle_guard_work(now, work, work_outcome_of(report), out);
         if let Some(state) = self.works.remove(&work) {
             let took = now.saturating_sub(state.started).as_secs_f64();
             self.call_rates.ran(state.offer.kind, took);
@@ -353,7 +360,8 @@
         self.note_if_idle(slot, out);
         let mut commands = Vec::new();
         if let Some(upstream) = self.upstreams.get_mut(&slot) {
-            // An end without a reply, such as a reset, says nothing about how long work takes.
+            // An end without a reply, such as a reset connection, says nothing about the duration
+            // of work.
             if report.end == WorkEnd::Replied {
                 upstream.gate.finished(now, work, &mut commands);
             } else {
@@ -373,9 +381,9 @@
             }
             upstream.gate.tick(now, &mut commands);
         }
-        // Failure: work waits for a slot of a backend server that leaves and is handed to it
-        // seconds after its leaving was acknowledged. What waits when the gate closes is refused
-        // as not run, so that it may run elsewhere.
+        // Work queued for a leaving backend server could be forwarded to it seconds after its
+        // departure was acknowledged. When the gate closes, queued work is refused as not run, so
+        // that it may run elsewhere.
         for slot in closed {
             self.refuse_queued(now, slot, RefusalCode::Draining, out);
         }
@@ -402,7 +410,7 @@
         }
     }
 
-    /// Load beside one backend server of this node.
+    /// Returns the load of a local backend server; zero for an unknown number.
     #[must_use]
     pub fn load_of(&self, slot: u16) -> LoadHint {
         let upstream = self.upstreams.get(&slot);
@@ -410,9 +418,9 @@
             .map(|upstream| upstream.gate.load(self.now))
             .unwrap_or_default();
         let hint = LoadHint {
-            in_use: narrow(load.in_use),
-            slots: narrow(load.slots),
-            queued: narrow(load.queued),
+            in_use: saturating_u16(load.in_use),
+            slots: saturating_u16(load.slots),
+            queued: saturating_u16(load.queued),
             failing: 0,
         };
         hint.with_failing(upstream.map_or(0.0, |upstream| upstream.breaker.chance(self.now)))
@@ -426,7 +434,7 @@
     }
 }
 
-fn kind_of(report: &WorkReport) -> SampleKind {
+fn sample_kind_of(report: &WorkReport) -> SampleKind {
     match report.end {
         WorkEnd::Replied if report.status.is_some_and(|status| status >= SERVER_ERROR) => {
             SampleKind::Failed
@@ -443,11 +451,11 @@
     }
 }
 
-fn narrow(value: u32) -> u16 {
+fn saturating_u16(value: u32) -> u16 {
     u16::try_from(value).unwrap_or(u16::MAX)
 }
 
-fn outcome_of(report: &WorkReport) -> WorkOutcome {
+fn work_outcome_of(report: &WorkReport) -> WorkOutcome {
     match report.end {
         WorkEnd::Replied => WorkOutcome::Ran(report.reply.clone()),
         WorkEnd::NotStarted | WorkEnd::Declined | WorkEnd::Replaced => WorkOutcome::NotRun,
--- a/crates/engine/src/fencing.rs
+++ b/crates/engine/src/fencing.rs
@@ -1,14 +1,15 @@
-//! Asks the node beside an upstream what became of work when the way to it broke.
+//! Resolution of attempts whose connection broke, by asking the node beside the upstream.
 //!
 //! ```text
-//! dispatch ── connection lost ──▶ FenceAsk ──▶ not begun: never will be ──▶ sent elsewhere
-//!                                          └─▶ begun ────────────────────▶ "may have run"
+//! dispatch ── connection lost ──▶ FenceAsk ──▶ not started: never will be ──▶ retried elsewhere
+//!                                          └─▶ started ────────────────────▶ "may have run"
 //! ```
 //!
-//! Failure: something between two nodes resets their connections, and every request on them that
-//! must not repeat ends with "may have run", though most never reached a backend server. Only the
-//! node beside a backend server can hand work to it, so its word is enough: what it has not begun
-//! when it is asked, it refuses from then on.
+//! When a device between two nodes resets their connections, every non-idempotent request on these
+//! connections would end with "may have run", although most never reached a backend server. Only
+//! the node beside a backend server can forward work to it, so the answer of that node is
+//! authoritative: an attempt that was not started when the question arrives is refused from then
+//! on.
 
 use std::time::Duration;
 
@@ -23,23 +24,24 @@
 use crate::node::{NodeEngine, TimerPurpose};
 use crate::request::{OpenAttempt, RequestPhase, WorkPhase};
 
-/// Longest wait for the answer: a new connection and a round trip, many times over. After it the
-/// caller is told that its request may have run.
+/// Maximum wait for the answer: several times a new connection and a round trip. After that the
+/// caller is answered that its request may have run.
 const FENCE_WAIT: Duration = Duration::from_millis(300);
-/// How long a node remembers what it has begun or refused: longer than any request lasts.
-const FENCE_MEMORY: Duration = Duration::from_secs(30);
+/// Time for which a node remembers attempts that it started or refused: longer than the lifetime of
+/// any request.
+const FENCE_RETENTION: Duration = Duration::from_secs(30);
 
-/// What a node remembers of attempts that were offered to it.
+/// Recorded state of an attempt that was offered to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FenceMark {
-    /// The backend server was handed it.
+    /// The attempt was forwarded to the backend server.
     Begun,
-    /// It was asked about before it was begun, and is refused from then on.
+    /// The attempt was not started when its ingress node asked, and is refused from then on.
     Refused,
 }
 
 impl NodeEngine {
-    /// Asks about an attempt whose end is not known. False when nobody can tell.
+    /// Asks the executor about an attempt with an unknown end. Returns false if no node can answer.
     pub(crate) fn ask_fence(
         &mut self,
         now: Duration,
@@ -49,16 +51,16 @@
         out: &mut Vec<NodeCommand>,
     ) -> bool {
         let own = self.own.instance.node;
-        let way_broke = report.kind == SampleKind::ConnectionLost && report.load.is_none();
+        let connection_lost = report.kind == SampleKind::ConnectionLost && report.load.is_none();
         let unknown = report.run == RunState::Unknown && attempt.upstream.node != own;
-        if !self.has_fleet_form() || !way_broke || !unknown {
+        if !self.has_fleet_form() || !connection_lost || !unknown {
             return false;
         }
-        let lives = self.instance_of(attempt.upstream.node) == Some(attempt.executor);
+        let is_current = self.instance_of(attempt.upstream.node) == Some(attempt.executor);
         let Some(state) = self.requests.get_mut(&id) else {
             return false;
         };
-        if !lives || state.rule.repeat == RepeatClass::Idempotent {
+        if !is_current || state.rule.repeat == RepeatClass::Idempotent {
             return false;
         }
         state.phase = RequestPhase::Resolving;
@@ -71,7 +73,7 @@
         true
     }
 
-    /// The answer came, or did not come in time.
+    /// Processes the answer, or the end of the wait for the answer if `number` is `None`.
     pub(crate) fn on_fence_answer(
         &mut self,
         now: Duration,
@@ -103,7 +105,8 @@
         self.try_elsewhere(now, id, &report, out);
     }
 
-    /// A peer asks what became of an attempt that it offered.
+    /// Answers a peer that asks about an attempt it offered, and refuses the attempt if it was not
+    /// started.
     pub(crate) fn on_fence_ask(
         &mut self,
         now: Duration,
@@ -121,7 +124,8 @@
             {
                 upstream.gate.cancel(now, work);
             }
-            // Nobody reads this refusal: the way it would take is the one that broke.
+            // The peer does not receive this refusal, because the connection it would use is the
+            // broken one.
             self.refuse_gated(now, work, RefusalCode::Draining, None, out);
         }
         let begun = self.fence_mark(attempt) == Some(FenceMark::Begun);
@@ -132,19 +136,19 @@
         self.send_peer(from, answer, out);
     }
 
-    /// What is remembered of an attempt.
+    /// Returns the recorded state of an attempt.
     pub(crate) fn fence_mark(&self, attempt: AttemptId) -> Option<FenceMark> {
         self.fences.get(&attempt).map(|(mark, _)| *mark)
     }
 
-    /// Remembers what became of an attempt.
+    /// Records the state of an attempt.
     pub(crate) fn mark_fence(&mut self, now: Duration, attempt: AttemptId, mark: FenceMark) {
         if self.has_fleet_form() {
-            self.fences.insert(attempt, (mark, now + FENCE_MEMORY));
+            self.fences.insert(attempt, (mark, now + FENCE_RETENTION));
         }
     }
 
-    /// Forgets attempts that no request can still wait for.
+    /// Removes entries that no request can still depend on.
     pub(crate) fn forget_fences(&mut self, now: Duration) {
         self.fences.retain(|_, (_, until)| *until > now);
     }
--- a/crates/engine/src/standing.rs
+++ b/crates/engine/src/health.rs
@@ -1,13 +1,13 @@
-//! What the fleet is told of the backend server beside this node, and what it makes of such news.
+//! Health reports on local backend servers, and the handling of reports from other nodes.
 //!
 //! ```text
-//! breaker turns ──▶ work that waits here is refused, not run
-//!             └───▶ news to callers' nodes ──▶ their next choices, and repeats of what hangs here
+//! breaker turns ──▶ queued work here is refused as not run
+//!             └───▶ report to callers' nodes ──▶ next selections, repeats of waiting requests
 //! ```
 //!
-//! Pattern: some of a service's servers stop answering for a while. Whoever must find that out by
-//! asking loses a try, and work that must not repeat is lost with it. The node beside the server
-//! knows first, and its word is a few bytes.
+//! When some servers of a service stop answering, a caller's node that finds out by sending
+//! requests loses an attempt each time, and the attempt of a non-idempotent request cannot be
+//! repeated. The node beside the server knows first, and its report takes a few bytes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -24,47 +24,50 @@
 use crate::note::NodeNote;
 use crate::request::WorkPhase;
 
-/// Change of the chance of failing that is news although nothing turned.
-const NEWS_STEP: f64 = 0.35;
+/// Change of the failure chance that is reported even if the server did not turn suspect or
+/// healthy.
+const REPORTED_CHANCE_STEP: f64 = 0.35;
 
-/// Chance of failing from which repeatable work that waits there is sent elsewhere as well: more likely
-/// than not. A repeat for nothing costs a slot for the time of one run.
-const REPEAT_FROM: f64 = 0.5;
+/// Failure chance from which idempotent requests waiting at an upstream are also sent elsewhere:
+/// failure is more likely than success. An unneeded repeat occupies a slot for the time of one run.
+const REPEAT_CHANCE: f64 = 0.5;
 
-/// What was last told of a backend server.
+/// Health of a backend server as last reported to callers' nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ToldStanding {
+pub(crate) struct ReportedHealth {
     suspect: bool,
     chance: f64,
 }
 
 impl NodeEngine {
-    /// Odds in nats that a backend server of this node fails part of its requests.
+    /// Returns the odds, in nats, that a local backend server fails part of its requests.
     pub(crate) fn odds_of(&self, slot: u16) -> f64 {
         let upstream = self.upstreams.get(&slot);
         upstream.map_or(0.0, |upstream| upstream.breaker.odds(self.now))
     }
 
-    /// Looks at what the passing of time makes of runs that stay open.
-    pub(crate) fn tick_standings(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    /// Updates the health of local backend servers for runs that take long.
+    pub(crate) fn tick_health(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if !self.has_fleet_form() {
             return;
         }
         let slots: Vec<u16> = self.upstreams.keys().copied().collect();
         for slot in slots {
-            self.learn_usual(slot);
-            self.check_standing(now, slot, None, out);
-            self.settle_late_runs(now, slot, out);
+            self.update_usual_failing(slot);
+            self.check_health(now, slot, None, out);
+            self.report_late_runs(now, slot, out);
         }
     }
 
-    /// Failure: a request begins on a server that is known to be failing, as a trial or because all
-    /// others are as bad. Nothing turns any more, so no news is told, and the request waits there until
-    /// its deadline. Its caller's node hears when it lasts longer than sound runs do, and sends it
-    /// elsewhere as well.
+    /// Reports runs on suspect servers that are late, and ends their trials.
     ///
-    /// A trial that has hung is over, so that the next one may follow.
-    fn settle_late_runs(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
+    /// A request can start on a server that is already suspect, as a trial or because all others
+    /// are as bad. No change of health is reported then, and the request would wait there until its
+    /// deadline. The caller's node is therefore notified when a run exceeds the time of healthy
+    /// runs, and sends the request elsewhere as well.
+    ///
+    /// A late trial counts as ended, so that the next trial can start.
+    fn report_late_runs(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
         let Some(upstream) = self.upstreams.get_mut(&slot) else {
             return;
         };
@@ -84,12 +87,12 @@
         let id = upstream_id(self.own.instance, slot);
         let load = self.load_of(slot);
         for caller in callers {
-            self.tell_standing(now, caller, id, &service, load, out);
+            self.send_health(now, caller, id, &service, load, out);
         }
     }
 
-    /// Tells one node, which may be this one.
-    fn tell_standing(
+    /// Sends a health report to one node, which may be this one.
+    fn send_health(
         &mut self,
         now: Duration,
         to: InstanceId,
@@ -110,8 +113,8 @@
         self.send_peer(to, message, out);
     }
 
-    /// Tells the breaker which share of its service's servers fails.
-    fn learn_usual(&mut self, slot: u16) {
+    /// Passes the usual fraction of failing servers of the service to the breaker.
+    fn update_usual_failing(&mut self, slot: u16) {
         if !self.settings.policy.is_on(PolicyMechanism::UsualShare) {
             return;
         }
@@ -123,8 +126,9 @@
         }
     }
 
-    /// Acts when a backend server turned suspect or sound; `kind` is the end of a run that decided it.
-    pub(crate) fn check_standing(
+    /// Reports a backend server that turned suspect or healthy, or whose failure chance changed
+    /// much; `kind` is the end of the run that caused the check.
+    pub(crate) fn check_health(
         &mut self,
         now: Duration,
         slot: u16,
@@ -134,23 +138,23 @@
         let Some(upstream) = self.upstreams.get_mut(&slot) else {
             return;
         };
-        let standing = ToldStanding {
+        let standing = ReportedHealth {
             suspect: upstream.breaker.is_suspect(now),
             chance: upstream.breaker.chance(now),
         };
-        let told = upstream.told.unwrap_or(ToldStanding {
+        let told = upstream.told.unwrap_or(ReportedHealth {
             suspect: false,
             chance: 0.0,
         });
-        let turned = standing.suspect != told.suspect;
-        let moved = (standing.chance - told.chance).abs() >= NEWS_STEP;
-        if !turned && !moved {
+        let suspicion_changed = standing.suspect != told.suspect;
+        let chance_changed = (standing.chance - told.chance).abs() >= REPORTED_CHANCE_STEP;
+        if !suspicion_changed && !chance_changed {
             return;
         }
         upstream.told = Some(standing);
         let service = upstream.announced.service.clone();
         let id = upstream_id(self.own.instance, slot);
-        if turned {
+        if suspicion_changed {
             out.push(NodeCommand::Note(NodeNote::BreakerTurned {
                 id,
                 service: service.clone(),
@@ -162,17 +166,19 @@
         let load = self.load_of(slot);
         self.on_standing(now, id, &service, load, out);
         if self.settings.policy.is_on(PolicyMechanism::ToldStandings) {
-            self.spread_standing(id, &service, load, out);
+            self.send_health_to_callers(id, &service, load, out);
         }
-        if turned && standing.suspect {
-            self.release_queue(now, slot, out);
+        if suspicion_changed && standing.suspect {
+            self.refuse_suspect_queue(now, slot, out);
         }
     }
 
-    /// Failure: work waits for a slot of a server that stops answering, and its time runs out there.
-    /// It is refused as not run, so that it goes elsewhere while it still can; what was sent here
-    /// because all others are as bad stays.
-    fn release_queue(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
+    /// Refuses work that waits for a slot of a server that turned suspect.
+    ///
+    /// The time of such work would run out in the queue of a server that stopped answering. Refused
+    /// as not run, the work can still go elsewhere. Work that was forced onto this server, because
+    /// the others are as bad, stays.
+    fn refuse_suspect_queue(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
         let queued = self.works.iter().filter(|(_, work)| {
             work.offer.slot == slot && work.phase == WorkPhase::Queued && !work.offer.insist
         });
@@ -185,12 +191,13 @@
         }
     }
 
-    /// Tells the nodes that have work here, and only them.
+    /// Sends a health report to the nodes that have work here, and only to them.
     ///
-    /// Failure: all callers' nodes hear that a server is suspect, all keep away from it at once, and for
-    /// long after it is whole. The servers that are left are full, and a tenth of the requests is refused.
-    /// A node without work here learns of it from its next refusal, which costs a way there and back.
-    fn spread_standing(
+    /// If the nodes of all callers received the report, all would avoid the server at once and long
+    /// after its recovery. The remaining servers would be full, and a tenth of the requests would
+    /// be refused. A node without work here gets the information with its next refusal, at the cost
+    /// of a round trip.
+    fn send_health_to_callers(
         &mut self,
         id: UpstreamId,
         service: &ServiceName,
@@ -198,15 +205,16 @@
         out: &mut Vec<NodeCommand>,
     ) {
         let own = self.own.instance.node;
-        let here = self.works.values();
-        let here = here.filter(|work| work.offer.slot == id.slot && work.offer.from.node != own);
-        let peers: BTreeSet<InstanceId> = here.map(|work| work.offer.from).collect();
+        let local_works = self.works.values();
+        let local_works =
+            local_works.filter(|work| work.offer.slot == id.slot && work.offer.from.node != own);
+        let peers: BTreeSet<InstanceId> = local_works.map(|work| work.offer.from).collect();
         for peer in peers {
-            self.tell_standing(self.now, peer, id, service, load, out);
+            self.send_health(self.now, peer, id, service, load, out);
         }
     }
 
-    /// Takes in what the node beside an upstream tells of it.
+    /// Processes the health report of the node beside an upstream.
     pub(crate) fn on_standing(
         &mut self,
         now: Duration,
@@ -218,21 +226,23 @@
         if let Some(pool) = self.pools.get_mut(service) {
             pool.hint(now, id, load);
         }
-        let silent = load.failing_chance() >= REPEAT_FROM;
-        if silent && self.settings.policy.is_on(PolicyMechanism::SilentRepeats) {
-            self.repeat_silent(now, id, out);
+        let likely_failing = load.failing_chance() >= REPEAT_CHANCE;
+        if likely_failing && self.settings.policy.is_on(PolicyMechanism::SilentRepeats) {
+            self.repeat_waiting(now, id, out);
         }
     }
 
-    /// Sends what waits for a suspect upstream elsewhere as well, where it may be repeated. The first
-    /// attempt goes on; the one that answers first ends the other, which frees its slot.
-    fn repeat_silent(&mut self, now: Duration, id: UpstreamId, out: &mut Vec<NodeCommand>) {
+    /// Sends idempotent requests that wait for a suspect upstream elsewhere as well.
+    ///
+    /// The first attempt continues. The first answer cancels the other attempt, which frees its
+    /// slot.
+    fn repeat_waiting(&mut self, now: Duration, id: UpstreamId, out: &mut Vec<NodeCommand>) {
         let waiting = self.requests.iter().filter(|(_, state)| {
             state.open.len() == 1
                 && state.open[0].upstream == id
                 && state.rule.hedge
                 && state.caller.replayable
-                && !state.has_run_everywhere()
+                && !state.has_reached_run_limit()
         });
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -1,11 +1,11 @@
-//! The caller side: from a request's arrival to its final answer.
+//! Ingress: from the arrival of a request to its first dispatch.
 //!
 //! ```text
 //! arrival ─ route ─ share ─┬─ idempotent ───────────────▶ pick ─ dispatch ─ end ─ answer
 //!                          └─ keyed ─ body ─ pick ─ grant ──────▶ dispatch ─┘
 //! ```
 //!
-//! This module takes a request up to its dispatch; `dispatch`, `ending` and `budgets` go on.
+//! The modules `dispatch`, `ending` and `budgets` handle the later steps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,12 +27,12 @@
 use crate::note::{NodeNote, RequestSummary};
 use crate::request::{RequestPhase, RequestState};
 
-/// When a caller refused by a leaving or starting node should come back.
-const ELSEWHERE_WAIT: Duration = Duration::from_millis(500);
-/// Longest time that a request waits for a share of its customer's limits.
-const SHARE_PATIENCE: Duration = Duration::from_secs(1);
+/// Retry delay given to callers that a leaving or starting node refuses.
+const NODE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum time that a request waits for a share of its customer's limits.
+const MAX_SHARE_WAIT: Duration = Duration::from_secs(1);
 
-/// What holds for a request: its customer, its route, and its client account under a fleet contract.
+/// Customer, route and, under a fleet contract, client account of a request.
 type RequestTerms = (TableIndex, RouteRule, Option<Arc<AccountRule>>);
 
 impl NodeEngine {
@@ -47,14 +47,15 @@
         let customer = self.account_named_by(&caller);
         match self.open_request(now, caller) {
             Ok(state) => {
-                // Failure: callers come again and again to a leaving node that refuses them, and it
-                // stays until it is ended by force. Only those that it serves keep it.
+                // Only requests that the node serves keep a leaving node running. If refused ones
+                // counted, callers that keep retrying would keep it running until the platform
+                // kills it.
                 self.last_request = now;
                 self.timers
                     .insert((state.deadline, TimerPurpose::Deadline, id));
                 self.requests.insert(id, state);
                 if self.has_fleet_form() {
-                    self.begin(now, id, out);
+                    self.start_request(now, id, out);
                 } else {
                     self.try_share(now, id, out);
                 }
@@ -84,11 +85,15 @@
         now: Duration,
         caller: CallerRequest,
     ) -> Result<RequestState, RequestRefusal> {
-        if self.takes_no_more(now) {
-            return Err(RequestRefusal::not_run(RefusalCode::Draining).retry_after(ELSEWHERE_WAIT));
+        if self.refuses_new_requests(now) {
+            return Err(
+                RequestRefusal::not_run(RefusalCode::Draining).retry_after(NODE_RETRY_DELAY)
+            );
         }
         if !self.knows_contracts() {
-            return Err(RequestRefusal::not_run(RefusalCode::NotReady).retry_after(ELSEWHERE_WAIT));
+            return Err(
+                RequestRefusal::not_run(RefusalCode::NotReady).retry_after(NODE_RETRY_DELAY)
+            );
         }
         let (customer, rule, account) = self.route_of(&caller).map_err(RequestRefusal::not_run)?;
         if caller
@@ -97,7 +102,8 @@
         {
             return Err(RequestRefusal::not_run(RefusalCode::BodyTooLarge));
         }
-        let key = key_of(&rule, caller.key.as_deref()).map_err(RequestRefusal::not_run)?;
+        let key =
+            idempotency_key_of(&rule, caller.key.as_deref()).map_err(RequestRefusal::not_run)?;
         if let Some(account) = &account {
             self.take_quota(now, account)?;
         }
@@ -117,7 +123,7 @@
             arrived: now,
             deadline: now + time,
             phase: RequestPhase::AwaitingShare,
-            plan: plan_of(idempotent, now + time, self.has_fleet_form()),
+            plan: retry_plan_for(idempotent, now + time, self.has_fleet_form()),
             open: Vec::new(),
             attempts: 0,
             key,
@@ -127,24 +133,27 @@
             signature,
             share_held: false,
             share_next: None,
-            held: Vec::new(),
-            insisted: false,
+            rejected_by: Vec::new(),
+            was_forced: false,
             uncertain: 0,
             arrivals: 0,
             first_arrival,
             repeats_refused: 0,
             last: None,
-            last_at: None,
+            last_upstream: None,
             crashed_twice: false,
             caller,
             rule,
         })
     }
 
-    /// Failure: a leaving node tells that nothing is left, a caller's request comes while its process
-    /// stops, and its connection is cut with the request at an upstream. A node that has told so
-    /// refuses, as does one that has served on for as long as a leaving node does.
-    fn takes_no_more(&self, now: Duration) -> bool {
+    /// Returns whether this node is leaving and no longer accepts requests.
+    ///
+    /// A node that reported itself drained is stopped at any moment, which would cut the connection
+    /// of a new request while an upstream runs it. The node refuses from then on, and also once it
+    /// has served for [`EngineSettings::leave_serving`](crate::EngineSettings::leave_serving) while
+    /// leaving.
+    fn refuses_new_requests(&self, now: Duration) -> bool {
         let since = self.draining;
         self.handover == HandoverState::Drained
             || since.is_some_and(|since| now >= since + self.settings.leave_serving)
@@ -168,9 +177,9 @@
 
     /// Takes a share of the customer's limits, or waits for one that is expected soon.
     ///
-    /// Failure: the keeper of the share is gone and every try waits for its grant anew, so the
-    /// caller is refused only at the deadline. The whole wait ends after [`SHARE_PATIENCE`]. A
-    /// first lease can bring its first token later than the first wait, hence more than one try.
+    /// The total wait is bounded by [`MAX_SHARE_WAIT`]. Without the bound, a request whose share
+    /// keeper is gone would wait for a new grant again and again, until its deadline. More than one
+    /// attempt is needed because the first token of a first lease can arrive after the first wait.
     pub(crate) fn try_share(&mut self, now: Duration, id: RequestId, out: &mut Vec<NodeCommand>) {
         let Some(state) = self.requests.get_mut(&id) else {
             return;
@@ -186,8 +195,8 @@
         match admission {
             Admission::Admitted => {
                 state.share_held = true;
-                self.leave_queue(customer, id);
-                self.begin(now, id, out);
+                self.leave_share_queue(customer, id);
+                self.start_request(now, id, out);
             }
             Admission::Wait { until } => {
                 self.await_share(id, until);
@@ -195,19 +204,19 @@
             }
             Admission::Refused { .. } if state.share_next.is_some_and(|next| now < next) => {}
             Admission::Refused { retry_after } => {
-                let last = state.deadline.min(state.arrived + SHARE_PATIENCE);
+                let last = state.deadline.min(state.arrived + MAX_SHARE_WAIT);
                 if state.share_next.is_some() && now + retry_after < last {
                     self.await_share(id, now + retry_after);
                     return;
                 }
-                self.leave_queue(customer, id);
+                self.leave_share_queue(customer, id);
                 let refusal = RequestRefusal::not_run(RefusalCode::LimitExceeded);
-                self.refuse_asked(now, id, refusal.retry_after(retry_after), out);
+                self.refuse_after_guards(now, id, refusal.retry_after(retry_after), out);
             }
         }
     }
 
-    /// Has a request tried again when a share is granted, and at the latest then.
+    /// Queues a request for a share and schedules the next attempt for `next` at the latest.
     fn await_share(&mut self, id: RequestId, next: Duration) {
         if let Some(state) = self.requests.get_mut(&id) {
             state.share_next = Some(next);
@@ -219,7 +228,7 @@
         }
     }
 
-    pub(crate) fn leave_queue(&mut self, customer: CustomerIndex, id: RequestId) {
+    pub(crate) fn leave_share_queue(&mut self, customer: CustomerIndex, id: RequestId) {
         if let Some(queue) = self.share_queue.get_mut(&customer) {
             queue.remove(&id);
             if queue.is_empty() {
@@ -228,12 +237,12 @@
         }
     }
 
-    /// Refuses a request that is not to be dispatched.
+    /// Refuses a request that will not be dispatched, after asking the guards of its key.
     ///
-    /// Failure: a booking ran, its reply was lost, and the resend meets a limit and is told "not
-    /// run"; the caller books again. So the guards of a key are asked first: they give the kept
-    /// reply, or make sure that no send of the key has run.
-    fn refuse_asked(
+    /// If a booking ran and its reply was lost, a resend that meets a limit must not be refused as
+    /// "not run", since the caller would book again. The guards return the stored reply, or ensure
+    /// that no earlier send of the key has run.
+    fn refuse_after_guards(
         &mut self,
         now: Duration,
         id: RequestId,
@@ -257,19 +266,20 @@
         }
     }
 
-    fn begin(&mut self, now: Duration, id: RequestId, out: &mut Vec<NodeCommand>) {
+    fn start_request(&mut self, now: Duration, id: RequestId, out: &mut Vec<NodeCommand>) {
         let fleet = self.has_fleet_form();
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
-        let pair = budget_entry(&mut self.budgets, state);
-        // Under a fleet contract the bound on repeats counts what reaches backend servers; only what
-        // may be repeated adds to it, since calls that a repeated run makes count as repeats too.
+        let customer_budgets = budget_entry(&mut self.budgets, state);
+        // Under a fleet contract the bound on repeats counts arrivals at backend servers. Only
+        // idempotent requests add to the retry budget, because calls made by a repeated run count
+        // as repeats too.
         if !fleet || state.rule.repeat == RepeatClass::Idempotent {
-            pair.retries.deposit(now);
+            customer_budgets.retries.deposit(now);
         }
-        pair.resends.deposit(now);
-        pair.hedges.deposit(now);
+        customer_budgets.resends.deposit(now);
+        customer_budgets.hedges.deposit(now);
         if state.key.is_some() {
             self.read_body(id, out);
         } else {
@@ -278,7 +288,7 @@
         }
     }
 
-    /// A keyed request's body is known: choose an upstream and ask the key's guards.
+    /// Selects an upstream for a keyed request whose body was read, and asks the guards of the key.
     pub(crate) fn on_body(
         &mut self,
         now: Duration,
@@ -312,14 +322,16 @@
     }
 }
 
-fn plan_of(idempotent: bool, deadline: Duration, fleet: bool) -> RetryPlan {
+fn retry_plan_for(idempotent: bool, deadline: Duration, fleet: bool) -> RetryPlan {
     let plan = RetryPlan::new(idempotent, deadline);
     if fleet { plan.patient() } else { plan }
 }
 
-/// The key of a request that must not repeat; none when it may, or when the contract lets it run
-/// once for each send.
-fn key_of(rule: &RouteRule, key: Option<&str>) -> Result<Option<KeyId>, RefusalCode> {
+/// Returns the idempotency key of a non-idempotent request.
+///
+/// Returns `None` for idempotent requests, and for requests without a key if the contract then lets
+/// each send run once.
+fn idempotency_key_of(rule: &RouteRule, key: Option<&str>) -> Result<Option<KeyId>, RefusalCode> {
     if rule.repeat == RepeatClass::Idempotent {
         return Ok(None);
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -10,20 +10,22 @@
 //!                          └ membership ─ NodeRoster
 //! ```
 //!
-//! The same code runs in the daemon and in golden sessions: time is passed in as the time since
-//! the node started, and randomness as a seed.
+//! The daemon and the tests with recorded sessions run the same code: the time since the node
+//! started is an argument, and randomness comes from a seed.
 //!
-//! A request's way: it arrives at any node (ingress), which finds its route, takes a share of the
-//! customer's limits, asks the key's guards where it must not repeat, and dispatches it to an
-//! upstream. The node beside that upstream (executor) gives it a slot or refuses it.
+//! A request may arrive at any node. This ingress node finds the route, takes a share of the
+//! customer's limits, asks the guards of the key if the request is not idempotent, and dispatches
+//! the request to an upstream. The node beside that upstream, the executor, assigns a slot or
+//! refuses the request.
 
 mod agreement;
 mod announcing;
+mod breaker;
 mod budgets;
 mod command;
 mod contact;
 mod contracts;
-mod crashing;
+mod crash_requests;
 mod dispatch;
 mod ending;
 mod event;
@@ -32,7 +34,7 @@
 mod fleet;
 mod following;
 mod guarding;
-mod holding;
+mod health;
 mod ingress;
 mod joining;
 mod leaving;
@@ -47,7 +49,6 @@
 mod repeats;
 mod request;
 mod settings;
-mod standing;
 mod status;
 
 pub use command::{AttemptOrder, NodeCommand};
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other over the inner protocol's message streams.
+//! Messages that nodes exchange over the streams of the peer protocol.
 
 use std::time::Duration;
 
@@ -11,126 +11,129 @@
 
 use crate::leaving::LeavingMessage;
 
-/// One message between two nodes. Each may be lost, repeated or overtaken.
+/// A message between two nodes. Any message may be lost, duplicated or reordered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerMessage {
-    /// At-most-once grants, custody and records.
+    /// At-most-once grants, custody transfers and records.
     Guard(GuardMessage),
     /// Shares of a customer's limits.
     Share(ShareMessage),
-    /// Which members the sender shares limits with.
+    /// Digest of the members with which the sender shares limits.
     RosterDigest {
-        /// Hash over the members and their lives.
+        /// Hash of the members and their incarnations.
         digest: u64,
     },
-    /// The members that the sender shares limits with, sent to a peer that keeps using others.
+    /// The members with which the sender shares limits, sent to a peer whose digest stays
+    /// different.
     ShareList {
-        /// The members, silent ones too.
+        /// The members, including those that do not respond.
         members: Vec<ShareMember>,
-        /// Lives that said goodbye.
+        /// Instances that announced their departure.
         left: Vec<InstanceId>,
     },
-    /// A request that crashed a backend server.
+    /// Reports on requests that crashed a backend server, and turns to run them.
     Crash(CrashMessage),
-    /// What the sender saw of a service's upstreams.
+    /// Failures and latencies that the sender observed at the upstreams of a service.
     Evidence {
-        /// The service.
+        /// Service of the upstreams.
         service: ServiceName,
-        /// The evidence.
+        /// Observations of each upstream.
         evidence: Vec<UpstreamEvidence>,
     },
-    /// What the node beside an upstream tells those who have work there: that it turned suspect or sound, or
-    /// that a run of theirs has become late on a suspect one.
+    /// Health of an upstream, sent by the node beside the upstream to nodes with work there when
+    /// the upstream turns suspect or healthy, or when one of their runs on a suspect upstream is
+    /// late.
     Standing {
-        /// The service.
+        /// Service of the upstream.
         service: ServiceName,
-        /// The upstream, beside the sender.
+        /// The upstream, which is local to the sender.
         id: UpstreamId,
-        /// Its load, and the chance that it fails part of its requests.
+        /// Load of the upstream, and the chance that it fails part of its requests.
         load: LoadHint,
     },
-    /// Asks what became of an attempt that the sender offered, and has it refused unless it was begun.
+    /// Asks for the state of an attempt that the sender offered. The receiver refuses the attempt
+    /// from then on unless it was started.
     FenceAsk {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
     },
-    /// What became of it.
+    /// Answer to `FenceAsk`.
     FenceAnswer {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
-        /// Whether a backend server was handed it; if not, none will be.
+        /// Whether a backend server was given the attempt; if false, none will be.
         begun: bool,
     },
-    /// Asks how far the receiver has read the contracts.
+    /// Asks up to which offset the receiver has read the contract stream.
     HeadAsk {
-        /// Number of the question.
+        /// Number that matches the reply to the question.
         ask: u64,
     },
-    /// How far the sender has read the contracts.
+    /// Answer to `HeadAsk`.
     HeadReply {
-        /// Number of the question.
+        /// Number that matches the reply to the question.
         ask: u64,
-        /// Offset of the next contract record it expects.
+        /// Offset of the next contract record that the sender expects.
         offset: u64,
     },
-    /// Asks for contracts.
+    /// Requests contracts.
     ContractPull {
-        /// Which.
+        /// Which contracts are requested.
         ask: ContractAsk,
     },
-    /// Some contracts, in the contract package's own form.
+    /// A page of contracts, in the encoding of the contract package.
     ContractPage {
-        /// What was asked for.
+        /// The request that the page answers.
         ask: ContractAsk,
         /// The page, as JSON.
         page: Vec<u8>,
     },
-    /// Tells that the sender has this version of the fleet contract, to be taken from it.
+    /// Announces that the sender can serve this version of the fleet contract.
     FleetHead {
-        /// The version.
+        /// Version of the fleet contract.
         version: u64,
     },
-    /// What was admitted of client accounts, and the parts of their quotas.
+    /// Admitted requests of client accounts, and the parts of their quotas.
     Quota(QuotaMessage),
-    /// Backend servers that leave, kept for the next life of the node beside them.
+    /// Leaving backend servers, remembered for the next life of the node beside them.
     Leaving(LeavingMessage),
-    /// The source of the fleet contract was reached, and had no contract.
+    /// Reports that the source of the fleet contract was reached and had no contract.
     SourceSeen {
-        /// How long ago.
+        /// Time since the source was reached.
         age: Duration,
     },
-    /// The sender, or an ancestor in the tree of its failure domain, reached the source of the fleet
-    /// contract. Sent periodically to the children in that tree.
+    /// Reports that the sender, or an ancestor in the distribution tree of its failure domain,
+    /// reached the source of the fleet contract. Sent periodically to the children in that tree.
     SourceContact {
-        /// How long ago.
+        /// Time since the source was reached.
         age: Duration,
-        /// The version that the sender has.
+        /// Version that the sender has.
         version: u64,
     },
-    /// Asks for what the sender lacks of the membership.
+    /// Requests the parts of the membership that the sender lacks.
     RosterAsk {
-        /// Hashes of what it holds.
+        /// Hashes of the membership state that the sender holds.
         hashes: Vec<u8>,
     },
-    /// What the receiver lacks of the membership.
+    /// Membership state that the receiver lacks.
     RosterState {
-        /// The state, taken like a datagram.
+        /// The state, handled like a gossip datagram.
         state: RosterMessage,
     },
 }
 
-/// Which contracts a node asks a peer for.
+/// Contracts that a node requests from a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ContractAsk {
-    /// The page after a customer, the first for none.
+    /// The page that follows this customer; the first page for `None`.
     Page(Option<CustomerName>),
-    /// Everything newer than this version.
+    /// All contracts newer than this version.
     Newer(u64),
-    /// The fleet contract, if it is newer than this version.
+    /// The fleet contract, if the peer has a newer version.
     Fleet {
-        /// The version that the asker has, 0 for none.
+        /// Version that the requesting node has; 0 for none.
         newer_than: u64,
     },
 }
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its parts, and the way of an event through them.
+//! The engine of one node: its state, event dispatch, timers and draining.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,10 +17,11 @@
 use sycamorelink_roster::{MemberFacts, NodeRoster, RosterEvent};
 
 use crate::command::NodeCommand;
-use crate::dispatch::QUIET_FOR;
+use crate::dispatch::OVERDUE_AVOIDANCE;
 use crate::event::{LifeId, NodeEvent, UpstreamAnnouncement};
 use crate::fencing::FenceMark;
 use crate::fleet::{ContractForm, FleetState};
+use crate::health::ReportedHealth;
 use crate::joining::JoinState;
 use crate::leaving::LeavingRecords;
 use crate::meeting::MeetingState;
@@ -28,78 +29,77 @@
 use crate::repeats::RepeatPots;
 use crate::request::{RequestState, WorkState};
 use crate::settings::EngineSettings;
-use crate::standing::ToldStanding;
 
-/// Time between two runs of the periodic work.
+/// Interval of the periodic work.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the news of a leaving node takes to reach every peer.
-pub(crate) const LEAVE_NEWS: Duration = Duration::from_secs(2);
-/// How long callers must have been quiet before a leaving node stops.
-pub(crate) const LEAVE_QUIET: Duration = Duration::from_millis(500);
-/// Runs of the periodic work, ten a second, in which a leaving node looks for takers of its seats.
-/// Time in which it stood still does not count.
+/// Time in which gossip carries the departure of a node to every peer.
+pub(crate) const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(2);
+/// Time without caller requests after which a leaving node may stop.
+pub(crate) const LEAVE_QUIET_TIME: Duration = Duration::from_millis(500);
+/// Number of periodic runs, at ten per second, in which a leaving node tries to hand over its guard
+/// seats. Counting runs excludes time in which the process was paused.
 pub(crate) const HANDOVER_TICKS: u32 = 100;
-/// How long a leaving backend server still takes work from peers that have not heard of it.
+/// Time in which a leaving backend server accepts work from peers that still list it as ready.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_secs(1);
 
-/// Budgets of one customer at one service.
+/// Retry, resend and hedge budgets of one customer at one service.
 #[derive(Debug)]
 pub(crate) struct BudgetPair {
     pub(crate) retries: RetryBudget,
-    /// Sends after one that the backend server turned away unrun.
+    /// Budget for new attempts after the backend server declined to run one.
     pub(crate) resends: RetryBudget,
     pub(crate) hedges: RetryBudget,
 }
 
-/// A backend server beside this node.
+/// State of a backend server beside this node.
 #[derive(Debug)]
 pub(crate) struct LocalUpstream {
     pub(crate) announced: UpstreamAnnouncement,
     pub(crate) gate: SlotGate,
     pub(crate) breaker: UpstreamBreaker,
-    /// Repeats that it may be handed; none before the first.
+    /// Budget of repeats that the server may be given; `None` before the first repeat.
     pub(crate) repeats: Option<RepeatPots>,
-    /// What callers' nodes were last told of it.
-    pub(crate) told: Option<ToldStanding>,
-    /// When the announcement lapses unless it is renewed.
+    /// Health last reported to the nodes of callers.
+    pub(crate) told: Option<ReportedHealth>,
+    /// Time at which the announcement expires unless renewed.
     pub(crate) lapses: Duration,
-    /// When a leaving backend server takes no more work.
+    /// Time from which a leaving backend server accepts no more work.
     pub(crate) closes: Option<Duration>,
-    /// Counts the lives of the backend server.
+    /// Number of lives of the backend server so far.
     pub(crate) life: u64,
-    /// Whether it may be given work.
+    /// Whether the server may be given work.
     pub(crate) up: bool,
-    /// Lives that ended, newest last.
+    /// Lives that ended, oldest first.
     pub(crate) ended: Vec<LifeId>,
 }
 
-/// What a timer is for.
+/// Purpose of a request timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerPurpose {
-    /// The request's deadline.
+    /// Deadline of the request.
     Deadline,
-    /// A second attempt, unless the first has ended.
+    /// Second attempt, unless the first has ended.
     Hedge,
-    /// Another try for a share of the limits.
+    /// Next attempt to take a share of the limits.
     Share,
-    /// The end of the wait for word of a lost attempt.
+    /// End of the wait for a `FenceAnswer` about a lost attempt.
     Fence,
 }
 
-/// How far a leaving node is.
+/// Progress of a leaving node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HandoverState {
-    /// Its seats of the guard are not handed over.
+    /// The node still holds its guard seats.
     #[default]
     SeatsHeld,
-    /// They are.
+    /// The guard seats are handed over.
     SeatsGiven,
-    /// Nothing is in flight either; the daemon was told.
+    /// Nothing is in flight either, and the daemon was notified.
     Drained,
 }
 
-/// One node's decisions.
+/// The decision logic of one node, with all its state.
 #[derive(Debug)]
 pub struct NodeEngine {
     pub(crate) own: MemberFacts,
@@ -119,19 +119,19 @@
     pub(crate) share_queue: BTreeMap<CustomerIndex, BTreeSet<RequestId>>,
     pub(crate) crash: CrashRegistry,
     pub(crate) pools: BTreeMap<ServiceName, ServicePool>,
-    /// When a request last asked for a service.
+    /// Time of the latest request for each service.
     pub(crate) pool_used: BTreeMap<ServiceName, Duration>,
     pub(crate) budgets: BTreeMap<(CustomerIndex, ServiceName), BudgetPair>,
     pub(crate) upstreams: BTreeMap<u16, LocalUpstream>,
-    /// Attempts that were begun or refused here, and until when that is remembered.
+    /// Attempts that were started or refused here, and when each entry expires.
     pub(crate) fences: BTreeMap<AttemptId, (FenceMark, Duration)>,
-    /// Upstreams of other nodes that hold work off, and until when they are not asked again.
-    pub(crate) held_off: BTreeMap<UpstreamId, Duration>,
+    /// Upstreams of other nodes that are not selected for the moment, and until when.
+    pub(crate) avoided_upstreams: BTreeMap<UpstreamId, Duration>,
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
     pub(crate) works: BTreeMap<WorkId, WorkState>,
     pub(crate) turns: BTreeMap<u64, WorkId>,
-    /// Work whose failure is told once the other executors know of the crash.
-    pub(crate) held_works: BTreeMap<CrashVictim, Vec<WorkId>>,
+    /// Work whose failure is reported once the other executors acknowledged the crash report.
+    pub(crate) held_failures: BTreeMap<CrashVictim, Vec<WorkId>>,
     pub(crate) timers: BTreeSet<(Duration, TimerPurpose, RequestId)>,
     pub(crate) next_tick: Duration,
     pub(crate) next_pull: Duration,
@@ -144,7 +144,8 @@
     pub(crate) wall: Duration,
     pub(crate) heads: BTreeMap<NodeId, u64>,
     pub(crate) share_members: BTreeMap<NodeId, ShareMember>,
-    /// Lives that said goodbye, so that no peer that missed it brings them back.
+    /// Instances that announced their departure. Kept so that a peer that missed the announcement
+    /// does not add them again.
     pub(crate) share_left: BTreeSet<InstanceId>,
     pub(crate) roster_version: u64,
     pub(crate) roster_settled: u64,
@@ -153,29 +154,29 @@
     pub(crate) digests: BTreeMap<InstanceId, u64>,
     pub(crate) next_digest: Duration,
     pub(crate) next_anchor: Duration,
-    /// Since when this node leaves.
+    /// Time at which this node began to leave.
     pub(crate) draining: Option<Duration>,
     pub(crate) last_request: Duration,
-    /// Which work of the backend servers beside this node makes calls.
+    /// Rates at which each kind of work on the local backend servers makes calls.
     pub(crate) call_rates: CallRates,
-    /// The number of servers among which the bound on repeats of each service is divided.
+    /// Number of servers among which the bound on repeats of each service is divided.
     pub(crate) holder_counts: BTreeMap<ServiceName, HolderCount>,
     pub(crate) next_holder_count: Duration,
-    /// When a request without an account, which may be a call of the backend server beside this node, got a
-    /// failure as its answer.
-    pub(crate) call_failed: Option<Duration>,
+    /// Time of the latest failed answer to a request without an account. Such a request may be a
+    /// call made by the backend server beside this node.
+    pub(crate) last_failed_call: Option<Duration>,
     pub(crate) handover: HandoverState,
     leaving_ticks: u32,
-    /// Whether peers were told that this node ended.
+    /// Whether peers were notified that this node ended.
     departed: bool,
-    /// Time of the newest event.
+    /// Time of the latest event.
     pub(crate) now: Duration,
-    first_seeds: Vec<SocketAddr>,
+    initial_seeds: Vec<SocketAddr>,
     seeded: bool,
 }
 
 impl NodeEngine {
-    /// A node that knows nothing yet but itself.
+    /// Returns an engine whose only member is the node itself.
     ///
     /// `wall` is the wall-clock time since the Unix epoch at the node's own time zero.
     #[must_use]
@@ -218,11 +219,11 @@
             budgets: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             fences: BTreeMap::new(),
-            held_off: BTreeMap::new(),
+            avoided_upstreams: BTreeMap::new(),
             requests: BTreeMap::new(),
             works: BTreeMap::new(),
             turns: BTreeMap::new(),
-            held_works: BTreeMap::new(),
+            held_failures: BTreeMap::new(),
             timers: BTreeSet::new(),
             next_tick: Duration::ZERO,
             next_pull: Duration::ZERO,
@@ -230,7 +231,8 @@
             log_oldest: 0,
             contract_head: 0,
             next_carry: Duration::ZERO,
-            // Nodes that start together begin with different peers, so that not all ask the same one.
+            // Nodes that start together begin with different peers, which spreads their first
+            // pulls.
             pull_turn: first_asked,
             assembly: None,
             wall,
@@ -249,24 +251,25 @@
             call_rates: CallRates::default(),
             holder_counts: BTreeMap::new(),
             next_holder_count: Duration::ZERO,
-            call_failed: None,
+            last_failed_call: None,
             handover: HandoverState::default(),
             leaving_ticks: 0,
             departed: false,
             now: Duration::ZERO,
-            first_seeds: Vec::new(),
+            initial_seeds: Vec::new(),
             seeded: false,
         }
     }
 
-    /// Gossip addresses of some other nodes, the way into the fleet.
+    /// Sets the gossip addresses of other nodes through which this node joins the fleet.
     #[must_use]
     pub fn seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
-        self.first_seeds = seeds;
+        self.initial_seeds = seeds;
         self
     }
 
-    /// Takes one event at `now`, the time since the node started, and appends what is to be done.
+    /// Processes one event at `now`, the time since the node started, and appends the resulting
+    /// commands to `out`.
     pub fn handle(&mut self, now: Duration, event: NodeEvent, out: &mut Vec<NodeCommand>) {
         self.now = now;
         match event {
@@ -282,7 +285,7 @@
             NodeEvent::AttemptEnded(report) => self.on_attempt_ended(now, &report, out),
             NodeEvent::WorkOffered(offer) => self.on_work_offered(now, offer, out),
             NodeEvent::WorkCancelled { work } => self.on_work_cancelled(now, work, out),
-            NodeEvent::WorkBroke { work } => self.on_work_broke(now, work, out),
+            NodeEvent::WorkBroke { work } => self.on_work_connection_lost(now, work, out),
             NodeEvent::WorkEnded(report) => self.on_work_ended(now, &report, out),
             NodeEvent::PeerReceived { from, message } => {
                 self.on_peer_message(now, from, message, out);
@@ -296,7 +299,7 @@
             NodeEvent::PeerUnreachable { node } => {
                 self.tell_roster(now, RosterEvent::Unreachable { node }, out);
             }
-            NodeEvent::PeerQuiet { node } => self.hold_node_off(now, node, QUIET_FOR),
+            NodeEvent::PeerQuiet { node } => self.hold_node_off(now, node, OVERDUE_AVOIDANCE),
             NodeEvent::PeerReconnected { node } => self.on_reconnected(now, node, out),
             NodeEvent::UpstreamAnnounced(announced) => self.on_announced(now, announced, out),
             NodeEvent::UpstreamWithdrawn { slot, life } => {
@@ -325,11 +328,10 @@
         self.check_drained(now, out);
     }
 
-    /// When the next `Tick` is due, as time since the node started.
+    /// Returns the time at which the next `Tick` is due, as time since the node started.
     ///
-    /// Failure: a node that said goodbye is woken without end until its process stops, because the
-    /// membership no longer takes ticks and so stays due. It has nothing to do any more and is not
-    /// asked.
+    /// After a departure the membership ignores ticks and would stay due forever, which would wake
+    /// the node in a loop until its process stops. A departed node therefore skips the membership.
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let timer = self.timers.first().map(|(at, ..)| *at);
@@ -341,31 +343,31 @@
             .fold(self.next_tick, Duration::min)
     }
 
-    /// This life of this node.
+    /// Returns the instance of this node, with its incarnation.
     #[must_use]
     pub fn own_instance(&self) -> InstanceId {
         self.own.instance
     }
 
-    /// The compiled contracts in force.
+    /// Returns the compiled contracts in force.
     #[must_use]
     pub fn table(&self) -> &Arc<RouteTable> {
         &self.table
     }
 
-    /// The contracts as read from the log.
+    /// Returns the contracts as read from the log.
     #[must_use]
     pub fn book(&self) -> &ContractBook {
         &self.book
     }
 
-    /// Whether requests can be served: contracts are known, and the node is not leaving.
+    /// Returns whether requests can be served: contracts are known and the node is not leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.draining.is_none() && self.knows_contracts()
     }
 
-    /// Requests and pieces of work in flight.
+    /// Returns the number of requests and pieces of work in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.len() + self.works.len()
@@ -374,9 +376,9 @@
     fn on_tick(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if !self.seeded {
             self.seeded = true;
-            let seeds = std::mem::take(&mut self.first_seeds);
-            // Under a fleet contract seeds are read from a directory. A node that took itself for joined
-            // before it has any would take up the whole membership only slowly.
+            let seeds = std::mem::take(&mut self.initial_seeds);
+            // Under a fleet contract the seeds come from a directory. If an empty list counted as
+            // joined, the node would receive the whole membership only slowly.
             if !seeds.is_empty() || !self.has_fleet_form() {
                 self.tell_roster(now, RosterEvent::Seeds(seeds), out);
             }
@@ -402,7 +404,7 @@
         self.settle_roster(now, out);
         self.tick_shares(now, out);
         self.tick_pools(now, out);
-        self.tick_standings(now, out);
+        self.tick_health(now, out);
         self.tick_gates(now, out);
         self.tick_crash(now, out);
         self.forget_fences(now);
@@ -437,8 +439,8 @@
         }
     }
 
-    /// Begins to leave: peers are told at once, seats are handed over, and what is in flight is
-    /// finished before `Drained`.
+    /// Starts to leave: notifies peers and hands over the guard seats. `Drained` follows once
+    /// everything in flight has finished.
     fn on_drain(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if self.draining.is_some() {
             return;
@@ -448,13 +450,16 @@
         self.tell_guard(now, sycamorelink_guard::GuardEvent::DrainRequested, out);
     }
 
-    /// Failure: a node stops the moment it is idle, while peers that have not yet heard of its
-    /// leaving send it more work, which then fails. It stays for as long as the news takes, and
-    /// until callers have been quiet for a while.
+    /// Reports `Drained` once a leaving node can stop safely.
     ///
-    /// Failure: a node whose seats nobody can take, alone or cut off, never tells that it is
-    /// drained, and the platform ends it by force. Alone it waits for nobody; else it gives its
-    /// seats up after [`HANDOVER_TICKS`], and the survivors strike them as those of a dead node.
+    /// An idle node still waits for [`LEAVE_PROPAGATION_TIME`], since peers that do not know of its
+    /// departure yet would send work that fails, and for [`LEAVE_QUIET_TIME`] without requests from
+    /// callers.
+    ///
+    /// A node that is alone or cut off finds no taker for its guard seats, and without a bound
+    /// would wait until the platform kills it. Alone it does not wait for a handover; otherwise it
+    /// gives up after [`HANDOVER_TICKS`], and the survivors strike its seats like those of a dead
+    /// node.
     fn check_drained(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         let Some(since) = self.draining else {
             return;
@@ -462,13 +467,14 @@
         if self.handover == HandoverState::Drained {
             return;
         }
-        let heard = now >= since + LEAVE_NEWS && now >= self.last_request + LEAVE_QUIET;
+        let peers_informed =
+            now >= since + LEAVE_PROPAGATION_TIME && now >= self.last_request + LEAVE_QUIET_TIME;
         let idle = self.requests.is_empty() && self.works.is_empty();
-        let given = self.has_fleet_form()
+        let seats_settled = self.has_fleet_form()
             || self.handover == HandoverState::SeatsGiven
             || self.roster.member_count() < 2
             || self.leaving_ticks >= HANDOVER_TICKS;
-        if heard && idle && given {
+        if peers_informed && idle && seats_settled {
             self.handover = HandoverState::Drained;
             out.push(NodeCommand::Drained);
         }
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -1,4 +1,4 @@
-//! Things worth a numbered event, as types; the daemon turns them into log lines and metrics.
+//! Typed notes on what the engine did; the daemon turns them into log lines and metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,322 +15,323 @@
 use crate::event::WorkEnd;
 use crate::repeats::RepeatBudgetView;
 
-/// One thing worth an event.
+/// Occurrences that the daemon records as numbered events.
 #[derive(Clone, Debug)]
 pub enum NodeNote {
-    /// A request got its final answer; counted for burn.
+    /// A request got its final answer, which counts towards the error budget.
     RequestSettled(RequestSummary),
-    /// A request was tried again elsewhere.
+    /// A request was retried at another upstream.
     RetryMade {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
-        /// Where the failed attempt was.
+        /// Upstream of the failed attempt.
         from: UpstreamId,
     },
-    /// A retry was wanted and the budget had none left.
+    /// A retry was denied because the retry budget is exhausted.
     RetryBudgetSpent {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Whose budget.
+        /// Customer whose budget is exhausted.
         customer: CustomerName,
-        /// For which service.
+        /// Service for which the retry was meant.
         service: ServiceName,
     },
-    /// A second attempt was sent before the first one answered.
+    /// A second attempt was sent before the first one ended.
     HedgeSent {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
-        /// Where the second attempt went.
+        /// Upstream of the second attempt.
         to: UpstreamId,
     },
-    /// A second attempt brought the reply while the first was still open.
+    /// A second attempt returned the reply while the first was still open.
     HedgeWon {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
     },
-    /// An attempt was no longer needed and is stopped.
+    /// An attempt was no longer needed and is cancelled.
     CancelSent {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
-        /// Where the attempt is.
+        /// Upstream of the attempt.
         to: UpstreamId,
     },
-    /// A reply was not whole or not this request's and was dropped.
+    /// A reply was incomplete or belonged to another request, and was dropped.
     ReplyRejected {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
-        /// Where it came from.
+        /// Upstream that sent the reply.
         from: UpstreamId,
     },
-    /// A reply came after its request was answered and was dropped.
+    /// A reply arrived after its request was answered, and was dropped.
     ReplyLate {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A resend got the answer kept from the first send.
+    /// A resend was answered with the stored reply of the first send.
     ReplyReplayed {
-        /// The resend.
+        /// Id of the resend.
         request: RequestId,
-        /// Whether the reply itself was still kept.
+        /// Whether the reply itself was still stored; if not, the answer only says that the request
+        /// ran.
         whole: bool,
     },
-    /// A keyed request reached an upstream and its end is not known.
+    /// A keyed request reached an upstream, and whether it ran is unknown.
     RunUnproven {
-        /// The request.
+        /// Id of the request.
         request: Arc<str>,
-        /// Its service.
+        /// Service of the request.
         service: ServiceName,
     },
-    /// A dispatch was stopped at its executor because its grant is not in force.
+    /// An executor refused a dispatch whose grant is not in force.
     FenceHeld {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Detection found or did something.
+    /// Failure detection changed its view of an upstream or a service.
     Pool {
-        /// The service.
+        /// Service of the pool.
         service: ServiceName,
-        /// What.
+        /// The change.
         finding: PoolFinding,
     },
-    /// At-most-once machinery.
+    /// A note of the at-most-once guard.
     Guard(GuardNote),
-    /// A member came.
+    /// A member joined.
     MemberUp(InstanceId),
-    /// A member is gone.
+    /// A member left or was found dead.
     MemberDown {
-        /// Which life.
+        /// Instance of the member.
         instance: InstanceId,
-        /// Why.
+        /// Why the member is gone.
         cause: DownCause,
     },
-    /// Membership machinery.
+    /// A note of the membership protocol.
     Roster(RosterNote),
-    /// This node goes on under a greater incarnation.
+    /// This node continues under a higher incarnation.
     IncarnationRaised(InstanceId),
-    /// A newer life of this node runs elsewhere; this one stops.
+    /// A newer life of this node runs elsewhere, and this one stops.
     Superseded(InstanceId),
-    /// A change of a contract was read from the log and is in force here.
+    /// A contract change was read from the log and is in force here.
     ContractAccepted {
-        /// Offset of the record.
+        /// Offset of the record in the contract stream.
         offset: u64,
-        /// The customer.
+        /// Customer of the contract.
         customer: CustomerName,
-        /// The new version.
+        /// Version now in force.
         version: ContractVersion,
     },
     /// An attempt was sent.
     AttemptSent {
-        /// The caller's own id of the request, else the fleet's.
+        /// Request id given by the caller, or the one that the fleet generated.
         label: Arc<str>,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         number: u16,
-        /// Where it went.
+        /// Target of the attempt.
         to: UpstreamId,
-        /// The service.
+        /// Service of the request.
         service: ServiceName,
-        /// Path prefix of the route that chose the service.
+        /// Path prefix of the route that selected the service.
         prefix: Arc<str>,
-        /// Version of the contract that the route is from.
+        /// Version of the contract that contains the route.
         version: ContractVersion,
-        /// Time left to the deadline.
+        /// Time left until the deadline.
         left: Duration,
-        /// What was known of the upstream when it was picked; none for one never heard of.
+        /// State of the upstream when it was selected; `None` if the pool did not know it.
         view: Option<UpstreamView>,
     },
-    /// The node beside an upstream decided on work that was offered.
+    /// The node beside an upstream accepted or refused offered work.
     WorkDecided {
-        /// The caller's own id of the request, else the fleet's.
+        /// Request id given by the caller, or the one that the fleet generated.
         label: Arc<str>,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         number: u16,
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// The service that was asked for.
+        /// Service of the request.
         service: ServiceName,
-        /// None when it may run or wait for a slot.
+        /// Code of the refusal; `None` if the work may run or wait for a slot.
         refused: Option<RefusalCode>,
-        /// Load beside the upstream.
+        /// Load of the upstream.
         load: LoadHint,
         /// Odds in nats that the upstream fails part of its requests.
         odds: f64,
-        /// Time left to the deadline.
+        /// Time left until the deadline.
         left: Duration,
-        /// State of the bound on repeats; none unless this is a repeat counted at its server.
+        /// State of the bound on repeats; `None` unless this is a repeat that its server counts.
         repeat_budget: Option<RepeatBudgetView>,
     },
     /// Work ended at an upstream.
     WorkDone {
-        /// The caller's own id of the request, else the fleet's.
+        /// Request id given by the caller, or the one that the fleet generated.
         label: Arc<str>,
-        /// Number of the attempt.
+        /// Number of the attempt within its request, from 0.
         number: u16,
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// The service.
+        /// Service of the request.
         service: ServiceName,
-        /// How it ended.
+        /// How the work ended.
         end: WorkEnd,
-        /// Status of a whole reply.
+        /// HTTP status of a complete reply; `None` otherwise.
         status: Option<u16>,
-        /// Time that it waited for a slot.
+        /// Time that the work waited for a slot.
         waited: Duration,
         /// Time that the backend server took.
         took: Duration,
     },
-    /// The node beside an upstream begins or ends to hold work off it.
+    /// The breaker beside an upstream began or ended to reject work.
     BreakerTurned {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// The service.
+        /// Service of the upstream.
         service: ServiceName,
-        /// Whether work is held off from now on.
+        /// Whether work is rejected from now on.
         suspect: bool,
-        /// How the run ended that decided it; none when it was time that passed.
+        /// How the run ended that caused the change; `None` if time passed caused it.
         kind: Option<SampleKind>,
         /// Odds in nats that the upstream fails part of its requests.
         odds: f64,
     },
     /// A newer fleet contract is in force.
     FleetContractTaken {
-        /// Its version.
+        /// Version now in force.
         version: u64,
-        /// The version that it replaces, 0 for none.
+        /// Version that was replaced; 0 for none.
         before: u64,
-        /// The peer that it came from; none when it came from its source.
+        /// Peer that sent the contract; `None` if it came from the source.
         from: Option<InstanceId>,
-        /// Time since this node first heard of the version; none unless it is the newest version
-        /// heard of.
+        /// Time since this node first learned of the version; `None` unless it is the newest known
+        /// version.
         heard_ago: Option<Duration>,
     },
     /// This node started or stopped following the source of fleet contracts.
     SourceFollowed {
         /// Whether it now follows the source.
         follow: bool,
-        /// The version in force.
+        /// Version in force.
         version: u64,
-        /// Number of present members in its roster, including itself.
+        /// Number of present members in the roster, including this node.
         members: usize,
     },
-    /// A change in the log has no effect.
+    /// A contract change in the log has no effect.
     ContractRejected {
-        /// Offset of the record.
+        /// Offset of the record in the contract stream.
         offset: u64,
-        /// Why.
+        /// Why the change was rejected.
         reason: String,
     },
-    /// A record of the contract stream cannot be read.
+    /// A record of the contract stream cannot be decoded.
     PoisonRecord {
-        /// Offset of the record.
+        /// Offset of the record in the contract stream.
         offset: u64,
-        /// Why.
+        /// Why decoding failed.
         reason: String,
     },
-    /// Contracts carried forward were read from the log.
+    /// Contracts that were carried forward were read from the log.
     ContractsCarried {
-        /// Offset of the record.
+        /// Offset of the record in the contract stream.
         offset: u64,
     },
-    /// Contracts come close to being dropped by the log and were not carried forward; told again
-    /// at each look while it lasts.
+    /// Contracts will soon be dropped by the log and were not carried forward. Repeated at each
+    /// check while this lasts.
     CarriesLate {
-        /// How many.
+        /// Number of these contracts.
         late: usize,
     },
-    /// A peer has newer contracts and the log does not give them; they are asked for.
+    /// A peer has newer contracts that the log does not return; they are requested from peers.
     ContractsBehind {
-        /// Offset up to which this node has them.
+        /// Offset up to which this node has the contracts.
         offset: u64,
-        /// Offset that a peer told of.
+        /// Offset reported by a peer.
         head: u64,
     },
-    /// A peer or a record told something about contracts that is not so.
+    /// A peer or a record contains incorrect information about contracts.
     ContractFinding(SettingFinding),
-    /// Contracts came from a peer.
+    /// Contracts were received from a peer.
     ContractsAdopted {
-        /// The peer.
+        /// Peer that sent the contracts.
         from: InstanceId,
-        /// Offset that its book had reached.
+        /// Contract offset that the peer had reached.
         offset: u64,
     },
-    /// The platform's log can be reached, or no longer.
+    /// The platform's log became reachable or unreachable.
     LogReachable(bool),
     /// A request that crashed backend servers was stopped.
     CrashRequestStopped {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A backend server beside this node announced itself.
+    /// A local backend server announced itself.
     UpstreamAnnounced {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
-    /// A backend server beside this node takes work.
+    /// A local backend server accepts work.
     UpstreamReady {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
-    /// A backend server beside this node leaves.
+    /// A local backend server is leaving.
     UpstreamLeaving {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
-    /// A backend server beside this node stopped renewing its announcement.
+    /// The announcement of a local backend server expired.
     UpstreamLapsed {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
-    /// A backend server beside this node ended while it ran work.
+    /// A local backend server crashed while it ran work.
     UpstreamCrashed {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
-    /// A backend server beside this node is gone with nothing in flight.
+    /// A local backend server is gone and has nothing in flight.
     UpstreamGone {
-        /// The upstream.
+        /// Id of the upstream.
         id: UpstreamId,
-        /// Its service.
+        /// Service of the upstream.
         service: ServiceName,
     },
 }
 
-/// How one request ended.
+/// The outcome of one request.
 #[derive(Clone, Debug)]
 pub struct RequestSummary {
-    /// The caller's own id of the request, else the fleet's.
+    /// Request id given by the caller, or the one that the fleet generated.
     pub label: Arc<str>,
-    /// The request.
+    /// Id that this node assigned to the request.
     pub request: RequestId,
-    /// Customer, where known.
+    /// Customer of the request; `None` if no contract matched.
     pub customer: Option<CustomerName>,
-    /// Service, where known.
+    /// Service of the request; `None` if no route matched.
     pub service: Option<ServiceName>,
-    /// The refusal, or none when a reply was handed on.
+    /// The refusal; `None` when a reply was forwarded.
     pub refusal: Option<RequestRefusal>,
-    /// Status of the reply handed on.
+    /// HTTP status of the forwarded reply.
     pub status: Option<u16>,
-    /// Time from arrival to the final answer's beginning.
+    /// Time from the arrival to the start of the final answer.
     pub latency: std::time::Duration,
-    /// Attempts made.
+    /// Number of attempts that were sent.
     pub attempts: u16,
 }
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -1,7 +1,8 @@
 //! Pools of upstreams, one for each service that this node sends requests to.
 //!
-//! A fleet has thousands of services and a node calls few of them. A pool is made when a request
-//! asks for its service, and dropped when none has for a while; a small fleet keeps all of them.
+//! A fleet has thousands of services, and one node calls few of them. A pool is created when a
+//! request first needs its service and dropped after a time without requests. In a small fleet all
+//! pools are kept.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,12 +19,13 @@
 use crate::node::NodeEngine;
 use crate::note::NodeNote;
 
-/// Pools kept whether or not a request asked for them.
-const EAGER_POOLS: usize = 64;
-/// Time without a request after which a pool beyond these is dropped.
-const IDLE_POOL: Duration = Duration::from_mins(10);
-/// Peers that hear evidence about one service; beyond them gossip would have to carry it.
-const EVIDENCE_PEERS: usize = 32;
+/// Number of pools that are kept regardless of requests.
+const ALWAYS_KEPT_POOLS: usize = 64;
+/// Time without a request after which further pools are dropped.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_mins(10);
+/// Maximum number of peers that receive evidence about one service directly. A larger audience
+/// would need gossip.
+const MAX_EVIDENCE_PEERS: usize = 32;
 
 impl NodeEngine {
     pub(crate) fn on_upstream_changed(
@@ -32,14 +34,14 @@
         id: UpstreamId,
         facts: &UpstreamFacts,
     ) {
-        if !self.pools.contains_key(&facts.service) && !self.wants_pool(&facts.service) {
+        if !self.pools.contains_key(&facts.service) && !self.keeps_pool(&facts.service) {
             return;
         }
         self.ensure_pool(now, &facts.service);
-        self.put_upstream(now, id, facts);
+        self.add_to_pool(now, id, facts);
     }
 
-    pub(crate) fn put_upstream(&mut self, now: Duration, id: UpstreamId, facts: &UpstreamFacts) {
+    pub(crate) fn add_to_pool(&mut self, now: Duration, id: UpstreamId, facts: &UpstreamFacts) {
         let Some(domain) = self.domain_of(id.node) else {
             return;
         };
@@ -48,34 +50,34 @@
             sycamorelink_roster::UpstreamPhase::Ready => UpstreamPhase::Ready,
             sycamorelink_roster::UpstreamPhase::Leaving => UpstreamPhase::Leaving,
         };
-        let facts_of_pool = sycamorelink_policy::UpstreamFacts {
+        let pool_facts = sycamorelink_policy::UpstreamFacts {
             slots: facts.slots,
             domain,
             phase,
         };
         if let Some(pool) = self.pools.get_mut(&facts.service) {
-            pool.upsert(now, id, &facts_of_pool);
+            pool.upsert(now, id, &pool_facts);
         }
     }
 
-    /// Whether a pool is kept although no request has asked for the service yet.
-    pub(crate) fn wants_pool(&self, service: &ServiceName) -> bool {
-        self.pools.len() < EAGER_POOLS || self.runs(service)
+    /// Returns whether a pool is kept although no request needs the service yet.
+    pub(crate) fn keeps_pool(&self, service: &ServiceName) -> bool {
+        self.pools.len() < ALWAYS_KEPT_POOLS || self.runs(service)
     }
 
-    /// Whether a backend server beside this node runs the service.
+    /// Returns whether a backend server beside this node runs the service.
     pub(crate) fn runs(&self, service: &ServiceName) -> bool {
         let mut upstreams = self.upstreams.values();
         upstreams.any(|upstream| upstream.announced.service == *service)
     }
 
-    /// Makes the pool of a service, with what the roster knows of it.
+    /// Creates the pool of a service from the upstreams that the roster lists.
     pub(crate) fn ensure_pool(&mut self, now: Duration, service: &ServiceName) {
         if self.pools.contains_key(service) {
             return;
         }
         let known = self.roster.upstreams(service.as_str());
-        if known.is_empty() && !self.wants_pool(service) {
+        if known.is_empty() && !self.keeps_pool(service) {
             return;
         }
         let seed = self.seed ^ name_hash(service.as_str());
@@ -97,13 +99,13 @@
         }
         self.pools.insert(service.clone(), pool);
         for (id, facts) in known {
-            self.put_upstream(now, id, &facts);
+            self.add_to_pool(now, id, &facts);
         }
     }
 
-    /// Drops the pools of services that no request has asked for lately, in a fleet with many.
+    /// Drops the pools of services without recent requests, if there are many pools.
     pub(crate) fn drop_idle_pools(&mut self, now: Duration) {
-        if self.pools.len() <= EAGER_POOLS {
+        if self.pools.len() <= ALWAYS_KEPT_POOLS {
             return;
         }
         let kept: BTreeSet<ServiceName> = self
@@ -114,7 +116,7 @@
         let used = &self.pool_used;
         self.pools.retain(|service, _| {
             let last = used.get(service).copied().unwrap_or_default();
-            kept.contains(service) || now < last + IDLE_POOL
+            kept.contains(service) || now < last + POOL_IDLE_TIMEOUT
         });
         let pools = &self.pools;
         self.pool_used
@@ -135,9 +137,10 @@
                 };
                 out.push(NodeCommand::Note(note));
             }
-            // Under a fleet contract the node beside each upstream sees all that callers see, sooner, and
-            // its word goes with every reply. Callers' own scores, told to each other, took nothing off the
-            // failures, and at some hundred nodes each hears of an upstream only once in half a minute.
+            // Under a fleet contract the node beside an upstream observes all runs there, sooner
+            // than callers do, and adds its findings to every reply. Exchanging the callers' own
+            // scores did not reduce failures, and with some hundred nodes each of them learns about
+            // an upstream only every half minute.
             let report = if fleet { Vec::new() } else { pool.report(now) };
             if !report.is_empty() {
                 reports.push((service.clone(), report));
@@ -161,7 +164,7 @@
             .into_iter()
             .filter(|member| member.standing.is_present() && member.facts.instance.node != own)
             .map(|member| member.facts.instance)
-            .take(EVIDENCE_PEERS)
+            .take(MAX_EVIDENCE_PEERS)
             .collect();
         for peer in peers {
             let message = PeerMessage::Evidence {
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,5 +1,4 @@
-//! State of one request at the node that took it, and of one piece of work at the node that runs
-//! it.
+//! State of a request at its ingress node, and of a piece of work at the executor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,113 +11,114 @@
 
 use crate::event::{ArrivalKind, AttemptReport, CallerRequest, LifeId, WorkOffer};
 
-/// Where a request stands.
+/// Phase of a request at its ingress node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPhase {
-    /// Waits for a share of the customer's limits.
+    /// Waiting for a share of the customer's limits.
     AwaitingShare,
-    /// Its body is being read.
+    /// The body is being read.
     ReadingBody,
-    /// The key's guards are asked.
+    /// Waiting for the guards of the key.
     AwaitingGrant,
-    /// Attempts are under way.
+    /// Attempts are open.
     Dispatched,
-    /// The outcome of its only attempt is asked from the executor.
+    /// Waiting for the executor's answer about the outcome of the only attempt.
     Resolving,
 }
 
-/// One attempt that is under way.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenAttempt {
-    /// Its number.
+    /// Number of the attempt within its request, from 0.
     pub number: u16,
-    /// Where it went.
+    /// Target of the attempt.
     pub upstream: UpstreamId,
-    /// The life of the node beside it that was meant.
+    /// The instance beside the upstream to which the attempt was addressed.
     pub executor: InstanceId,
-    /// When it was sent.
+    /// Time of the dispatch.
     pub sent: Duration,
 }
 
-/// One request at the node that took it.
+/// State of a request at its ingress node.
 #[derive(Debug)]
 pub struct RequestState {
-    /// Its head.
+    /// Head of the request.
     pub caller: CallerRequest,
-    /// The route that it matched.
+    /// Route that the request matched.
     pub rule: RouteRule,
-    /// Its customer in the limits' tables.
+    /// Index of the customer in the tables of limits.
     pub customer: CustomerIndex,
-    /// Its client account under a fleet contract; none where it brought no key.
+    /// Client account under a fleet contract; `None` when the caller sent no key.
     pub account: Option<Arc<AccountRule>>,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Duration,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Duration,
-    /// Where it stands.
+    /// Current phase.
     pub phase: RequestPhase,
-    /// Where it was tried, and what may be tried again.
+    /// Upstreams tried so far, and the retries still allowed.
     pub plan: RetryPlan,
-    /// Attempts under way.
+    /// Attempts that have not ended.
     pub open: Vec<OpenAttempt>,
-    /// Attempts made.
+    /// Number of attempts sent so far.
     pub attempts: u16,
-    /// Its key, where it must not repeat.
+    /// Idempotency key; `None` if the request is idempotent or has no key.
     pub key: Option<KeyId>,
-    /// Permission to run it.
+    /// Proof of the guards' grants; `None` until granted.
     pub ticket: Option<DispatchTicket>,
-    /// Refusal that its key's guards are asked about before it is given.
+    /// Refusal that is sent once the guards of the key have confirmed that no send has run.
     pub refusal: Option<RequestRefusal>,
-    /// Upstream chosen for the next dispatch of a keyed request.
+    /// Upstream selected for the next dispatch of a keyed request.
     pub chosen: Option<UpstreamId>,
-    /// Exact identity for the crash-request registry.
+    /// Signature for the crash registry.
     pub signature: CrashSignature,
-    /// Whether a share of the customer's limits is held.
+    /// Whether the request holds a share of the customer's limits.
     pub share_held: bool,
-    /// When a request that waits for a share tries again at the latest.
+    /// Latest time of the next attempt to take a share; `None` before the first wait.
     pub share_next: Option<Duration>,
-    /// Upstreams that held it off because they may be failing.
-    pub held: Vec<UpstreamId>,
-    /// Whether one of them was made to run it.
-    pub insisted: bool,
-    /// Attempts that ended without certainty that no backend server ran them.
+    /// Upstreams that refused the request because their breaker rejects work.
+    pub rejected_by: Vec<UpstreamId>,
+    /// Whether one of them was forced to run the request.
+    pub was_forced: bool,
+    /// Number of ended attempts that may have run at a backend server.
     pub uncertain: u16,
-    /// Attempts that ended and may have reached a backend server, which may have turned them away.
+    /// Number of ended attempts that may have reached a backend server, including those that the
+    /// server declined.
     pub arrivals: u16,
-    /// How its first arrival at a backend server counts.
+    /// How the first arrival at a backend server counts towards the bound on repeats.
     pub first_arrival: ArrivalKind,
-    /// Repeats that a node beside a backend server refused because of the bound on them.
+    /// Number of attempts that an executor refused because of the bound on repeats.
     pub repeats_refused: u16,
-    /// The last failed attempt, for the final answer.
+    /// Last failed attempt, from which the final answer is made.
     pub last: Option<AttemptReport>,
-    /// Where it went.
-    pub last_at: Option<UpstreamId>,
-    /// Whether two backend servers ended while they ran it.
+    /// Upstream of the last failed attempt.
+    pub last_upstream: Option<UpstreamId>,
+    /// Whether two backend servers crashed while they ran the request.
     pub crashed_twice: bool,
 }
 
 impl RequestState {
-    /// Limits of its customer.
+    /// Returns the customer's contract terms.
     #[must_use]
     pub fn terms(&self) -> &CustomerRule {
         &self.rule.terms
     }
 
-    /// Whether any attempt may have run or may still run.
+    /// Returns whether any attempt may have run or may still run.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.uncertain > 0 || !self.open.is_empty()
     }
 
-    /// Whether as many upstreams may have run it as its route allows.
+    /// Returns whether the request may have run as often as its route allows.
     #[must_use]
-    pub fn has_run_everywhere(&self) -> bool {
+    pub fn has_reached_run_limit(&self) -> bool {
         let open = u16::try_from(self.open.len()).unwrap_or(u16::MAX);
         let runs = self.uncertain.saturating_add(open);
         self.rule.attempts.is_some_and(|most| runs >= most)
     }
 
-    /// Takes out an attempt that ended.
+    /// Removes an open attempt that ended; `None` if no open attempt has this number.
     pub fn close(&mut self, number: u16) -> Option<OpenAttempt> {
         let place = self
             .open
@@ -128,48 +128,48 @@
     }
 }
 
-/// Where a piece of work stands.
+/// Phase of a piece of work at the executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkPhase {
-    /// Waits for its turn, being under suspicion of crashing backend servers.
+    /// Waiting for a turn, because its signature is suspected of crashing backend servers.
     AwaitingTurn,
-    /// Waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// Runs at the backend server.
+    /// Running at the backend server.
     Running,
 }
 
-/// One piece of work beside a backend server.
+/// State of a piece of work at the executor.
 #[derive(Debug)]
 pub struct WorkState {
-    /// What was offered.
+    /// The offer of the work.
     pub offer: WorkOffer,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Duration,
-    /// Where it stands.
+    /// Current phase.
     pub phase: WorkPhase,
-    /// When it was offered.
+    /// Time at which the work was offered.
     pub offered: Duration,
-    /// When it took its slot.
+    /// Time at which the work got its slot.
     pub started: Duration,
-    /// Life of the backend server that it was handed to.
+    /// Life of the backend server that was given the work.
     pub life: Option<LifeId>,
-    /// Whether it runs on a turn given out by the signature's owner.
+    /// Whether the work runs on a turn granted by the owner of its signature.
     pub on_turn: bool,
-    /// Whether the breaker was told that its connection broke.
-    pub broke: bool,
-    /// Whether it runs as a trial of a backend server that may be failing.
+    /// Whether the lost connection of this work was already recorded in the breaker.
+    pub connection_lost: bool,
+    /// Whether the work runs as a trial of a suspect backend server.
     pub on_trial: bool,
 }
 
 impl WorkState {
-    /// Exact identity for the crash-request registry.
+    /// Returns the signature for the crash registry; zero if the body was not seen completely.
     #[must_use]
     pub fn signature(&self) -> CrashSignature {
         CrashSignature(self.offer.signature)
     }
 
-    /// The attempt.
+    /// Returns the attempt that the work carries out.
     #[must_use]
     pub fn attempt(&self) -> AttemptId {
         self.offer.attempt
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the decision logic.
+//! Settings of the engine.
 
 use std::time::Duration;
 
@@ -12,44 +12,45 @@
 
 use crate::fleet::ContractForm;
 
-/// How long a leaving node takes callers' requests unless its settings say otherwise: callers that
-/// look every second whether it is ready have then looked elsewhere.
+/// Default time for which a leaving node accepts callers' requests. Callers that check its
+/// readiness every second have switched to another node by then.
 pub const LEAVE_SERVING: Duration = Duration::from_secs(5);
 
-/// Settings of one node's decisions. Every value has a default.
+/// Settings of the engine. Every value has a default.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
     /// Where the contracts come from.
     pub contracts: ContractForm,
-    /// Whether the whole fleet starts for the first time, so that nobody calls yet.
+    /// Whether the whole fleet starts for the first time, so that there are no callers yet.
     pub first_start: bool,
-    /// How long a leaving node still takes callers' requests; after it they are refused.
+    /// How long a leaving node still accepts callers' requests; after that they are refused.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "leave_serving_ms")]
     pub leave_serving: Duration,
-    /// Membership.
+    /// Membership protocol and failure detection between nodes.
     pub roster: RosterSettings,
-    /// At most once.
+    /// At-most-once guard.
     pub guard: GuardSettings,
-    /// Fleet-wide limits.
+    /// Fleet-wide limits of customers.
     pub share: ShareSettings,
-    /// Requests that crash backend servers.
+    /// Isolation of requests that crash backend servers.
     pub crash: CrashSettings,
-    /// Slots beside backend servers.
+    /// Slots and queues of local backend servers.
     pub gate: GateSettings,
-    /// How exactly quotas of client accounts are kept.
+    /// Accuracy with which quotas of client accounts are enforced.
     pub quota: QuotaSettings,
-    /// Which mechanisms decide on requests.
+    /// Mechanisms that take part in the decisions on requests.
     pub policy: PolicySettings,
-    /// Greatest body of a keyed request, in bytes: it is read whole to be compared on a resend.
+    /// Maximum body size of a keyed request, in bytes. The body is read completely, to be compared
+    /// on a resend.
     pub keyed_body: u64,
-    /// How long an announcement of a backend server holds, in milliseconds.
+    /// How long an announcement of a backend server is valid, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "announcement_ms")]
     pub announcement: Duration,
-    /// How long the platform's log keeps records, in milliseconds. State is carried forward well
+    /// How long the platform's log retains records, in milliseconds. State is carried forward well
     /// before.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "log_retention_ms")]
@@ -77,7 +78,7 @@
 }
 
 impl EngineSettings {
-    /// Checks all parts and reports everything found.
+    /// Validates all parts and returns every finding.
     #[must_use]
     pub fn validate(&self) -> FindingList {
         let mut findings = self.roster.validate();
--- a/crates/engine/src/status.rs
+++ b/crates/engine/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node.
+//! Status of a node, its members and its services, as shown to operators.
 
 use std::sync::Arc;
 
@@ -10,92 +10,92 @@
 use crate::event::UpstreamAnnouncement;
 use crate::node::NodeEngine;
 
-/// One node as it sees itself.
+/// Status of a node as reported by itself.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeStatus {
-    /// This life of the node.
+    /// Instance of the node, with its incarnation.
     pub instance: InstanceId,
-    /// Name of the instance.
+    /// Configured name of the instance.
     pub name: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainName,
-    /// Its region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Whether requests can be served.
+    /// Whether the node can serve requests.
     pub ready: bool,
-    /// Whether it is leaving.
+    /// Whether the node is leaving.
     pub draining: bool,
-    /// Whether the platform's log can be reached.
+    /// Whether the platform's log is reachable.
     pub log_reachable: bool,
-    /// Next offset of the contract log that it will read.
+    /// Next offset of the contract log that the node will read.
     pub contract_offset: u64,
-    /// Customers with a contract in force.
+    /// Number of customers with a contract in force.
     pub customers: usize,
-    /// Members that it knows, itself included.
+    /// Number of known members, including the node itself.
     pub members: usize,
-    /// Requests in flight that callers sent to it.
+    /// Number of callers' requests in flight.
     pub requests: usize,
-    /// Work in flight for the backend servers beside it.
+    /// Number of pieces of work in flight for local backend servers.
     pub works: usize,
     /// Counters of the at-most-once guard.
     pub guard: sycamorelink_guard::GuardCounts,
 }
 
-/// One member as a node sees it.
+/// Status of a member in the view of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberStatus {
-    /// Its life.
+    /// Instance of the member, with its incarnation.
     pub instance: InstanceId,
-    /// Name of its instance.
+    /// Configured name of the instance.
     pub name: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the member.
     pub domain: DomainName,
-    /// Its region.
+    /// Region of the member.
     pub region: Arc<str>,
-    /// What the fleet holds it to be.
+    /// State of the member according to the membership protocol.
     pub standing: MemberStanding,
-    /// Whether this node gets answers from it directly.
+    /// Whether the member answers this node directly.
     pub reachable: bool,
-    /// Address of its inner protocol.
+    /// Address of the member's peer protocol.
     pub peer_address: std::net::SocketAddr,
-    /// How far it has read the contracts, as last told.
+    /// Next contract offset of the member, as last reported; `None` if never reported.
     pub contract_offset: Option<u64>,
 }
 
-/// One upstream as a node sees it.
+/// Status of an upstream in the view of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct UpstreamStatus {
-    /// The upstream.
+    /// Id of the upstream.
     pub id: UpstreamId,
-    /// Name of the instance it runs on.
+    /// Name of the instance beside the upstream; `None` if the member is unknown.
     pub instance: Option<Arc<str>>,
-    /// Its failure domain.
+    /// Failure domain of the upstream; `None` if the member is unknown.
     pub domain: Option<DomainName>,
-    /// Its phase.
+    /// Announced phase.
     pub phase: sycamorelink_roster::UpstreamPhase,
-    /// Requests it runs at once.
+    /// Maximum number of requests that the upstream runs concurrently.
     pub slots: u16,
-    /// Share of its fair share that it is offered, from 0 to 1.
+    /// Fraction of its fair share that the upstream is offered, from 0 to 1.
     pub weight: f64,
-    /// Highest score over the kinds of fault.
+    /// Highest score over all kinds of fault.
     pub suspicion: f64,
-    /// Why it is ejected, while it is.
+    /// Cause of the ejection; `None` while the upstream is not ejected.
     pub ejected: Option<EjectionCause>,
-    /// Requests that this node has in flight there.
+    /// Number of requests that this node has in flight there.
     pub in_flight: u32,
 }
 
-/// One service as a node sees it.
+/// Status of a service in the view of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceStatus {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its upstreams.
+    /// Known upstreams of the service.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
 impl NodeEngine {
-    /// This node as it sees itself.
+    /// Returns the status of this node.
     #[must_use]
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The members as this node sees them.
+    /// Returns the status of all members in the view of this node.
     #[must_use]
     pub fn fleet(&self) -> Vec<MemberStatus> {
         self.roster
@@ -134,7 +134,7 @@
             .collect()
     }
 
-    /// The services as this node sees them.
+    /// Returns the status of all services for which this node keeps a pool.
     #[must_use]
     pub fn services(&self) -> Vec<ServiceStatus> {
         self.pools
@@ -143,7 +143,7 @@
             .collect()
     }
 
-    /// One service as this node sees it.
+    /// Returns the status of one service in the view of this node.
     #[must_use]
     pub fn service(&self, service: &ServiceName) -> ServiceStatus {
         let known = self.roster.upstreams(service.as_str());
@@ -167,13 +167,14 @@
         }
     }
 
-    /// The capacity of a service against its floor; none for a service without upstreams.
+    /// Returns the capacity of a service relative to its floor; `None` without a pool for the
+    /// service.
     #[must_use]
     pub fn floor_of(&self, service: &ServiceName) -> Option<FloorStatus> {
         self.pools.get(service).map(ServicePool::floor_status)
     }
 
-    /// The backend servers beside this node, with the load of each.
+    /// Returns the running local backend servers with their announcements and load, by number.
     #[must_use]
     pub fn local_upstreams(&self) -> Vec<(u16, UpstreamAnnouncement, LoadHint)> {
         self.upstreams
--- a/crates/engine/tests/session/audit.rs
+++ b/crates/engine/tests/session/audit.rs
@@ -1,4 +1,4 @@
-//! What must hold in every session, checked while it goes on.
+//! Invariants that are checked throughout every session.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,21 +9,21 @@
 use sycamorelink_engine::{AttemptOrder, CallerRequest, NodeCommand, NodeEngine, NodeNote};
 use sycamorelink_policy::UpstreamPhase;
 
-/// Time past its deadline in which a request must be answered.
-const SLACK: Duration = Duration::from_millis(250);
-/// Time for the news of a backend server that leaves.
-const LEAVE_NEWS: Duration = Duration::from_secs(2);
-/// Time for the news after a node or a way between nodes was healed.
-const HEAL_NEWS: Duration = Duration::from_secs(6);
-/// How long a pool may stay below its floor with upstreams ejected.
-const FLOOR_TIME: Duration = Duration::from_millis(500);
+/// Time past its deadline within which a request must be answered.
+const ANSWER_SLACK: Duration = Duration::from_millis(250);
+/// Time in which other nodes learn that a backend server leaves.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(2);
+/// Time in which state spreads again after a node or link was healed.
+const HEAL_PROPAGATION_TIME: Duration = Duration::from_secs(6);
+/// Maximum time for which a pool may stay below its floor while upstreams are ejected.
+const MAX_TIME_BELOW_FLOOR: Duration = Duration::from_millis(500);
 
-/// One send of a request.
+/// State of one send of a request.
 #[derive(Debug)]
 struct SendRecord {
     ingress: NodeId,
     key: Option<Arc<str>>,
-    due: Duration,
+    answer_due: Duration,
     answers: u32,
     settled: u32,
     refused: Option<(RefusalCode, RunState)>,
@@ -31,7 +31,7 @@
     runs: u32,
 }
 
-/// Records what happens and what is wrong with it.
+/// Record of a session and of the invariant violations found in it.
 #[derive(Debug, Default)]
 pub struct SessionAudit {
     sends: BTreeMap<RequestId, SendRecord>,
@@ -39,46 +39,47 @@
     key_runs: BTreeMap<Arc<str>, Vec<RequestId>>,
     replies: BTreeMap<Arc<str>, Arc<[u8]>>,
     leaving: BTreeMap<NodeId, Duration>,
-    /// Until when news from or to a node may be late.
+    /// Nodes whose state may be outdated because of injected faults, and until when.
     pub disturbed: BTreeMap<NodeId, Duration>,
-    /// Nodes that told that they are drained.
+    /// Nodes that reported themselves drained.
     pub drained: BTreeSet<NodeId>,
     versions: BTreeMap<NodeId, ContractVersion>,
-    below: BTreeMap<NodeId, Duration>,
+    below_floor_since: BTreeMap<NodeId, Duration>,
     wrongs: Vec<String>,
-    used: bool,
+    checking: bool,
 }
 
 impl SessionAudit {
-    /// Begins: from now on backend servers that crash stay down, and wrongs are collected.
+    /// Starts the checks: from now on crashed backend servers stay down and violations are
+    /// collected.
     pub const fn begin(&mut self) {
-        self.used = true;
+        self.checking = true;
     }
 
-    /// Whether it began.
-    pub const fn is_used(&self) -> bool {
-        self.used
+    /// Returns whether the checks were started.
+    pub const fn is_checking(&self) -> bool {
+        self.checking
     }
 
-    /// What was wrong, oldest first.
+    /// Returns the violations, oldest first.
     pub fn wrongs(&self) -> &[String] {
         &self.wrongs
     }
 
-    /// Adds something that is wrong.
+    /// Adds a violation.
     pub fn wrong(&mut self, text: String) {
-        if self.used {
+        if self.checking {
             self.wrongs.push(text);
         }
     }
 
-    /// A caller sent a request.
-    pub fn called(&mut self, now: Duration, ingress: NodeId, caller: &CallerRequest) {
+    /// Records a request sent by a caller.
+    pub fn on_request(&mut self, now: Duration, ingress: NodeId, caller: &CallerRequest) {
         let seconds = if caller.key.is_some() { 8 } else { 1 };
         let record = SendRecord {
             ingress,
             key: caller.key.clone(),
-            due: now + Duration::from_secs(seconds) + SLACK,
+            answer_due: now + Duration::from_secs(seconds) + ANSWER_SLACK,
             answers: 0,
             settled: 0,
             refused: None,
@@ -89,15 +90,15 @@
         self.open.insert(caller.id);
     }
 
-    /// A backend server runs a send.
-    pub fn ran(&mut self, request: RequestId) {
+    /// Records a run of a send at a backend server.
+    pub fn on_run(&mut self, request: RequestId) {
         let Some(send) = self.sends.get_mut(&request) else {
             return;
         };
         send.runs += 1;
-        let told = send.refused.is_some_and(|(_, run)| run == RunState::NotRun);
+        let refused_not_run = send.refused.is_some_and(|(_, run)| run == RunState::NotRun);
         let key = send.key.clone();
-        if told {
+        if refused_not_run {
             self.wrong(format!("{} runs after 'not run'", request.0));
         }
         if let Some(key) = key {
@@ -110,31 +111,32 @@
         }
     }
 
-    /// What the body of a send adds to the identity of its request.
+    /// Returns what the body of a send contributes to the signature of its request.
     pub fn body_of(&self, request: RequestId) -> u64 {
         let key = self.sends.get(&request).and_then(|send| send.key.as_ref());
-        key.filter(|_| self.used).map_or(0, |key| name_hash(key))
+        key.filter(|_| self.checking)
+            .map_or(0, |key| name_hash(key))
     }
 
-    /// The reply that the backend server gives to a send.
+    /// Returns the reply that the backend server sends.
     pub fn reply_of(&self, request: RequestId) -> Vec<u8> {
-        if self.used {
+        if self.checking {
             format!("reply to {}", request.0).into_bytes()
         } else {
             b"the kept reply".to_vec()
         }
     }
 
-    /// The backend server replied.
-    pub fn replied(&mut self, request: RequestId, reply: Option<&Arc<[u8]>>) {
+    /// Records a reply of the backend server.
+    pub fn on_reply(&mut self, request: RequestId, reply: Option<&Arc<[u8]>>) {
         let key = self.sends.get(&request).and_then(|send| send.key.clone());
         if let (Some(key), Some(reply)) = (key, reply) {
             self.replies.insert(key, Arc::clone(reply));
         }
     }
 
-    /// A backend server announced itself.
-    pub fn announced(&mut self, now: Duration, id: NodeId, phase: UpstreamPhase) {
+    /// Records an announcement of a backend server.
+    pub fn on_announcement(&mut self, now: Duration, id: NodeId, phase: UpstreamPhase) {
         if phase == UpstreamPhase::Leaving {
             self.leaving.entry(id).or_insert(now);
         } else {
@@ -142,29 +144,29 @@
         }
     }
 
-    /// A node's life ended; whoever called it is on its own.
-    pub fn ended(&mut self, id: NodeId) {
+    /// Removes a node whose life ended, along with the expectations of its callers.
+    pub fn on_node_end(&mut self, id: NodeId) {
         let sends = &self.sends;
         self.open.retain(|request| sends[request].ingress != id);
         self.versions.remove(&id);
-        self.below.remove(&id);
+        self.below_floor_since.remove(&id);
         self.drained.remove(&id);
         self.leaving.remove(&id);
     }
 
-    /// A node stood still until now: its answers may be as late.
+    /// Extends the deadlines of sends through a node that was frozen until now.
     pub fn stood_still(&mut self, now: Duration, id: NodeId) {
         for send in self.sends.values_mut().filter(|send| send.ingress == id) {
-            send.due = send.due.max(now + SLACK);
+            send.answer_due = send.answer_due.max(now + ANSWER_SLACK);
         }
-        self.below.remove(&id);
+        self.below_floor_since.remove(&id);
     }
 
-    /// A node commands something.
-    pub fn commanded(&mut self, now: Duration, id: NodeId, command: &NodeCommand) {
+    /// Checks a command of a node.
+    pub fn on_command(&mut self, now: Duration, id: NodeId, command: &NodeCommand) {
         match command {
             NodeCommand::Refuse { request, refusal } => {
-                self.answered(*request);
+                self.on_answer(*request);
                 let Some(send) = self.sends.get_mut(request) else {
                     return;
                 };
@@ -173,16 +175,16 @@
                     self.wrong(format!("{} ran and is told 'not run'", request.0));
                 }
             }
-            NodeCommand::Deliver { attempt } => self.answered(attempt.request),
-            NodeCommand::AnswerGone { request } => self.answered(*request),
+            NodeCommand::Deliver { attempt } => self.on_answer(attempt.request),
+            NodeCommand::AnswerGone { request } => self.on_answer(*request),
             NodeCommand::AnswerKept { request, reply } => {
-                self.answered(*request);
+                self.on_answer(*request);
                 let key = self.sends.get(request).and_then(|send| send.key.clone());
                 if key.and_then(|key| self.replies.get(&key)) != Some(reply) {
                     self.wrong(format!("{} gets another reply", request.0));
                 }
             }
-            NodeCommand::Dispatch(order) => self.dispatched(now, id, order),
+            NodeCommand::Dispatch(order) => self.on_dispatch(now, id, order),
             NodeCommand::Drained => {
                 self.drained.insert(id);
             }
@@ -191,7 +193,7 @@
                     send.settled += 1;
                     send.status = summary.status;
                     let again = send.settled > 1;
-                    let late = now > send.due;
+                    let late = now > send.answer_due;
                     self.open.remove(&summary.request);
                     if again || late {
                         let number = summary.request.0;
@@ -203,7 +205,7 @@
         }
     }
 
-    fn answered(&mut self, request: RequestId) {
+    fn on_answer(&mut self, request: RequestId) {
         let Some(send) = self.sends.get_mut(&request) else {
             return;
         };
@@ -213,31 +215,32 @@
         }
     }
 
-    fn dispatched(&mut self, now: Duration, id: NodeId, order: &AttemptOrder) {
+    fn on_dispatch(&mut self, now: Duration, id: NodeId, order: &AttemptOrder) {
         let executor = order.executor.node;
         let late = self.leaving.get(&executor);
-        let late = late.is_some_and(|since| now > *since + LEAVE_NEWS);
-        if late && !self.is_disturbed(now, id) && !self.is_disturbed(now, executor) {
+        let late = late.is_some_and(|since| now > *since + LEAVE_PROPAGATION_TIME);
+        if late && !self.is_outdated(now, id) && !self.is_outdated(now, executor) {
             let number = order.attempt.request.0;
             self.wrong(format!("{number} goes to a backend server that left"));
         }
     }
 
-    fn is_disturbed(&self, now: Duration, id: NodeId) -> bool {
+    fn is_outdated(&self, now: Duration, id: NodeId) -> bool {
         self.disturbed.get(&id).is_some_and(|until| now < *until)
     }
 
-    /// News from and to a node may be late from now on, or for a while after it was healed.
+    /// Marks the state of a node as possibly outdated: until it is healed, or for
+    /// [`HEAL_PROPAGATION_TIME`] after that.
     pub fn disturb(&mut self, now: Duration, id: NodeId, healed: bool) {
         let until = if healed {
-            now + HEAL_NEWS
+            now + HEAL_PROPAGATION_TIME
         } else {
             Duration::MAX
         };
         self.disturbed.insert(id, until);
     }
 
-    /// Looks at all nodes after a step.
+    /// Checks all nodes after a step of the session.
     pub fn check<F>(&mut self, now: Duration, engines: &BTreeMap<NodeId, NodeEngine>, frozen: F)
     where
         F: Fn(NodeId) -> bool,
@@ -245,7 +248,7 @@
         let sends = &self.sends;
         let late = self.open.iter().find(|request| {
             let send = &sends[request];
-            now > send.due && !frozen(send.ingress)
+            now > send.answer_due && !frozen(send.ingress)
         });
         if let Some(late) = late.copied() {
             self.wrong(format!("{} has no answer at its deadline", late.0));
@@ -271,27 +274,27 @@
     fn check_floor(&mut self, now: Duration, id: NodeId, engine: &NodeEngine) {
         let floor = engine.floor_of(&ServiceName::new("orders"));
         if floor.is_none_or(|floor| floor.kept() || floor.ejected_count == 0) {
-            self.below.remove(&id);
+            self.below_floor_since.remove(&id);
             return;
         }
-        let since = *self.below.entry(id).or_insert(now);
-        if now > since + FLOOR_TIME {
+        let since = *self.below_floor_since.entry(id).or_insert(now);
+        if now > since + MAX_TIME_BELOW_FLOOR {
             let name = &engine.status().name;
             self.wrong(format!("{name}: ejected below the floor: {floor:?}"));
         }
     }
 
-    /// Status of the reply that a send got.
+    /// Returns the HTTP status of the reply to a send.
     pub fn status_of(&self, request: RequestId) -> Option<u16> {
         self.sends.get(&request).and_then(|send| send.status)
     }
 
-    /// Whether a send got its answer.
+    /// Returns whether a send was answered.
     pub fn is_settled(&self, request: RequestId) -> bool {
         !self.open.contains(&request)
     }
 
-    /// How a send ended, for people.
+    /// Returns the record of a send in readable form, for failure messages.
     pub fn end_of(&self, request: RequestId) -> String {
         format!("{:?}", self.sends.get(&request))
     }
--- a/crates/engine/tests/session/main.rs
+++ b/crates/engine/tests/session/main.rs
@@ -1,13 +1,13 @@
-//! Golden sessions of whole fleets: events and commands in order, with virtual time; and faults
-//! put together by chance, with what must hold checked after each step.
+//! Sessions of simulated fleets with virtual time. Some compare the exact order of events and
+//! commands with a snapshot, others inject random faults and check invariants after each step.
 
 mod audit;
 mod contract_spread;
 mod faults;
 mod fleet_form;
-mod found;
 mod joining;
 mod leaving;
+mod regressions;
 mod repeat_bound;
-mod scenes;
+mod scenarios;
 mod world;
