--- a/crates/engine/tests/session/found.rs
+++ b/crates/engine/tests/session/regressions.rs
@@ -1,4 +1,4 @@
-//! Short forms of what the sessions of `faults` found.
+//! Regression tests: minimal sessions for faults that the random sessions in `faults` revealed.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::world::{BackendScript, SessionWorld, node};
 
-// A node dies for good. Later a new node joins under another name; it never heard of the dead one.
-// Price checks through the new node must be served.
+// A node that joins under a new name after another one died for good has no record of the dead
+// node. Price checks through the new node must be served.
 #[test]
-fn a_node_joins_after_another_died_for_good() {
+fn node_joins_after_permanent_loss_of_another() {
     let mut world = SessionWorld::start(3);
     world.audit.begin();
     world.kill("c");
@@ -28,9 +28,10 @@
     }
 }
 
-// A node leaves a fleet of three in good order. Bookings through the two that stay are served.
+// Bookings through the two remaining nodes must be served at any time after the third one left in
+// an orderly way.
 #[test]
-fn bookings_are_served_right_after_a_node_left() {
+fn bookings_are_served_after_a_node_leaves() {
     for pause in [0, 100, 500, 1_000, 2_500, 6_000, 20_000] {
         let mut world = SessionWorld::start(3);
         world.audit.begin();
@@ -58,10 +59,10 @@
     }
 }
 
-// A node that is alone is told to leave. Nobody can take its seats of the guard; it is drained
-// once its callers are quiet, since it waits for nobody.
+// A node that is alone has no taker for its guard seats. It must be drained once its callers are
+// quiet, without waiting for a handover.
 #[test]
-fn a_lone_node_is_drained() {
+fn lone_node_drains_without_handover() {
     let mut world = SessionWorld::start(1);
     world.call("a", 1, "GET", "/prices/bulk", None);
     world.tell("a", NodeEvent::DrainRequested);
@@ -69,11 +70,11 @@
     assert_snapshot!(world.trace());
 }
 
-// Price checks wait for the slots of a slow backend server that just started, which leaves and
-// comes back. Its slots are counted afresh. Those that waited in the old count are refused at once
-// as not run, and no work is left.
+// A slow backend server leaves and comes back while price checks wait for its slots. Its slots are
+// counted from zero, so waiting work of the old count must be refused at once as not run, and no
+// work may remain.
 #[test]
-fn work_that_waits_when_its_backend_server_comes_back() {
+fn queued_work_is_refused_when_backend_returns() {
     let mut world = SessionWorld::start(1);
     let slow = BackendScript {
         time: Duration::from_millis(400),
@@ -91,10 +92,10 @@
     assert_snapshot!(world.trace());
 }
 
-// A node leaves, and its own backend server leaves after it. Peers hear nothing new by that; the
-// node itself must stop handing it work.
+// When the backend server of a leaving node leaves too, peers get no new information. The node
+// itself must still stop forwarding work to the server.
 #[test]
-fn a_leaving_node_hears_that_its_backend_server_leaves() {
+fn leaving_node_stops_using_leaving_backend() {
     let mut world = SessionWorld::start(1);
     world.tell("a", NodeEvent::DrainRequested);
     world.announce(node("a"), UpstreamPhase::Leaving);
@@ -104,10 +105,10 @@
     assert_snapshot!(world.trace());
 }
 
-// The order to run a price check and its cancellation cross: the daemon takes note of the
-// cancellation first and tells no end of the work. Its slot must be free again.
+// The cancellation of a price check crosses the order to run it, so the daemon handles the
+// cancellation first and never reports an end of the work. The slot must be free afterwards.
 #[test]
-fn a_cancellation_that_crosses_the_order_to_run() {
+fn cancellation_crossing_run_order_frees_slot() {
     let mut world = SessionWorld::start(1);
     world.call("a", 1, "GET", "/prices/bulk", None);
     world.run_for(Duration::from_millis(1));
--- a/crates/engine/tests/session/scenes.rs
+++ b/crates/engine/tests/session/scenarios.rs
@@ -1,4 +1,4 @@
-//! The sessions.
+//! Sessions of a small fleet whose trace is compared with a snapshot.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 use crate::world::{BackendScript, SessionWorld, node};
 
-/// A key made at virtual zero.
+/// An idempotency key whose timestamp is the start of virtual time.
 const KEY: &str = "01a0c450-8b40-7000-8000-000000000001";
-/// Long enough for any session to come to rest.
+/// Time after which every session is idle.
 const REST: Duration = Duration::from_secs(3);
 
 fn all_backends(world: &mut SessionWorld, names: &[&str], script: BackendScript) {
@@ -19,9 +19,9 @@
     }
 }
 
-// A price check and a booking are served; the booking sent again gets the kept reply.
+// A price check and a booking are served. The resent booking must get the stored reply.
 #[test]
-fn a_price_check_and_a_booking() {
+fn resent_booking_gets_stored_reply() {
     let mut world = SessionWorld::start(3);
     world.call("a", 1, "GET", "/prices/bulk", None);
     world.run_for(REST);
@@ -34,10 +34,10 @@
     assert_snapshot!(world.trace());
 }
 
-// Every backend server answers 500. The price check is tried elsewhere within the budget and then
-// gets the server's own answer; a booking that ran gets its 500 at once and is never run again.
+// Every backend server answers 500. The price check must be retried elsewhere within the budget and
+// then get the server's answer. A booking that ran must get its 500 at once and never run again.
 #[test]
-fn server_errors_are_retried_only_where_that_is_safe() {
+fn server_errors_are_retried_only_if_idempotent() {
     let mut world = SessionWorld::start(3);
     let failing = BackendScript {
         status: 500,
@@ -55,10 +55,10 @@
     assert_snapshot!(world.trace());
 }
 
-// The backend server crashes under a booking. The caller is told "unknown" at once; the resend
-// through another node is told the same and does not run.
+// The backend server crashes during a booking. The caller must get "unknown" at once, and a resend
+// through another node must get the same answer and not run.
 #[test]
-fn a_crash_under_a_booking_is_unknown_for_good() {
+fn crashed_booking_stays_unknown() {
     let mut world = SessionWorld::start(3);
     let crashing = BackendScript {
         end: WorkEnd::Crashed,
@@ -74,10 +74,10 @@
     assert_snapshot!(world.trace());
 }
 
-// No reply comes before the deadline. The caller gets its final answer at the deadline, "unknown";
-// the resend meanwhile joins the run that is still under way and gets its reply.
+// No reply arrives before the deadline, at which the caller gets "unknown". A resend that arrives
+// in the meantime must join the open run and get its reply.
 #[test]
-fn a_resend_joins_the_run_that_outlived_its_caller() {
+fn resend_joins_open_run() {
     let mut world = SessionWorld::start(3);
     let slow = BackendScript {
         time: Duration::from_secs(12),
@@ -93,9 +93,9 @@
     assert_snapshot!(world.trace());
 }
 
-// A caller goes away while its price check runs. The attempt is cancelled at once.
+// The caller disconnects while its price check runs. The attempt must be cancelled at once.
 #[test]
-fn a_caller_that_goes_away_frees_its_slot() {
+fn disconnected_caller_frees_slot() {
     let mut world = SessionWorld::start(2);
     world.call("a", 1, "GET", "/prices/bulk", None);
     world.run_for(Duration::from_millis(5));
@@ -109,10 +109,10 @@
     assert_snapshot!(world.trace());
 }
 
-// A node leaves while it runs a request of another. It finishes it, hands over its seats and is
-// drained; bookings go on through the others with the log down.
+// A node leaves while it runs another node's request. It must finish the request, hand over its
+// guard seats and be drained. With the log down, bookings through the other nodes must continue.
 #[test]
-fn a_node_leaves_with_work_in_flight() {
+fn node_leaves_with_work_in_flight() {
     let mut world = SessionWorld::start(4);
     world.set_log(false);
     world.call("b", 1, "POST", "/bookings", Some(KEY));
@@ -127,10 +127,10 @@
     assert_snapshot!(world.trace());
 }
 
-// The log is down and a node is killed. Bookings through the others go on once its seats are
-// struck, each within its deadline.
+// A node is killed while the log is down. Once its guard seats are struck, bookings through the
+// other nodes must continue, each within its deadline.
 #[test]
-fn bookings_go_on_with_the_log_down_and_a_node_killed() {
+fn bookings_continue_with_log_down_and_node_killed() {
     let mut world = SessionWorld::start(4);
     world.set_log(false);
     world.kill("d");
@@ -147,10 +147,11 @@
     assert_snapshot!(world.trace());
 }
 
-// A booking ran. Its resend meets a service without any upstream, which would be refused as not run.
-// The key's guards are asked first, and the caller gets the kept reply instead of a wrong "not run".
+// The resend of a booking that ran meets a service without upstreams, which is refused as not run.
+// The guards of the key are asked first, so the caller must get the stored reply instead of a wrong
+// "not run".
 #[test]
-fn a_refused_resend_of_a_run_gets_its_reply() {
+fn refused_resend_gets_stored_reply() {
     let mut world = SessionWorld::start(3);
     world.call("a", 1, "POST", "/bookings", Some(KEY));
     world.run_for(REST);
@@ -172,10 +173,11 @@
     assert_snapshot!(world.trace());
 }
 
-// Two of three nodes stop answering and callers ask the third for far more than its own share. What
-// it cannot serve is refused soon and told when to come back, not held until its deadline of a second.
+// Two of three nodes stop answering, and callers request far more of the third than its own share.
+// Requests that it cannot serve must be refused soon with a retry delay, and not be held until
+// their deadline of one second.
 #[test]
-fn a_share_that_never_comes_is_waited_for_briefly() {
+fn wait_for_missing_share_is_bounded() {
     let mut world = SessionWorld::start(3);
     world.amend(node("a"), 21, 6);
     world.run_for(Duration::from_secs(30));
--- a/crates/engine/tests/session/world.rs
+++ b/crates/engine/tests/session/world.rs
@@ -1,8 +1,8 @@
-//! A few nodes joined by small fakes: a queue of messages with a fixed delay, a log, and backend
-//! servers with a fixed service time.
+//! Simulation of a few nodes: a network with a fixed delay, a log, and backend servers with a fixed
+//! service time.
 
-mod acts;
-mod lines;
+mod actions;
+mod trace_lines;
 mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,32 +28,32 @@
 use sycamorelink_policy::{SampleKind, UpstreamPhase};
 use sycamorelink_roster::MemberFacts;
 
-use self::lines::{command_line, event_line};
+use self::trace_lines::{command_line, event_line};
 use crate::audit::SessionAudit;
 
-/// One way between two nodes.
-pub const DELAY: Duration = Duration::from_micros(1_500);
-/// Time that a backend server takes, unless a scene says otherwise.
+/// One-way delay between two nodes.
+pub const LINK_DELAY: Duration = Duration::from_micros(1_500);
+/// Default run time of a backend server.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Wall clock at virtual zero.
+/// Wall-clock time at the start of virtual time.
 pub const WALL: Duration = Duration::from_secs(1_790_000_000);
-/// Datagrams that wait in the socket of a node that stands still.
-const KEPT_DATAGRAMS: u32 = 20;
-/// Happenings at one moment beyond which a node is taken to wake itself without end.
-const MOST_TICKS: u32 = 20_000;
-/// Time after which a connection without any byte counts as lost.
-const SILENCE: Duration = Duration::from_secs(2);
-/// Token of the sample contract.
+/// Datagrams that the socket of a frozen node buffers.
+const SOCKET_DATAGRAMS: u32 = 20;
+/// Number of steps at one moment from which a node counts as waking itself in a loop.
+const MAX_STEPS_AT_ONCE: u32 = 20_000;
+/// Time without any byte after which a connection counts as lost.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Caller token of the sample contract.
 const TOKEN: &str = "brannock-dealer-demo";
 
-/// How the backend server of a node behaves.
+/// Behaviour of a node's backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendScript {
     /// How work ends.
     pub end: WorkEnd,
-    /// Status of its replies.
+    /// HTTP status of its replies.
     pub status: u16,
-    /// Time that it takes.
+    /// Run time.
     pub time: Duration,
 }
 
@@ -68,7 +68,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum QueuedItem {
     Event(NodeId, Box<NodeEvent>),
     WorkDone(NodeId, WorkId),
     AttemptLost(RunningWork),
@@ -84,94 +84,94 @@
     arrives: Duration,
 }
 
-/// What is wrong between the nodes and at the log.
+/// Injected faults of the network and the log.
 #[derive(Default)]
-pub struct WireFaults {
-    /// Ways on which nothing arrives.
+pub struct NetworkFaults {
+    /// Directed links that deliver nothing.
     pub cuts: BTreeSet<(NodeId, NodeId)>,
-    /// Share of messages that are lost, in percent.
+    /// Percentage of messages that are lost.
     pub loss: u32,
-    /// Greatest delay on top of the usual one, in milliseconds; makes messages overtake.
+    /// Maximum extra delay in milliseconds; causes reordering of messages.
     pub jitter: u64,
-    /// Whether datagrams, which carry gossip, are lost.
+    /// Whether gossip datagrams are lost.
     pub gossip_lost: bool,
-    /// Share of appends that are made twice because their reply was lost, in percent.
+    /// Percentage of appends that are made twice because their reply was lost.
     pub twice: u32,
 }
 
-/// The nodes and what is between them.
+/// Simulated nodes with their network, log and backend servers.
 pub struct SessionWorld {
     now: Duration,
     sequence: u64,
     engines: BTreeMap<NodeId, NodeEngine>,
     names: BTreeMap<NodeId, String>,
     addresses: BTreeMap<SocketAddr, NodeId>,
-    queue: BTreeMap<(Duration, u64), Happening>,
+    queue: BTreeMap<(Duration, u64), QueuedItem>,
     works: BTreeMap<(NodeId, WorkId), RunningWork>,
     next_work: u64,
     logs: BTreeMap<LogStream, Vec<Arc<[u8]>>>,
     log_up: bool,
-    /// How each node's backend server behaves.
+    /// Behaviour of each node's backend server.
     pub scripts: BTreeMap<NodeId, BackendScript>,
-    /// Runs by idempotency key or request, counted at the backend servers.
+    /// Number of runs of each request, counted at the backend servers.
     pub runs: BTreeMap<RequestId, u32>,
-    /// What is wrong between the nodes.
-    pub wire: WireFaults,
-    /// How often each node was asked for a contract.
+    /// Injected faults.
+    pub wire: NetworkFaults,
+    /// Number of contract requests that each node received.
     pub pulls: BTreeMap<NodeId, u32>,
     /// Nodes that follow the source of the fleet contract.
     pub followers: BTreeSet<NodeId>,
-    /// Failure domains that nodes are spread over; none puts each into one of its own.
+    /// Number of failure domains that the nodes are spread over; `None` for one domain per node.
     domains: Option<u8>,
     /// Whether the whole fleet starts for the first time.
     first_start: bool,
-    /// Bytes that each node's gossip may send a second, where that is not the default.
+    /// Gossip limit of each node in bytes per second; `None` for the default.
     gossip_bytes: Option<u32>,
-    /// The fleet contract that nodes start with; none when customers' contracts are in the log.
+    /// The fleet contract that nodes start with; `None` when customers' contracts are in the log.
     fleet: Option<Arc<FleetContract>>,
-    /// Nodes that stand still, with the events that wait for them.
+    /// Frozen nodes, with the events that wait for them.
     frozen: BTreeMap<NodeId, Vec<NodeEvent>>,
     /// When each node's present life began.
-    born: BTreeMap<NodeId, Duration>,
+    started_at: BTreeMap<NodeId, Duration>,
     cursors: BTreeMap<(NodeId, LogStream), usize>,
-    /// Backend servers that crashed and are not back.
+    /// Backend servers that crashed and have not restarted.
     pub down: BTreeSet<NodeId>,
     /// Requests that crash every backend server that runs them.
     pub poison: BTreeSet<RequestId>,
-    /// What must hold.
+    /// Checks of the invariants.
     pub audit: SessionAudit,
-    /// Crashed work whose failure is held until its engine releases it.
+    /// Work whose failure is withheld until its engine releases it.
     crashed: BTreeMap<(NodeId, WorkId), (RunningWork, AttemptReport)>,
     released: Vec<WorkId>,
     rng: SmallRng,
-    quiet: bool,
+    trace_paused: bool,
     trace: Vec<String>,
 }
 
-/// The node with a name.
+/// Returns the id of the node with a name.
 pub fn node(name: &str) -> NodeId {
     NodeId::of(name)
 }
 
-/// The name of a node: `a`, `b`, ..
+/// Returns the name of a node by number: `a`, `b`, ..
 pub fn name_of(number: u8) -> String {
     char::from(b'a' + number).to_string()
 }
 
 impl SessionWorld {
-    /// Nodes `a`, `b`, .. in one failure domain each, with a backend server of the service
-    /// `orders` beside each, the sample contract in force, and the log up.
+    /// Starts nodes `a`, `b`, .. with one failure domain and one backend server of the service
+    /// `orders` each, the sample contract in force and the log up.
     pub fn start(count: u8) -> Self {
         Self::start_with(count, None, None)
     }
 
-    /// The same under a fleet contract.
+    /// Starts nodes as [`Self::start`] does, but under a fleet contract.
     pub fn start_fleet(count: u8, contract: FleetContract) -> Self {
         Self::start_with(count, Some(Arc::new(contract)), None)
     }
 
-    /// A fleet that starts for the first time, whose contract is not at its source yet. Each node finds the
-    /// nodes before it in the directory.
+    /// Starts a fleet for the first time, while its contract is not at its source yet. Each node
+    /// finds the nodes started before it in the directory.
     pub fn start_fleet_first(domains: u8, count: u8) -> Self {
         let mut world = Self::start_all(0, None, Some(domains), None);
         world.first_start = true;
@@ -183,12 +183,12 @@
         world
     }
 
-    /// The same where each node's gossip may send only so many bytes a second.
+    /// Starts nodes under a fleet contract with a gossip limit in bytes per second for each node.
     pub fn start_fleet_with_gossip(count: u8, contract: FleetContract, bytes: u32) -> Self {
         Self::start_all(count, Some(Arc::new(contract)), None, Some(bytes))
     }
 
-    /// The same with the nodes spread over so many failure domains.
+    /// Starts nodes under a fleet contract, spread over a number of failure domains.
     pub fn start_fleet_in(domains: u8, count: u8, contract: FleetContract) -> Self {
         Self::start_with(count, Some(Arc::new(contract)), Some(domains))
     }
@@ -216,7 +216,7 @@
             log_up: true,
             scripts: BTreeMap::new(),
             runs: BTreeMap::new(),
-            wire: WireFaults::default(),
+            wire: NetworkFaults::default(),
             pulls: BTreeMap::new(),
             followers: BTreeSet::new(),
             domains,
@@ -224,7 +224,7 @@
             first_start: false,
             gossip_bytes,
             frozen: BTreeMap::new(),
-            born: BTreeMap::new(),
+            started_at: BTreeMap::new(),
             cursors: BTreeMap::new(),
             down: BTreeSet::new(),
             poison: BTreeSet::new(),
@@ -232,7 +232,7 @@
             crashed: BTreeMap::new(),
             released: Vec::new(),
             rng: SmallRng::seed_from_u64(u64::from(count)),
-            quiet: true,
+            trace_paused: true,
             trace: Vec::new(),
         };
         world.append(LogStream::Contracts, sample_change());
@@ -240,17 +240,17 @@
             world.add_node(number, 1);
         }
         world.run_for(Duration::from_secs(8));
-        world.quiet = false;
+        world.trace_paused = false;
         world
     }
 
-    /// A node starts, remembering nothing, and its backend server announces itself.
+    /// Starts a node without stored state, and announces its backend server.
     pub fn add_node(&mut self, number: u8, incarnation: u64) {
         self.start_node(number, incarnation);
         self.announce(node(&name_of(number)), UpstreamPhase::Ready);
     }
 
-    /// A node starts, remembering nothing.
+    /// Starts a node without stored state.
     pub fn start_node(&mut self, number: u8, incarnation: u64) {
         let name = name_of(number);
         let id = node(&name);
@@ -283,7 +283,7 @@
             settings.roster.burst_bytes = bytes;
         }
         let engine = NodeEngine::new(facts, settings, wall, seed);
-        self.born.insert(id, self.now);
+        self.started_at.insert(id, self.now);
         self.down.remove(&id);
         self.cursors.retain(|(node, _), _| *node != id);
         self.engines.insert(id, engine.seeds(seeds));
@@ -318,10 +318,10 @@
         }
     }
 
-    /// The backend server beside a node announces itself.
+    /// Announces the backend server beside a node.
     pub fn announce(&mut self, id: NodeId, phase: UpstreamPhase) {
         self.down.remove(&id);
-        self.audit.announced(self.now, id, phase);
+        self.audit.on_announcement(self.now, id, phase);
         let announced = UpstreamAnnouncement {
             slot: 0,
             service: ServiceName::new("orders"),
@@ -333,32 +333,32 @@
         self.feed(id, NodeEvent::UpstreamAnnounced(announced));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         let mut ticks = 0_u32;
         loop {
             let queued = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let (wake, sleeper) = self.next_wake();
+            let (wake, next_node) = self.next_wake();
             let next = queued.map_or(wake, |at| at.min(wake)).max(self.now);
             if next > until {
                 break;
             }
             ticks = if next > self.now { 0 } else { ticks + 1 };
-            let name = self.names.get(&sleeper);
+            let name = self.names.get(&next_node);
             assert!(
-                ticks < MOST_TICKS,
+                ticks < MAX_STEPS_AT_ONCE,
                 "{name:?} wakes again and again\n{}",
                 self.trace()
             );
             self.now = next;
             if queued.is_some_and(|at| at <= next) {
-                if let Some((_, happening)) = self.queue.pop_first() {
-                    self.happen(happening);
+                if let Some((_, item)) = self.queue.pop_first() {
+                    self.process_item(item);
                 }
             } else {
-                self.renew(sleeper);
-                self.feed(sleeper, NodeEvent::Tick);
+                self.renew_announcement(next_node);
+                self.feed(next_node, NodeEvent::Tick);
             }
         }
         self.now = until;
@@ -369,12 +369,12 @@
             .engines
             .iter()
             .filter(|(id, _)| !self.frozen.contains_key(id))
-            .map(|(id, engine)| (engine.next_wake().saturating_add(self.born[id]), *id));
+            .map(|(id, engine)| (engine.next_wake().saturating_add(self.started_at[id]), *id));
         wakes.min().unwrap_or((Duration::MAX, NodeId(0)))
     }
 
-    /// The backend server renews its announcement.
-    fn renew(&mut self, id: NodeId) {
+    /// Renews the announcement of the node's backend server.
+    fn renew_announcement(&mut self, id: NodeId) {
         let Some(engine) = self.engines.get(&id) else {
             return;
         };
@@ -384,7 +384,7 @@
         }
     }
 
-    /// A caller sends a request to a node.
+    /// Sends a caller's request to a node.
     pub fn call(
         &mut self,
         name: &str,
@@ -407,34 +407,33 @@
             replayable: true,
             time_left: None,
         };
-        self.audit.called(self.now, node(name), &caller);
+        self.audit.on_request(self.now, node(name), &caller);
         self.feed(node(name), NodeEvent::RequestArrived(caller));
     }
 
-    /// What happened, in order.
+    /// Returns the trace of the session, in order.
     pub fn trace(&self) -> String {
         self.trace.join("\n")
     }
 
-    /// Adds a line to what happened.
+    /// Adds a line to the trace.
     pub fn note(&mut self, line: &str) {
-        if !self.quiet {
+        if !self.trace_paused {
             self.trace
                 .push(format!("{:>9.1}ms {line}", self.now.as_secs_f64() * 1000.0));
         }
     }
 
-    fn schedule(&mut self, after: Duration, happening: Happening) {
+    fn schedule(&mut self, after: Duration, item: QueuedItem) {
         self.sequence += 1;
-        self.queue
-            .insert((self.now + after, self.sequence), happening);
+        self.queue.insert((self.now + after, self.sequence), item);
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(id, event) => self.feed(id, *event),
-            Happening::WorkDone(id, work) => self.end_work(id, work),
-            Happening::AttemptLost(running) => {
+    fn process_item(&mut self, item: QueuedItem) {
+        match item {
+            QueuedItem::Event(id, event) => self.feed(id, *event),
+            QueuedItem::WorkDone(id, work) => self.end_work(id, work),
+            QueuedItem::AttemptLost(running) => {
                 let report = self.report(&running, SampleKind::ConnectionLost, RunState::Unknown);
                 let event = NodeEvent::AttemptEnded(report);
                 self.feed(running.ingress, event);
@@ -455,18 +454,18 @@
         let Some(engine) = self.engines.get_mut(&id) else {
             return;
         };
-        let now = self.now.saturating_sub(self.born[&id]);
+        let now = self.now.saturating_sub(self.started_at[&id]);
         engine.handle(now, event, &mut commands);
         for command in commands {
-            self.audit.commanded(self.now, id, &command);
+            self.audit.on_command(self.now, id, &command);
             if let Some(line) = command_line(&command) {
                 self.note(&format!("{name} -> {line}"));
             }
-            self.obey(id, command);
+            self.execute(id, command);
         }
     }
 
-    fn obey(&mut self, id: NodeId, command: NodeCommand) {
+    fn execute(&mut self, id: NodeId, command: NodeCommand) {
         match command {
             NodeCommand::ReadBody { request, .. } => {
                 let fingerprint = KeyFingerprint::of("POST", "/bookings", b"pellets");
@@ -474,7 +473,7 @@
                     request,
                     fingerprint,
                 };
-                self.schedule(Duration::ZERO, Happening::Event(id, Box::new(event)));
+                self.schedule(Duration::ZERO, QueuedItem::Event(id, Box::new(event)));
             }
             NodeCommand::Dispatch(order) => self.offer(id, *order),
             NodeCommand::RunWork { work, .. } => {
@@ -485,10 +484,10 @@
                     if starts {
                         let request = running.attempt.request;
                         *self.runs.entry(request).or_default() += 1;
-                        self.audit.ran(request);
+                        self.audit.on_run(request);
                     }
                 }
-                self.schedule(script.time, Happening::WorkDone(id, work));
+                self.schedule(script.time, QueuedItem::WorkDone(id, work));
             }
             NodeCommand::RefuseWork {
                 work,
@@ -513,7 +512,9 @@
                     *self.pulls.entry(to.node).or_default() += 1;
                 }
                 let lives = self.engines.get(&to.node).map(NodeEngine::own_instance);
-                let Some(delay) = self.travel(id, to.node, true).filter(|_| lives == Some(to))
+                let Some(delay) = self
+                    .link_delay(id, to.node, true)
+                    .filter(|_| lives == Some(to))
                 else {
                     return;
                 };
@@ -521,17 +522,17 @@
                     from: self.engines[&id].own_instance(),
                     message,
                 };
-                self.schedule(delay, Happening::Event(to.node, Box::new(event)));
+                self.schedule(delay, QueuedItem::Event(to.node, Box::new(event)));
             }
             NodeCommand::SendDatagram { to, message } => {
                 let from = self.addresses.iter().find(|(_, node)| **node == id);
                 let from = from.map(|(address, _)| *address);
                 if let (Some(from), Some(&receiver)) = (from, self.addresses.get(&to))
                     && !self.wire.gossip_lost
-                    && let Some(delay) = self.travel(id, receiver, true)
+                    && let Some(delay) = self.link_delay(id, receiver, true)
                 {
                     let event = NodeEvent::DatagramReceived { from, message };
-                    self.schedule(delay, Happening::Event(receiver, Box::new(event)));
+                    self.schedule(delay, QueuedItem::Event(receiver, Box::new(event)));
                 }
             }
             NodeCommand::FollowSource { follow: true } => {
@@ -588,7 +589,7 @@
             next: next as u64,
             records,
         };
-        self.schedule(DELAY, Happening::Event(id, Box::new(event)));
+        self.schedule(LINK_DELAY, QueuedItem::Event(id, Box::new(event)));
     }
 }
 
--- a/crates/engine/tests/session/world/lines.rs
+++ b/crates/engine/tests/session/world/trace_lines.rs
@@ -1,8 +1,8 @@
-//! Lines of the trace.
+//! Trace lines of events and commands.
 
 use sycamorelink_engine::{NodeCommand, NodeEvent};
 
-/// Events that belong to the session; gossip and upkeep are left out.
+/// Returns the trace line of an event; `None` for gossip and periodic work.
 pub(super) fn event_line(event: &NodeEvent) -> Option<String> {
     match event {
         NodeEvent::RequestArrived(caller) => Some(format!(
@@ -35,7 +35,7 @@
     }
 }
 
-/// Commands that belong to the session.
+/// Returns the trace line of a command; `None` for commands that the trace omits.
 pub(super) fn command_line(command: &NodeCommand) -> Option<String> {
     match command {
         NodeCommand::Refuse { request, refusal } => Some(format!(
--- a/crates/engine/tests/session/world/work.rs
+++ b/crates/engine/tests/session/world/work.rs
@@ -1,4 +1,4 @@
-//! The way of work: offered, run, cancelled, lost and answered.
+//! Simulated execution of work: offers, runs, cancellations, losses and answers.
 
 use super::*;
 
@@ -7,10 +7,15 @@
         self.scripts.get(&id).copied().unwrap_or_default()
     }
 
-    /// Time that something takes from a node to another; none when it does not arrive.
-    pub(super) fn travel(&mut self, from: NodeId, to: NodeId, message: bool) -> Option<Duration> {
+    /// Returns the delay from one node to another; `None` if the transmission is lost.
+    pub(super) fn link_delay(
+        &mut self,
+        from: NodeId,
+        to: NodeId,
+        message: bool,
+    ) -> Option<Duration> {
         if from == to {
-            return Some(DELAY);
+            return Some(LINK_DELAY);
         }
         let lost = message && self.wire.loss > 0 && self.rng.random_range(0..100) < self.wire.loss;
         if lost || self.wire.cuts.contains(&(from, to)) {
@@ -20,56 +25,56 @@
             0 => 0,
             jitter => self.rng.random_range(0..=jitter),
         };
-        Some(DELAY + Duration::from_millis(extra))
+        Some(LINK_DELAY + Duration::from_millis(extra))
     }
 
-    /// The connection that carried an attempt breaks.
-    pub(super) fn lose(&mut self, running: RunningWork, after: Duration) {
-        self.schedule(after, Happening::AttemptLost(running));
+    /// Breaks the connection that carried an attempt.
+    pub(super) fn lose_connection(&mut self, running: RunningWork, after: Duration) {
+        self.schedule(after, QueuedItem::AttemptLost(running));
     }
 
-    /// The caller's side no longer wants an attempt. A keyed one goes on.
+    /// Cancels an attempt for its ingress node. A keyed attempt continues.
     pub(super) fn cancel(&mut self, ingress: NodeId, attempt: AttemptId) {
         let mut found = self.works.iter();
         let found = found.find(|(_, work)| work.attempt == attempt && !work.keyed);
         let Some((&(executor, work), _)) = found else {
             return;
         };
-        let Some(delay) = self.travel(ingress, executor, false) else {
+        let Some(delay) = self.link_delay(ingress, executor, false) else {
             return;
         };
         let Some(running) = self.works.remove(&(executor, work)) else {
             return;
         };
-        // The daemon may find the cancellation at the same moment as the order to run.
+        // The daemon may handle the cancellation before the order to run.
         let event = if running.started && self.rng.random_range(0..100) < 80 {
             NodeEvent::WorkEnded(WorkReport {
                 work,
                 end: WorkEnd::Cancelled,
                 status: None,
-                service_time: DELAY,
+                service_time: LINK_DELAY,
                 reply: None,
             })
         } else {
             NodeEvent::WorkCancelled { work }
         };
-        // One connection keeps the order: the cancellation does not overtake the offer.
+        // A connection preserves order, so the cancellation arrives after the offer.
         let after = delay.max(running.arrives.saturating_sub(self.now));
-        self.schedule(after, Happening::Event(executor, Box::new(event)));
+        self.schedule(after, QueuedItem::Event(executor, Box::new(event)));
     }
 
     pub(super) fn offer(&mut self, ingress: NodeId, order: AttemptOrder) {
         let work = WorkId(self.next_work);
         self.next_work += 1;
         let executor = order.executor.node;
-        let mut running = self.sent(ingress, &order);
+        let mut running = self.running_work(ingress, &order);
         if self.engines.get(&executor).map(NodeEngine::own_instance) != Some(order.executor) {
             let report = self.report(&running, SampleKind::ConnectionLost, RunState::NotRun);
             self.answer(ingress, &running, report);
             return;
         }
-        let Some(delay) = self.travel(ingress, executor, false) else {
-            self.lose(running, SILENCE);
+        let Some(delay) = self.link_delay(ingress, executor, false) else {
+            self.lose_connection(running, CONNECTION_TIMEOUT);
             return;
         };
         running.arrives = self.now + delay;
@@ -99,11 +104,11 @@
         };
         self.schedule(
             delay,
-            Happening::Event(executor, Box::new(NodeEvent::WorkOffered(offer))),
+            QueuedItem::Event(executor, Box::new(NodeEvent::WorkOffered(offer))),
         );
     }
 
-    pub(super) fn sent(&self, ingress: NodeId, order: &AttemptOrder) -> RunningWork {
+    pub(super) fn running_work(&self, ingress: NodeId, order: &AttemptOrder) -> RunningWork {
         RunningWork {
             ingress,
             attempt: order.attempt,
@@ -116,7 +121,7 @@
 
     pub(super) fn end_work(&mut self, id: NodeId, work: WorkId) {
         if self.is_frozen(id) {
-            self.schedule(SERVICE_TIME, Happening::WorkDone(id, work));
+            self.schedule(SERVICE_TIME, QueuedItem::WorkDone(id, work));
             return;
         }
         let Some(running) = self.works.remove(&(id, work)) else {
@@ -131,12 +136,12 @@
         } else if script.end == WorkEnd::NotStarted {
             script.end = WorkEnd::Replied;
         }
-        if script.end == WorkEnd::Crashed && self.audit.is_used() {
+        if script.end == WorkEnd::Crashed && self.audit.is_checking() {
             self.down.insert(id);
         }
         let reply = (script.end == WorkEnd::Replied)
             .then(|| Arc::from(self.audit.reply_of(running.attempt.request)));
-        self.audit.replied(running.attempt.request, reply.as_ref());
+        self.audit.on_reply(running.attempt.request, reply.as_ref());
         let report = WorkReport {
             work,
             end: script.end,
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Tells the failures of crashed work that their engine released.
+    /// Reports the failures of crashed work that their engine released.
     pub(super) fn release(&mut self, id: NodeId) {
         let released = std::mem::take(&mut self.released);
         for work in released {
@@ -188,7 +193,7 @@
             kind,
             run,
             status: None,
-            latency: (self.now + DELAY).saturating_sub(running.sent),
+            latency: (self.now + LINK_DELAY).saturating_sub(running.sent),
             service_time: None,
             load: None,
             code: None,
@@ -203,11 +208,11 @@
         running: &RunningWork,
         report: AttemptReport,
     ) {
-        let Some(delay) = self.travel(executor, running.ingress, false) else {
-            self.lose(running.clone(), SILENCE);
+        let Some(delay) = self.link_delay(executor, running.ingress, false) else {
+            self.lose_connection(running.clone(), CONNECTION_TIMEOUT);
             return;
         };
         let event = NodeEvent::AttemptEnded(report);
-        self.schedule(delay, Happening::Event(running.ingress, Box::new(event)));
+        self.schedule(delay, QueuedItem::Event(running.ingress, Box::new(event)));
     }
 }
