--- a/crates/roster/src/budget.rs
+++ b/crates/roster/src/budget.rs
@@ -1,41 +1,41 @@
-//! The node's one budget of bytes sent.
+//! Token bucket for the bytes that the node sends.
 //!
-//! A token bucket. Each class of traffic may only draw it down to its own floor, so that a flood
-//! of news of lesser weight never takes the bytes that a leaving upstream or a probe needs. A
-//! probe that could not be sent would look like a dead member; so probes have the lowest floor.
+//! Each class of traffic may drain the bucket only to its own floor, so a flood of less important
+//! rumours never uses up the bytes for probes and leave announcements. Probes have the lowest
+//! floor, because a probe that the budget suppresses looks like a dead member.
 
 use std::time::Duration;
 
 use crate::settings::RosterSettings;
 
-/// Bytes of IP and UDP headers around each payload.
+/// Bytes of the IP and UDP headers of each datagram.
 pub(crate) const HEADER_BYTES: usize = 28;
 
 const MICROS_PER_BYTE: u64 = 1_000_000;
 const PERCENT: u64 = 100;
 
-/// What a datagram or a rumour is for, most important first.
+/// Priority of a datagram or rumour, most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SendClass {
-    /// Probes and their answers.
+    /// Probes and their replies.
     Probe,
-    /// Somebody leaves.
+    /// A member or an upstream leaves.
     Leave,
-    /// Somebody is suspected, dead, or refutes.
+    /// Suspicions, deaths and refutations.
     Death,
-    /// Contract heads and others of that weight.
+    /// Contract heads and other retained topics.
     Head,
-    /// Digests and pulled state. They go before news of who is new: when many join at once that
-    /// news would starve them, though they carry the same and only to those who lack it.
+    /// Digests and pulled state. They precede [`Self::Announce`], which would starve them when many
+    /// nodes join at once; they carry the same state, but only to nodes that lack it.
     Sync,
-    /// Somebody is new.
-    Up,
-    /// Evidence and shares.
+    /// A member or an upstream appeared or changed.
+    Announce,
+    /// Evidence and limit shares.
     Evidence,
 }
 
 impl SendClass {
-    /// Percentage of the burst that the class leaves to those before it.
+    /// Returns the percentage of the burst that the class leaves to more important classes.
     const fn floor_percent(self) -> u64 {
         match self {
             Self::Probe => 0,
@@ -43,13 +43,13 @@
             Self::Death => 16,
             Self::Head => 22,
             Self::Sync => 30,
-            Self::Up => 40,
+            Self::Announce => 40,
             Self::Evidence => 45,
         }
     }
 }
 
-/// Token bucket in micro-bytes.
+/// Token bucket; `rate` is in bytes per second, `burst` and `level` are in millionths of a byte.
 #[derive(Debug)]
 pub(crate) struct ByteBudget {
     rate: u64,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds what the time since the last call brought.
+    /// Adds the tokens gained since the last call.
     pub(crate) fn refill(&mut self, now: Duration) {
         let elapsed = now.saturating_sub(self.filled_at).as_micros();
         let micros = u64::try_from(elapsed).unwrap_or(u64::MAX);
@@ -78,7 +78,7 @@
         self.level = self.level.saturating_add(gained).min(self.burst);
     }
 
-    /// Payload bytes that a datagram of this class may have now.
+    /// Returns the largest payload, in bytes, that a datagram of this class may have now.
     pub(crate) fn allowance(&self, class: SendClass) -> usize {
         let floor = self.burst / PERCENT * class.floor_percent();
         let bytes = self.level.saturating_sub(floor) / MICROS_PER_BYTE;
@@ -87,7 +87,8 @@
             .saturating_sub(HEADER_BYTES)
     }
 
-    /// Takes a datagram's payload and headers out, when the class still has them.
+    /// Takes the bytes of a datagram (payload and headers) from the bucket. Returns false and takes
+    /// nothing when the class has too few left.
     pub(crate) fn take(&mut self, class: SendClass, payload: usize) -> bool {
         if self.allowance(class) < payload {
             return false;
--- a/crates/roster/src/digest.rs
+++ b/crates/roster/src/digest.rs
@@ -1,50 +1,50 @@
-//! Hashes by which two nodes find out where their rosters differ.
+//! Hashes with which two nodes find the differences between their rosters.
 //!
-//! Members fall into buckets by their ids. A bucket's hash is the exclusive or of its members'
-//! hashes, so one change costs one operation, and equal rosters have equal hashes whatever the
-//! order in which the news came.
+//! Members are assigned to buckets by their ids. The hash of a bucket is the XOR of its members'
+//! hashes, so an update is one operation and equal rosters have equal hashes regardless of the
+//! order of the updates.
 
 use sycamorelink_core::NodeId;
 
 use crate::facts::MemberStanding;
 
-/// Number of buckets: with 2,300 members a bucket's list takes about 260 bytes.
+/// Number of buckets; with 2,300 members the list of one bucket takes about 260 bytes.
 pub(crate) const BUCKETS: usize = 128;
 
 const BUCKET_SHIFT: u32 = 64 - BUCKETS.trailing_zeros();
 
-/// Mixes a number so that near ones become unrelated (the finalizer of `SplitMix64`).
+/// Scrambles a number so that adjacent inputs give unrelated outputs (the `SplitMix64` finalizer).
 pub(crate) const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// Adds one number to a running hash.
-pub(crate) const fn join(hash: u64, value: u64) -> u64 {
+/// Mixes one number into a running hash.
+pub(crate) const fn combine(hash: u64, value: u64) -> u64 {
     mix(hash.rotate_left(17) ^ value.wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Folds a hash to the width that goes over the wire.
+/// Folds a hash to the 32 bits that are sent.
 pub(crate) const fn fold(hash: u64) -> u32 {
     let [low @ .., _, _, _, _] = hash.to_le_bytes();
     let [_, _, _, _, high @ ..] = hash.to_le_bytes();
     u32::from_le_bytes(low) ^ u32::from_le_bytes(high)
 }
 
-/// Bucket of a member.
+/// Returns the bucket of a member.
 pub(crate) fn bucket_of(node: NodeId) -> usize {
     usize::try_from(node.0 >> BUCKET_SHIFT).unwrap_or_default()
 }
 
-/// Lowest and highest id of a bucket.
+/// Returns the lowest and highest id of a bucket.
 pub(crate) fn bucket_range(bucket: usize) -> (NodeId, NodeId) {
     let first = (bucket as u64) << BUCKET_SHIFT;
     let last = first | ((1 << BUCKET_SHIFT) - 1);
     (NodeId(first), NodeId(last))
 }
 
-/// Hash of one member's standing, joined with the hash of its slots.
+/// Returns the digest hash of one member's state; `slots` is the hash of its slot table.
 pub(crate) fn member_hash(
     node: NodeId,
     incarnation: u64,
@@ -52,13 +52,13 @@
     standing: MemberStanding,
     slots: u64,
 ) -> u32 {
-    let hash = join(mix(node.0), incarnation);
-    let hash = join(hash, u64::from(revision));
-    let hash = join(hash, standing as u64);
-    fold(join(hash, slots))
+    let hash = combine(mix(node.0), incarnation);
+    let hash = combine(hash, u64::from(revision));
+    let hash = combine(hash, standing as u64);
+    fold(combine(hash, slots))
 }
 
-/// Hash of each bucket.
+/// Hashes of all buckets and their XOR, the root.
 #[derive(Debug)]
 pub(crate) struct DigestTable {
     hashes: [u32; BUCKETS],
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Adds a member's hash, or takes it out again.
+    /// Adds a member's hash, or removes it if it was added before.
     pub(crate) fn toggle(&mut self, node: NodeId, hash: u32) {
         self.hashes[bucket_of(node)] ^= hash;
         self.root ^= hash;
--- a/crates/roster/src/event.rs
+++ b/crates/roster/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the roster and what comes out.
+//! Inputs and outputs of the roster.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,183 +8,185 @@
 use crate::facts::{MemberFacts, MemberView, UpstreamFacts};
 use crate::message::RosterMessage;
 
-/// What happened.
+/// Input of [`crate::NodeRoster::handle`].
 #[derive(Clone, Debug)]
 pub enum RosterEvent {
-    /// Time passed; due when [`crate::NodeRoster::next_wake`] says so.
+    /// The time of [`crate::NodeRoster::next_wake`] has come.
     Tick,
-    /// Gossip addresses from the settings, the way into the fleet.
+    /// Gossip addresses of the seeds from the settings.
     Seeds(Vec<SocketAddr>),
-    /// A datagram came in.
+    /// A datagram arrived.
     Datagram {
-        /// Its source address.
+        /// Source address.
         from: SocketAddr,
-        /// Its decoded payload.
+        /// Decoded payload.
         message: RosterMessage,
     },
     /// An upstream of this node appeared or changed.
     UpstreamSet {
-        /// Its number on this node.
+        /// Number of the upstream on this node.
         slot: u16,
-        /// What is known about it.
+        /// New facts to announce.
         facts: UpstreamFacts,
     },
-    /// An upstream of this node is gone.
+    /// An upstream of this node was removed.
     UpstreamGone {
-        /// Its number on this node.
+        /// Number of the upstream on this node.
         slot: u16,
     },
-    /// This node begins to drain: the fleet sends it no new work.
+    /// This node begins to drain: the other nodes send it no new work.
     Leave,
     /// This node stops now, after [`RosterEvent::Leave`] and the end of its drain.
     Depart,
     /// A request of this node could not reach a member.
     Unreachable {
-        /// Which.
+        /// The member that was not reached.
         node: NodeId,
     },
     /// A member answered a request of this node.
     Reached {
-        /// Which.
+        /// The member that answered.
         node: NodeId,
     },
-    /// Another part has news for all nodes.
+    /// Another component of the daemon publishes an update to all nodes.
     Publish {
-        /// See [`crate::topic`].
+        /// One of the constants in [`crate::topic`].
         topic: u8,
         /// Key within the topic.
         key: u64,
-        /// Greater versions replace smaller ones.
+        /// Version of the key; greater versions replace smaller ones.
         version: u64,
-        /// Opaque to the roster; at most [`crate::topic::BODY_BYTES`] bytes.
+        /// Payload, opaque to the roster; at most [`crate::topic::MAX_BODY_BYTES`] bytes.
         body: Vec<u8>,
     },
 }
 
-/// What the daemon is to do.
+/// Output of [`crate::NodeRoster::handle`], to be carried out by the daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RosterCommand {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// Its payload.
+        /// Payload, not encoded yet.
         message: RosterMessage,
     },
-    /// A member is there: new, in a new life, or back after it was held dead.
+    /// A member is present: new, restarted, or back after it was marked dead.
     MemberUp(MemberFacts),
-    /// A member leaves, or this node's reach of it changed.
+    /// A member began to leave, or its reachability from this node changed.
     MemberChanged(MemberView),
     /// A member is gone. Its upstreams were reported gone before.
     MemberDown {
-        /// Which, in which life.
+        /// Node and incarnation of the member.
         instance: InstanceId,
-        /// Why.
+        /// Why the member was removed.
         cause: DownCause,
     },
-    /// An upstream appeared or changed. On a leaving member every upstream is leaving.
+    /// An upstream appeared or changed. All upstreams of a leaving member have the phase leaving.
     UpstreamChanged {
-        /// Which.
+        /// Node and number of the upstream.
         id: UpstreamId,
-        /// What is known about it.
+        /// New facts of the upstream.
         facts: UpstreamFacts,
     },
-    /// An upstream is gone.
+    /// An upstream was removed.
     UpstreamGone {
-        /// Which.
+        /// Node and number of the upstream.
         id: UpstreamId,
-        /// The service it ran.
+        /// Service that the upstream ran.
         service: ServiceName,
     },
-    /// News of another part came in, newer than any seen under this key.
+    /// A published update arrived whose version is the newest seen for its key.
     Rumour {
-        /// See [`crate::topic`].
+        /// One of the constants in [`crate::topic`].
         topic: u8,
         /// Key within the topic.
         key: u64,
-        /// Its version.
+        /// Version of the key.
         version: u64,
-        /// Opaque to the roster.
+        /// Payload, opaque to the roster.
         body: Vec<u8>,
-        /// Node that published it.
+        /// Node that published the update.
         origin: NodeId,
     },
-    /// This node lives on under a greater incarnation than it started with, because peers
-    /// remember an earlier life of it with a greater one (a clock set back).
+    /// This node raised its incarnation above the one it started with, because peers remember a
+    /// greater one from before a restart (the clock was set back).
     IncarnationRaised(InstanceId),
-    /// Another life of this node's name runs at another address. This one is to stop.
+    /// Another process with this node's name and a greater incarnation runs at another address;
+    /// this process must stop.
     Superseded {
-        /// The newer life.
+        /// Instance that replaces this one.
         by: InstanceId,
     },
-    /// For the event log.
+    /// An entry for the event log.
     Note(RosterNote),
 }
 
-/// Why a member is gone.
+/// Why a member was removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownCause {
-    /// It said goodbye after its drain: its process has ended.
+    /// The member announced its departure after its drain; its process has ended.
     Left,
-    /// It was draining and several observers get no answer any more. It may still run.
+    /// The member was draining and several observers get no reply any more. Its process may still
+    /// run.
     LeftSilently,
-    /// Several observers get no answer. It may still run, behind a cut.
+    /// Several observers get no reply. The process may still run behind a network partition.
     Dead,
-    /// A newer life of the node took its place.
+    /// A newer incarnation of the node replaced this one.
     Replaced,
 }
 
-/// Something worth an entry in the event log.
+/// Entry for the event log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RosterNote {
-    /// The first whole roster is here.
+    /// The first complete roster has been received.
     Joined {
-        /// Members known.
+        /// Number of known members, including this node.
         members: usize,
-        /// Time since the first seed was asked.
+        /// Time since the first seed was contacted.
         after: Duration,
     },
-    /// A member does not answer observers.
+    /// A member does not reply to observers.
     Suspected {
-        /// Which.
+        /// Node and incarnation of the member.
         instance: InstanceId,
-        /// Observers so far.
+        /// Number of observers named in the report.
         observers: usize,
     },
-    /// A suspected member turned out to be alive.
+    /// A suspected member proved to be alive.
     Cleared {
-        /// Which.
+        /// Node and incarnation of the member.
         instance: InstanceId,
     },
-    /// This node was suspected or held dead by peers and said that it lives.
+    /// Peers suspected this node or marked it dead, and this node refuted it.
     Refuted {
-        /// Revision it raised itself to.
+        /// New revision of this node.
         revision: u32,
     },
-    /// This node did not run for a while; its timers were moved by that much.
+    /// This process did not run for a while; running suspicion timers were extended by the gap.
     Stalled {
-        /// For how long.
+        /// Length of the pause.
         gap: Duration,
     },
-    /// Probes fail and no helper answers: this node suspects its own network.
+    /// Probes fail and no helper replies: this node suspects its own network.
     SelfSuspect {
-        /// Probes in a row without any answer.
+        /// Number of consecutive probes without any reply.
         probes: u32,
     },
-    /// This node gets answers from others again.
+    /// This node gets replies from other nodes again.
     SelfRecovered,
-    /// An upstream's service name is too long and was not spread.
+    /// The service name of an upstream is too long; the upstream was not announced.
     NameRefused {
-        /// The upstream's number on this node.
+        /// Number of the upstream on this node.
         slot: u16,
-        /// Its size in bytes.
+        /// Size of the name, in bytes.
         bytes: usize,
     },
-    /// A published body is too large and was not spread.
+    /// The body of a published update is too large; the update was not sent.
     BodyRefused {
-        /// Its topic.
+        /// Topic of the update.
         topic: u8,
-        /// Its size in bytes.
+        /// Size of the body, in bytes.
         bytes: usize,
     },
 }
--- a/crates/roster/src/facts.rs
+++ b/crates/roster/src/facts.rs
@@ -1,4 +1,4 @@
-//! What the fleet knows of one node and of the upstreams it fronts.
+//! Facts about a member and the upstreams it fronts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::{DomainName, InstanceId, ServiceName};
 
-/// What a node says about itself for one life. It does not change during that life.
+/// Facts that a node announces about itself. They are constant within one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberFacts {
-    /// The node and its life.
+    /// Node id and incarnation.
     pub instance: InstanceId,
     /// Name of the instance, unique in the fleet.
     pub name: Arc<str>,
@@ -17,65 +17,65 @@
     pub domain: DomainName,
     /// Region the failure domain belongs to.
     pub region: Arc<str>,
-    /// Where peers open inner-protocol connections (TCP).
+    /// TCP address at which peers open inner-protocol connections.
     pub peer_address: SocketAddr,
-    /// Where peers send gossip datagrams (UDP).
+    /// UDP address to which peers send gossip datagrams.
     pub gossip_address: SocketAddr,
 }
 
-/// What the fleet holds a member to be.
+/// State of a member as agreed by gossip. Within one revision the greater value wins a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberStanding {
     /// In service.
     Alive,
-    /// Announced that it leaves: no new work goes to it, work in flight goes on.
+    /// Draining: receives no new work and completes the work in flight.
     Leaving,
-    /// Said goodbye itself: its process has ended.
+    /// Announced its own departure; its process has ended.
     Left,
-    /// Found dead by several observers.
+    /// Declared dead by observers.
     Dead,
 }
 
 impl MemberStanding {
-    /// Whether the member still runs, as far as the fleet knows.
+    /// Whether the member still counts as running.
     #[must_use]
     pub const fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving)
     }
 }
 
-/// One member as this node sees it.
+/// A member as seen by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// What the member says about itself.
+    /// Facts that the member announced.
     pub facts: MemberFacts,
-    /// What the fleet holds it to be.
+    /// State of the member as agreed by gossip.
     pub standing: MemberStanding,
-    /// Whether this node gets answers from it directly. A member may be alive for the fleet and
-    /// yet out of this node's reach, behind a one-way cut.
+    /// Whether this node gets direct replies from the member. A one-way partition can make a member
+    /// unreachable for this node while it is alive for the fleet.
     pub reachable: bool,
 }
 
-/// Where an upstream is in its life.
+/// Lifecycle phase of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamPhase {
-    /// Announced, starting cold.
+    /// Announced, not warmed up yet.
     Starting,
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Takes no new work.
+    /// Accepts no new work.
     Leaving,
 }
 
-/// What the node beside an upstream says about it.
+/// Facts that a node announces about one of its upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamFacts {
     /// Service the upstream runs.
     pub service: ServiceName,
-    /// Requests it runs at the same time.
+    /// Number of requests the upstream runs concurrently.
     pub slots: u16,
-    /// Where it is in its life.
+    /// Lifecycle phase.
     pub phase: UpstreamPhase,
 }
--- a/crates/roster/src/health.rs
+++ b/crates/roster/src/health.rs
@@ -1,89 +1,88 @@
-//! How far this node trusts its own network and its own processor.
+//! Health score of this node's own network and process.
 //!
-//! Failure: a node that was paused, starved or cut off finds nobody answering. Symptom without
-//! this safeguard: it declares the others dead. Here a probe that fails while no helper answers
-//! either counts against the prober, whose timers grow with each such probe, and not against the
-//! member.
+//! A node that was paused, starved or cut off gets no replies and would declare the other members
+//! dead. A probe that fails while no helper replies either therefore raises the prober's own score,
+//! which lengthens its timers, and does not count against the member.
 
 use std::time::Duration;
 
-/// Largest score; timers grow by one whole length for each point.
-const SCORE_MAX: u32 = 8;
+/// Largest score; each point lengthens a timer by its base length once.
+const MAX_SCORE: u32 = 8;
 
-/// Points for a pause of this node.
+/// Points added when this process was paused.
 const STALL_POINTS: u32 = 3;
 
-/// Probes in a row without any answer after which the node says that it suspects itself.
-const SILENT_PROBES: u32 = 3;
+/// Consecutive probes without any reply after which the node reports that it suspects itself.
+const ISOLATION_PROBES: u32 = 3;
 
-/// Change of a node's trust in itself.
+/// Change of the isolation state of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HealthTurn {
-    /// Nothing to say.
-    Same,
-    /// Nobody answers any more.
-    Silent(u32),
-    /// Somebody answers again.
+pub(crate) enum HealthChange {
+    /// No change.
+    Unchanged,
+    /// No node replies any more; holds the number of consecutive failed probes.
+    Isolated(u32),
+    /// Another node replied again.
     Recovered,
 }
 
-/// The score of one node about itself.
+/// Health score of this node; zero is healthy.
 #[derive(Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
-    silent_probes: u32,
+    unanswered_probes: u32,
 }
 
 impl LocalHealth {
-    /// A timer's length under the present score.
-    pub(crate) fn stretch(&self, length: Duration) -> Duration {
+    /// Returns a timer's length under the current score.
+    pub(crate) fn scale(&self, length: Duration) -> Duration {
         length * (1 + self.score)
     }
 
-    /// A member or a helper answered.
-    pub(crate) fn answered(&mut self) -> HealthTurn {
+    /// Records a reply from a member or a helper.
+    pub(crate) fn answered(&mut self) -> HealthChange {
         self.score = self.score.saturating_sub(1);
-        let was_silent = self.silent_probes >= SILENT_PROBES;
-        self.silent_probes = 0;
-        if was_silent {
-            HealthTurn::Recovered
+        let was_isolated = self.unanswered_probes >= ISOLATION_PROBES;
+        self.unanswered_probes = 0;
+        if was_isolated {
+            HealthChange::Recovered
         } else {
-            HealthTurn::Same
+            HealthChange::Unchanged
         }
     }
 
-    /// Neither the member nor any helper answered a probe.
-    pub(crate) fn unanswered(&mut self) -> HealthTurn {
-        self.raise(1);
-        self.silent_probes += 1;
-        if self.silent_probes == SILENT_PROBES {
-            HealthTurn::Silent(self.silent_probes)
+    /// Records a probe that neither the member nor any helper answered.
+    pub(crate) fn unanswered(&mut self) -> HealthChange {
+        self.add_points(1);
+        self.unanswered_probes += 1;
+        if self.unanswered_probes == ISOLATION_PROBES {
+            HealthChange::Isolated(self.unanswered_probes)
         } else {
-            HealthTurn::Same
+            HealthChange::Unchanged
         }
     }
 
-    /// Helpers that were asked did not answer in time.
+    /// Records that some helpers did not reply in time.
     pub(crate) fn helpers_missing(&mut self) {
-        self.raise(1);
+        self.add_points(1);
     }
 
-    /// This node was held dead or suspected although it lives.
+    /// Records that peers wrongly suspected this node or marked it dead.
     pub(crate) fn refuted(&mut self) {
-        self.raise(1);
+        self.add_points(1);
     }
 
-    /// This node did not run for a while.
+    /// Records that this process was paused.
     pub(crate) fn stalled(&mut self) {
-        self.raise(STALL_POINTS);
+        self.add_points(STALL_POINTS);
     }
 
-    /// Whether probes in a row found nobody.
-    pub(crate) const fn is_silent(&self) -> bool {
-        self.silent_probes >= SILENT_PROBES
+    /// Whether the last [`ISOLATION_PROBES`] probes got no reply from any node.
+    pub(crate) const fn is_isolated(&self) -> bool {
+        self.unanswered_probes >= ISOLATION_PROBES
     }
 
-    fn raise(&mut self, points: u32) {
-        self.score = (self.score + points).min(SCORE_MAX);
+    fn add_points(&mut self, points: u32) {
+        self.score = (self.score + points).min(MAX_SCORE);
     }
 }
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,22 +1,22 @@
 //! Membership of daemons and their upstreams, spread by gossip.
 //!
-//! Decision logic without I/O: [`NodeRoster::handle`] takes a [`RosterEvent`] with the time since
-//! the node started and adds [`RosterCommand`]s. The daemon sends the datagrams, sets a timer for
-//! [`NodeRoster::next_wake`] and passes on what arrives. The same seed and events give the same
-//! commands.
+//! The crate holds decision logic without I/O: [`NodeRoster::handle`] takes a [`RosterEvent`] and
+//! the time since the node started, and appends [`RosterCommand`]s. The daemon sends the datagrams,
+//! sets a timer for [`NodeRoster::next_wake`] and passes on the datagrams that arrive. The same
+//! seed and events give the same commands.
 //!
 //! ```text
-//! own upstreams, leave, news of other parts -+
-//! datagrams of peers --------> merge -> table +-> queue -> rounds of rumours -> Send
+//! own upstreams, leave, published updates ---+
+//! datagrams of peers --------> merge -> table +-> queue -> gossip rounds -> Send
 //!                                |      |
 //!                                |      +-> digests: differences are pulled -> Send
 //!                                |      +-> MemberUp/Changed/Down, Upstream..., Rumour
 //! reports of requests --> probes +-> suspicion -> death, or refutation
 //! ```
 //!
-//! Every node's table tends to the same content whatever the order of the news: a member's standing
-//! is ordered by incarnation, revision and standing, a slot by incarnation and sequence, a topic's
-//! key by version.
+//! The tables of all nodes converge to the same content regardless of the order in which updates
+//! arrive: members are ordered by incarnation, revision and standing, slots by incarnation and
+//! sequence, and topic keys by version.
 
 mod budget;
 mod digest;
--- a/crates/roster/src/message.rs
+++ b/crates/roster/src/message.rs
@@ -1,181 +1,186 @@
-//! What nodes tell each other.
+//! Messages that nodes exchange.
 
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::{InstanceId, NodeId, ServiceName};
 
 use crate::facts::{MemberFacts, MemberStanding, UpstreamPhase};
 
-/// One datagram. Encoded with the standard configuration of `bincode` it stays within
-/// [`crate::RosterSettings::datagram_bytes`]; [`crate::encoded_size`] gives the exact size.
+/// Content of one datagram. Encoded with the standard configuration of `bincode`, a datagram stays
+/// within [`crate::RosterSettings::datagram_bytes`]; [`crate::encoded_size`] returns the exact
+/// size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterMessage {
-    /// Who sends it, in which life.
+    /// Node id and incarnation of the sender.
     pub from: InstanceId,
-    /// Hash of everything the sender's roster holds; zero while it is joining.
+    /// Hash of the sender's whole roster; zero while the sender is joining.
     pub root: u32,
-    /// What it is for.
+    /// Purpose of the datagram.
     pub purpose: MessagePurpose,
-    /// News that ride along.
+    /// Rumours piggybacked on the datagram.
     pub rumours: Vec<MemberRumour>,
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessagePurpose {
-    /// Only carries rumours.
+    /// Carries only rumours.
     Gossip,
-    /// Asks for an answer at once.
+    /// Asks for an immediate [`Self::Ack`].
     Ping {
-        /// Repeated in the answer.
+        /// Number of the probe, repeated in the reply.
         sequence: u32,
-        /// Who is meant; another node at this address stays silent.
+        /// Node that is probed; another node at this address does not reply.
         target: NodeId,
     },
-    /// Answers a ping.
+    /// Answers a [`Self::Ping`].
     Ack {
-        /// The ping's.
+        /// Number from the ping.
         sequence: u32,
     },
     /// Asks a helper to ping a member.
     Assist {
-        /// Repeated in the answer.
+        /// Number of the probe, repeated in the reply.
         sequence: u32,
-        /// Who is to be pinged.
+        /// Member to ping.
         target: NodeId,
     },
-    /// Answers for a member that a helper was asked to ping.
+    /// Reports the result of an indirect ping to the node that asked for it.
     Assisted {
-        /// The request's.
+        /// Number from the request.
         sequence: u32,
-        /// Who was pinged.
+        /// Member that was pinged.
         target: NodeId,
-        /// Whether it answered.
+        /// Whether the member replied to the helper.
         reached: bool,
     },
-    /// Asks a seed for contact; the sender's own facts ride along.
+    /// Asks a seed for contact; the facts of the sender are piggybacked.
     Join,
-    /// Hash of each bucket, four bytes each, little-endian.
+    /// Hashes of all buckets, which start an exchange of digests.
     Buckets {
-        /// The hashes.
+        /// Four bytes per bucket, little-endian, followed by four bytes for the retained topics.
         hashes: Vec<u8>,
     },
-    /// What the sender holds in buckets that differ.
+    /// Members of the buckets that differ, with a hash of each.
     BucketMembers {
-        /// Buckets that differ, listed or not.
+        /// Number of buckets that differ, listed or not.
         differing: u16,
-        /// One entry for each bucket listed whole.
+        /// Buckets listed in full, as many as fit into the datagram.
         buckets: Vec<BucketList>,
     },
     /// Asks for the state of members.
     Pull {
-        /// Which.
+        /// Requested members.
         nodes: Vec<NodeId>,
     },
-    /// Carries state that was asked for, or that the receiver lacks. It is not sent on.
+    /// Carries state that was requested or that the receiver lacks. The receiver does not forward
+    /// it.
     State,
-    /// Standing rumours that the sender holds, newest version of each.
+    /// Versions of retained topics.
     Topics {
-        /// What it holds.
+        /// One entry per key.
         heads: Vec<TopicHead>,
-        /// Whether the list is only of what the sender lacks the newest version of.
+        /// True when the sender requests newer versions of the listed keys; false when the list is
+        /// everything the sender holds.
         wanted: bool,
     },
 }
 
-/// All members of one bucket.
+/// All present members of one bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketList {
-    /// Which bucket.
+    /// Index of the bucket.
     pub bucket: u16,
-    /// Its present members.
+    /// One entry per present member.
     pub members: Vec<MemberDigest>,
 }
 
-/// What the sender holds of one member, as a hash.
+/// Hash of the sender's state of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// Which member.
+    /// Member that was hashed.
     pub node: NodeId,
-    /// Hash of its state.
+    /// Hash of the member's standing and upstreams.
     pub hash: u32,
 }
 
-/// Version of one standing rumour.
+/// Version of one key of a retained topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TopicHead {
-    /// Topic.
+    /// One of the constants in [`crate::topic`].
     pub topic: u8,
     /// Key within the topic.
     pub key: u64,
-    /// Version held.
+    /// Newest version that the sender holds; zero in a request for a key that it lacks.
     pub version: u64,
 }
 
-/// One piece of news.
+/// One update spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRumour {
     /// A member with its facts.
     Member {
-        /// What it says about itself.
+        /// Facts that the member announced.
         facts: MemberFacts,
-        /// Counts its refutations and own changes of standing in this life.
+        /// Counter that the member raises in order to refute suspicions; restarts with each
+        /// incarnation.
         revision: u32,
-        /// What it is held to be.
+        /// State of the member.
         standing: MemberStanding,
     },
-    /// A member's standing, for those that know its facts.
+    /// A change of a member's state, for nodes that know its facts.
     Standing {
-        /// Which member.
+        /// Node and incarnation of the member.
         instance: InstanceId,
-        /// Revision the standing is about.
+        /// Revision to which the standing applies.
         revision: u32,
-        /// What it is held to be.
+        /// State of the member.
         standing: MemberStanding,
     },
-    /// A member did not answer the observers.
+    /// Observers got no reply from a member.
     Suspect {
-        /// Which member.
+        /// Node and incarnation of the member.
         instance: InstanceId,
-        /// Revision the suspicion is about.
+        /// Revision to which the suspicion applies.
         revision: u32,
-        /// Who got no answer.
+        /// Nodes that got no reply.
         observers: Vec<NodeId>,
     },
-    /// Upstreams of one member that run one service.
+    /// Upstreams of one member that run the same service.
     Upstreams {
-        /// The member.
+        /// Node and incarnation of the member.
         instance: InstanceId,
-        /// The service; `None` for upstreams that are gone.
+        /// Service the upstreams run; `None` for upstreams that were removed.
         service: Option<ServiceName>,
-        /// Runs of slots with equal values.
+        /// Upstreams as runs of consecutive slots with equal values.
         runs: Vec<SlotRun>,
     },
-    /// News of another part.
+    /// An update published by another component of the daemon.
     Topic {
-        /// Node that published it.
+        /// Node that published the update.
         origin: NodeId,
-        /// Topic.
+        /// One of the constants in [`crate::topic`].
         topic: u8,
         /// Key within the topic.
         key: u64,
-        /// Greater versions replace smaller ones.
+        /// Version of the key; greater versions replace smaller ones.
         version: u64,
-        /// Opaque to the roster.
+        /// Payload, opaque to the roster.
         body: Vec<u8>,
     },
 }
 
-/// Consecutive slots of one node with equal values.
+/// Consecutive slots of one node with equal values. A slot is the number of an upstream on its
+/// node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRun {
     /// First slot.
     pub first: u16,
     /// Number of slots.
     pub count: u16,
-    /// Requests each runs at the same time.
+    /// Number of requests that each upstream runs concurrently.
     pub slots: u16,
-    /// Where each is in its life; unused when gone.
+    /// Lifecycle phase of each upstream; unused when the upstreams were removed.
     pub phase: UpstreamPhase,
-    /// Own change counter of the member when it set these values.
+    /// Change counter of the member at the time it set these values.
     pub sequence: u32,
 }
--- a/crates/roster/src/names.rs
+++ b/crates/roster/src/names.rs
@@ -1,16 +1,16 @@
-//! Names held once, however many entries carry them.
+//! Interned names, so that entries share one copy of each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use sycamorelink_core::{DomainName, ServiceName};
 
-/// Number of a service name on this node; never sent.
+/// Index of an interned service name; local to this node and never sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceNumber(u32);
 
 impl ServiceNumber {
-    /// Stands for "gone" in a slot entry.
+    /// Marker in a slot entry for an upstream that was removed.
     pub(crate) const GONE: Self = Self(u32::MAX);
 
     pub(crate) fn index(self) -> usize {
@@ -18,8 +18,8 @@
     }
 }
 
-/// Service names by number and back. Names are not forgotten: their number is bounded by the
-/// services that the customers' contracts ever named while this node lives.
+/// Interned service names with lookup in both directions. Entries are never removed; their number
+/// is bounded by the services that customers' contracts have named since this node started.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceNames {
     names: Vec<ServiceName>,
@@ -31,7 +31,7 @@
         self.numbers.get(name).copied()
     }
 
-    /// The name's number, a new one when the name is new.
+    /// Returns the number of a name and adds the name if it is new.
     pub(crate) fn intern(&mut self, name: &ServiceName) -> ServiceNumber {
         if let Some(number) = self.numbers.get(name.as_str()) {
             return *number;
@@ -48,14 +48,14 @@
     }
 }
 
-/// Domain and region names, which repeat in every member's facts.
+/// Interned domain and region names, which repeat in the facts of every member.
 #[derive(Debug, Default)]
-pub(crate) struct PlaceNames {
+pub(crate) struct LocationNames {
     domains: BTreeSet<DomainName>,
     regions: BTreeSet<Arc<str>>,
 }
 
-impl PlaceNames {
+impl LocationNames {
     pub(crate) fn domain(&mut self, name: &DomainName) -> DomainName {
         if let Some(known) = self.domains.get(name.as_str()) {
             return known.clone();
--- a/crates/roster/src/node/contact.rs
+++ b/crates/roster/src/node/contact.rs
@@ -1,4 +1,4 @@
-//! Ways into the fleet and back into it: seeds, reports from requests, probes of the dead.
+//! Joining and rejoining the fleet: seeds, request outcomes, probes of dead members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::event::RosterNote;
 use crate::message::{MemberRumour, MessagePurpose};
 
-/// Time between two calls to seeds while this node is alone or not joined.
-const SEED_RETRY: Duration = Duration::from_secs(1);
+/// Time between two messages to seeds while this node is alone, isolated or not joined.
+const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two calls to a seed that is no member, once joined. Two parts of a fleet that
-/// started apart find each other by it.
-const SEED_CHECK: Duration = Duration::from_secs(10);
+/// Time between two messages to a seed that is not a member, once joined. These messages merge
+/// parts of a fleet that started separately.
+const SEED_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Seeds called at once.
-const SEED_CALLS: usize = 2;
+/// Seeds contacted at once while disconnected.
+const SEEDS_PER_RETRY: usize = 2;
 
 impl NodeRoster {
     pub(super) fn set_seeds(&mut self, step: &mut RosterStep<'_>, seeds: Vec<SocketAddr>) {
-        let own = self.address(self.own);
+        let own = self.address(self.own_node);
         self.seeds = seeds;
         self.seeds.retain(|seed| Some(*seed) != own);
         self.timers.join = step.now;
@@ -39,24 +39,29 @@
         self.joined = true;
         let started = self.join_started.unwrap_or(step.now);
         step.note(RosterNote::Joined {
-            members: self.order.len() + 1,
+            members: self.probe_order.len() + 1,
             after: step.now.saturating_sub(started),
         });
     }
 
-    /// Calls seeds when it is time.
+    /// Sends join messages to seeds when they are due.
     pub(super) fn contact_seeds(&mut self, step: &mut RosterStep<'_>) {
         if step.now < self.timers.join || self.seeds.is_empty() {
             return;
         }
-        let lost = !self.joined || self.order.is_empty() || self.health.is_silent();
-        self.timers.join = step.now + if lost { SEED_RETRY } else { SEED_CHECK };
+        let disconnected = !self.joined || self.probe_order.is_empty() || self.health.is_isolated();
+        self.timers.join = step.now
+            + if disconnected {
+                SEED_RETRY_INTERVAL
+            } else {
+                SEED_CHECK_INTERVAL
+            };
         self.join_started.get_or_insert(step.now);
-        let count = if lost { SEED_CALLS } else { 1 };
+        let count = if disconnected { SEEDS_PER_RETRY } else { 1 };
         for _ in 0..count {
-            let place = self.rng.random_range(0..self.seeds.len());
-            let seed = self.seeds[place];
-            if lost || !self.is_member_address(seed) {
+            let index = self.rng.random_range(0..self.seeds.len());
+            let seed = self.seeds[index];
+            if disconnected || !self.is_member_address(seed) {
                 let rumours: Vec<MemberRumour> = self.own_rumour().into_iter().collect();
                 self.send(step, SendClass::Leave, seed, MessagePurpose::Join, rumours);
             }
@@ -69,20 +74,21 @@
             .any(|entry| entry.is_present() && entry.facts.gossip_address == address)
     }
 
-    /// Answers a node that asks for contact.
-    pub(super) fn welcome(&mut self, step: &mut RosterStep<'_>, from: SocketAddr) {
+    /// Replies to a join message with this node's facts.
+    pub(super) fn on_join(&mut self, step: &mut RosterStep<'_>, from: SocketAddr) {
         let rumours: Vec<MemberRumour> = self.own_rumour().into_iter().collect();
-        // Where many nodes start at once this goes before the news of them, which fills the budget.
+        // Uses the class `Head` because rumours of the class `Announce` use up the budget when many
+        // nodes start at once.
         self.send(step, SendClass::Head, from, MessagePurpose::State, rumours);
     }
 
-    /// A request did not get through. The observers that matter are those who use the system:
-    /// the member is probed at once.
-    pub(super) fn report_unreachable(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
+    /// Records a request that did not reach a member and probes the member at once, so that
+    /// failures seen by real traffic are detected first.
+    pub(super) fn on_unreachable(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
         let Some(entry) = self.table.get(node).filter(|entry| entry.is_present()) else {
             return;
         };
-        if node == self.own || self.probes.is_probing(node) {
+        if node == self.own_node || self.probes.is_probing(node) {
             return;
         }
         let misses = entry.misses.saturating_add(1);
@@ -90,18 +96,18 @@
         self.probe_soon(step, node);
     }
 
-    /// A request was answered: as good as an answered probe.
-    pub(super) fn report_reached(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
+    /// Records a request that a member answered, with the same effect as a probe reply.
+    pub(super) fn on_reached(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
         let Some(entry) = self.table.get_mut(node) else {
             return;
         };
-        entry.heard_at = Some(step.now);
-        self.note_answer(step);
+        entry.last_contact = Some(step.now);
+        self.record_answer(step);
         self.set_misses(step, node, 0);
     }
 
-    /// Pings one member that is held dead. When a cut has healed, it hears by this that it is
-    /// held dead, refutes it, and both sides find each other again.
+    /// Pings a random member that is marked dead. After a partition heals, the ping lets the member
+    /// learn that it was marked dead and refute it, which reconnects both sides.
     pub(super) fn probe_dead(&mut self, step: &mut RosterStep<'_>) {
         if step.now < self.timers.dead_probe {
             return;
--- a/crates/roster/src/node/gossip.rs
+++ b/crates/roster/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Rounds of rumours, and everything that is sent.
+//! Gossip rounds and the sending of datagrams.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,40 +17,41 @@
 use crate::slots::slot_runs;
 use crate::table::MemberEntry;
 
-/// Queue entries looked at for one datagram.
-const CANDIDATES: usize = 96;
+/// Queue entries considered for one datagram.
+const MAX_CANDIDATES: usize = 96;
 
-/// Entries that do not fit, after which a datagram counts as full.
-const REFUSED_MAX: usize = 4;
+/// Entries that do not fit after which a datagram counts as full.
+const MAX_REJECTED: usize = 4;
 
-/// Largest payload of a probe or its answer with rumours riding along, in bytes.
-const PROBE_PAYLOAD: usize = 500;
+/// Largest payload of a probe or its reply, including piggybacked rumours, in bytes.
+const MAX_PROBE_PAYLOAD: usize = 500;
 
-/// Urgent news waits this long for others, so that many share one datagram.
-const GATHER_TIME: Duration = Duration::from_millis(5);
+/// Delay of an urgent round, so that several urgent rumours share one datagram.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Shortest time between two rounds.
-const ROUND_GAP: Duration = Duration::from_millis(20);
+/// Minimum time between two rounds.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Up to this many members, peers are drawn by shuffling all of them.
-const SMALL_FLEET: usize = 64;
+/// Largest number of members at which peers are chosen by shuffling the whole list.
+const SHUFFLE_LIMIT: usize = 64;
 
-/// Draws for each peer wanted, in a large fleet.
-const DRAWS: usize = 6;
+/// Random draws per wanted peer in a larger fleet.
+const DRAWS_PER_PEER: usize = 6;
 
-/// Sendings of all queued news together. When many members change at once each change is sent on
-/// less often, down to once: digests heal what that misses sooner than a long queue empties.
-const QUEUE_SENDS: u32 = 128;
+/// Transmissions available to all queued rumours together. When many members change at once, each
+/// rumour is sent less often, down to once, because digests repair missed rumours sooner than a
+/// long queue would be sent.
+const TOTAL_SENDS: u32 = 128;
 
-/// The same of deaths and suspicions.
-const DEATH_SENDS: u32 = 1_024;
+/// Transmissions available to all queued deaths and suspicions together.
+const TOTAL_DEATH_SENDS: u32 = 1_024;
 
-/// Sendings of news of a leave, beyond those of other news, for each power of ten.
-const LEAVE_EXTRA: u32 = 2;
+/// Additional transmissions of a leave, per power of ten of the fleet's size.
+const EXTRA_LEAVE_SENDS: u32 = 2;
 
 impl NodeRoster {
-    /// Queues news; urgent news brings the next round forward.
-    pub(super) fn spread(
+    /// Queues a rumour; an urgent one brings the next round forward.
+    pub(super) fn enqueue(
         &mut self,
         step: &RosterStep<'_>,
         class: SendClass,
@@ -58,13 +59,13 @@
     ) {
         self.queue.push(class, subject);
         if class <= SendClass::Head {
-            let earliest = self.timers.gossiped_at + ROUND_GAP;
-            let soon = (step.now + GATHER_TIME).max(earliest);
+            let earliest = self.timers.gossiped_at + MIN_ROUND_INTERVAL;
+            let soon = (step.now + BATCH_DELAY).max(earliest);
             self.timers.gossip = self.timers.gossip.min(soon);
         }
     }
 
-    /// Sends queued news to some peers.
+    /// Sends queued rumours to a few random peers.
     pub(super) fn gossip_round(&mut self, step: &mut RosterStep<'_>) {
         if step.now < self.timers.gossip || self.queue.is_empty() {
             return;
@@ -76,7 +77,7 @@
         } else {
             self.settings.fanout
         };
-        for peer in self.pick_peers(count, &[]) {
+        for peer in self.select_peers(count, &[]) {
             if !self.send_rumours(step, peer) {
                 break;
             }
@@ -90,13 +91,13 @@
         let purpose = MessagePurpose::Gossip;
         let limit = self.settings.datagram_bytes;
         let mut packer = DatagramPacker::new(limit, base_size(&purpose));
-        let Some(class) = self.fill(&mut packer) else {
+        let Some(class) = self.fill_datagram(&mut packer) else {
             return false;
         };
         self.send(step, class, to, purpose, packer.into_rumours())
     }
 
-    /// Sends a probe or an answer, with news riding along.
+    /// Sends a probe or a reply to one, with rumours piggybacked.
     pub(super) fn send_probe(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -105,15 +106,15 @@
         first: Option<MemberRumour>,
     ) -> bool {
         let base = base_size(&purpose);
-        let mut packer = DatagramPacker::new(PROBE_PAYLOAD, base);
+        let mut packer = DatagramPacker::new(MAX_PROBE_PAYLOAD, base);
         if let Some(rumour) = first {
             packer.add(rumour, self.budget.allowance(SendClass::Probe));
         }
-        self.fill(&mut packer);
+        self.fill_datagram(&mut packer);
         self.send(step, SendClass::Probe, to, purpose, packer.into_rumours())
     }
 
-    /// Sends one datagram if the budget of its class allows it.
+    /// Sends one datagram if the budget of its class permits. Returns whether it was sent.
     pub(super) fn send(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -124,7 +125,7 @@
     ) -> bool {
         let message = RosterMessage {
             from: self.own_instance(),
-            root: self.told_root(),
+            root: self.advertised_root(),
             purpose,
             rumours,
         };
@@ -132,18 +133,19 @@
         if bytes > self.settings.datagram_bytes || !self.budget.take(class, bytes) {
             return false;
         }
-        self.mark_seen(&message.rumours);
+        self.mark_own_sequence_sent(&message.rumours);
         step.command(RosterCommand::Send { to, message });
         true
     }
 
-    /// Adds queued news as far as datagram and budget allow. Returns the most urgent class added.
-    pub(super) fn fill(&mut self, packer: &mut DatagramPacker) -> Option<SendClass> {
+    /// Adds queued rumours as far as the datagram and the budget permit. Returns the most urgent
+    /// class added.
+    pub(super) fn fill_datagram(&mut self, packer: &mut DatagramPacker) -> Option<SendClass> {
         let mut first = None;
         let mut sent = Vec::new();
         let mut tried = BTreeSet::new();
-        let mut refused = 0;
-        for queued in self.queue.first(CANDIDATES) {
+        let mut rejected = 0;
+        for queued in self.queue.first(MAX_CANDIDATES) {
             if !tried.insert(queued.batch()) {
                 continue;
             }
@@ -152,9 +154,9 @@
             if sent.len() > before {
                 first = first.or(Some(queued.class));
             } else {
-                refused += 1;
+                rejected += 1;
             }
-            if refused >= REFUSED_MAX {
+            if rejected >= MAX_REJECTED {
                 break;
             }
         }
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Adds all queued upstreams of one member in one class, as runs.
+    /// Adds all queued upstreams of one member and class, as runs.
     fn add_upstreams(
         &mut self,
         packer: &mut DatagramPacker,
@@ -249,7 +251,7 @@
     }
 
     pub(super) fn suspect_rumour(&self, node: NodeId) -> Option<MemberRumour> {
-        let suspicion = self.suspects.get(node)?;
+        let suspicion = self.suspicions.get(node)?;
         Some(MemberRumour::Suspect {
             instance: suspicion.instance,
             revision: suspicion.revision,
@@ -259,59 +261,64 @@
 
     fn count_sent(&mut self, sent: Vec<RumourSubject>) {
         for subject in sent {
-            self.count_one(subject);
+            self.count_transmission(subject);
         }
     }
 
-    /// A peer sent news that is queued here: peers know it already, so it is sent on less often.
-    pub(super) fn count_heard(&mut self, subject: RumourSubject) {
+    /// Counts a rumour received from a peer as one transmission of the same queued rumour, because
+    /// peers know it already.
+    pub(super) fn count_received(&mut self, subject: RumourSubject) {
         let class = self.queue.class(subject);
-        if class.is_some_and(|class| class >= SendClass::Up) {
-            self.count_one(subject);
+        if class.is_some_and(|class| class >= SendClass::Announce) {
+            self.count_transmission(subject);
         }
     }
 
-    fn count_one(&mut self, subject: RumourSubject) {
+    fn count_transmission(&mut self, subject: RumourSubject) {
         let Some(class) = self.queue.class(subject) else {
             return;
         };
-        let powers = (self.order.len() + 1).ilog10() + 2;
-        let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX).max(1);
+        let rounds = (self.probe_order.len() + 1).ilog10() + 2;
+        let queued = u32::try_from(self.queue.len()).unwrap_or(u32::MAX).max(1);
         let settings = &self.settings;
         let limit = match class {
-            SendClass::Leave => powers * (settings.transmit_factor + LEAVE_EXTRA),
-            SendClass::Death => (powers * settings.transmit_factor).min(DEATH_SENDS / waiting),
-            _ => (powers * settings.transmit_factor).min(QUEUE_SENDS / waiting),
+            SendClass::Leave => rounds * (settings.transmit_factor + EXTRA_LEAVE_SENDS),
+            SendClass::Death => (rounds * settings.transmit_factor).min(TOTAL_DEATH_SENDS / queued),
+            _ => (rounds * settings.transmit_factor).min(TOTAL_SENDS / queued),
         };
         self.queue.count_sent(subject, limit);
     }
 
-    /// Draws peers, those that this node reaches first.
-    pub(super) fn pick_peers(&mut self, count: usize, except: &[NodeId]) -> Vec<NodeId> {
-        let mut drawn = self.draw(count, except);
-        drawn.sort_by_key(|node| !self.is_reachable(*node));
-        drawn.truncate(count);
-        drawn
+    /// Chooses random peers, those reachable from this node first.
+    pub(super) fn select_peers(&mut self, count: usize, except: &[NodeId]) -> Vec<NodeId> {
+        let mut sampled = self.sample_peers(count, except);
+        sampled.sort_by_key(|node| !self.is_reachable(*node));
+        sampled.truncate(count);
+        sampled
     }
 
-    fn draw(&mut self, count: usize, except: &[NodeId]) -> Vec<NodeId> {
-        let total = self.order.len();
-        let mut drawn = Vec::new();
-        if total <= SMALL_FLEET.max(count * 2) {
-            drawn.extend(self.order.iter().filter(|node| !except.contains(node)));
-            drawn.shuffle(&mut self.rng);
-            return drawn;
+    fn sample_peers(&mut self, count: usize, except: &[NodeId]) -> Vec<NodeId> {
+        let total = self.probe_order.len();
+        let mut sampled = Vec::new();
+        if total <= SHUFFLE_LIMIT.max(count * 2) {
+            sampled.extend(
+                self.probe_order
+                    .iter()
+                    .filter(|node| !except.contains(node)),
+            );
+            sampled.shuffle(&mut self.rng);
+            return sampled;
         }
-        for _ in 0..count * DRAWS {
-            let node = self.order[self.rng.random_range(0..total)];
-            if !except.contains(&node) && !drawn.contains(&node) {
-                drawn.push(node);
+        for _ in 0..count * DRAWS_PER_PEER {
+            let node = self.probe_order[self.rng.random_range(0..total)];
+            if !except.contains(&node) && !sampled.contains(&node) {
+                sampled.push(node);
             }
-            if drawn.len() >= count * 2 {
+            if sampled.len() >= count * 2 {
                 break;
             }
         }
-        drawn
+        sampled
     }
 
     fn is_reachable(&self, node: NodeId) -> bool {
--- a/crates/roster/src/node/own.rs
+++ b/crates/roster/src/node/local.rs
@@ -1,4 +1,4 @@
-//! What this node says about itself, and how it answers when others are wrong about it.
+//! This node's own state: upstreams, standing, published updates and refutations.
 
 use std::net::SocketAddr;
 
@@ -14,8 +14,8 @@
 use crate::slots::SlotEntry;
 use crate::topic;
 
-/// Longest service name that is spread, in bytes.
-const SERVICE_NAME_BYTES: usize = 128;
+/// Longest service name that is announced, in bytes.
+const MAX_SERVICE_NAME_BYTES: usize = 128;
 
 impl NodeRoster {
     pub(super) fn set_upstream(
@@ -25,32 +25,32 @@
         facts: &UpstreamFacts,
     ) {
         let bytes = facts.service.as_str().len();
-        if bytes > SERVICE_NAME_BYTES {
+        if bytes > MAX_SERVICE_NAME_BYTES {
             step.note(RosterNote::NameRefused { slot, bytes });
             return;
         }
         let service = self.table.services().intern(&facts.service);
         let leaving = facts.phase == UpstreamPhase::Leaving;
-        self.put_own_slot(step, slot, service, facts.slots, facts.phase);
+        self.store_own_slot(step, slot, service, facts.slots, facts.phase);
         if leaving {
             self.broadcast = true;
         }
     }
 
-    pub(super) fn drop_upstream(&mut self, step: &mut RosterStep<'_>, slot: u16) {
+    pub(super) fn remove_upstream(&mut self, step: &mut RosterStep<'_>, slot: u16) {
         let known = self
             .own_entry()
             .and_then(|entry| entry.slots.get(slot))
             .is_some_and(|entry| !entry.is_gone());
         if known {
-            self.put_own_slot(step, slot, ServiceNumber::GONE, 0, UpstreamPhase::Leaving);
+            self.store_own_slot(step, slot, ServiceNumber::GONE, 0, UpstreamPhase::Leaving);
             self.broadcast = true;
         }
     }
 
-    /// Changes that no peer has seen yet share one sequence, so that the upstreams of a starting
-    /// node go out as one run.
-    fn put_own_slot(
+    /// Stores a change of an own slot. Changes that no peer has seen yet share one sequence, so
+    /// that the upstreams of a starting node are sent as one run.
+    fn store_own_slot(
         &mut self,
         step: &mut RosterStep<'_>,
         slot: u16,
@@ -65,15 +65,15 @@
             service,
             phase,
         };
-        self.store_slot(step, self.own, entry, true);
+        self.store_slot(step, self.own_node, entry, true);
     }
 
-    /// Begins to drain.
+    /// Marks this node as leaving.
     pub(super) fn leave(&mut self, step: &mut RosterStep<'_>) {
         self.set_own_standing(step, MemberStanding::Leaving);
     }
 
-    /// Says goodbye at once; nothing is sent afterwards.
+    /// Announces the departure at once. The node sends nothing afterwards.
     pub(super) fn depart(&mut self, step: &mut RosterStep<'_>) {
         self.set_own_standing(step, MemberStanding::Left);
         self.timers.gossip = step.now;
@@ -88,9 +88,13 @@
             return;
         }
         self.table
-            .set_standing(step.now, self.own, revision, standing);
+            .set_standing(step.now, self.own_node, revision, standing);
         self.broadcast = true;
-        self.spread(step, SendClass::Leave, RumourSubject::Standing(self.own));
+        self.enqueue(
+            step,
+            SendClass::Leave,
+            RumourSubject::Standing(self.own_node),
+        );
     }
 
     pub(super) fn has_departed(&self) -> bool {
@@ -98,7 +102,7 @@
     }
 
     pub(super) fn own_entry(&self) -> Option<&crate::table::MemberEntry> {
-        self.table.get(self.own)
+        self.table.get(self.own_node)
     }
 
     pub(super) fn publish(
@@ -110,7 +114,7 @@
         body: Vec<u8>,
     ) {
         let bytes = body.len();
-        if bytes > topic::BODY_BYTES {
+        if bytes > topic::MAX_BODY_BYTES {
             step.note(RosterNote::BodyRefused { topic, bytes });
             return;
         }
@@ -119,14 +123,14 @@
             key,
             version,
         };
-        if self.topics.store(step.now, head, self.own, body) {
+        if self.topics.store(step.now, head, self.own_node, body) {
             let class = topic_class(topic);
-            self.spread(step, class, RumourSubject::Topic(topic, key));
+            self.enqueue(step, class, RumourSubject::Topic(topic, key));
         }
     }
 
-    /// Peers hold something about this node: says that it lives when they doubt it.
-    pub(super) fn hear_about_self(
+    /// Handles state that a peer holds about this node, and refutes it if it is wrong.
+    pub(super) fn on_rumour_about_self(
         &mut self,
         step: &mut RosterStep<'_>,
         instance: InstanceId,
@@ -137,40 +141,47 @@
         let Some(own) = self.own_entry() else {
             return;
         };
-        let mine = own.instance().incarnation;
-        let newer_claim = (revision, standing) > (own.revision, own.standing);
-        if instance.incarnation > mine {
-            self.meet_newer_self(step, instance, standing, address);
-        } else if instance.incarnation < mine {
-            let subject = RumourSubject::Member(self.own);
+        let own_incarnation = own.instance().incarnation;
+        let outranks_own = (revision, standing) > (own.revision, own.standing);
+        if instance.incarnation > own_incarnation {
+            self.on_newer_incarnation(step, instance, standing, address);
+        } else if instance.incarnation < own_incarnation {
+            let subject = RumourSubject::Member(self.own_node);
             if !self.queue.contains(subject) {
-                self.spread(step, SendClass::Up, subject);
+                self.enqueue(step, SendClass::Announce, subject);
             }
-        } else if newer_claim {
+        } else if outranks_own {
             self.refute(step, revision);
         }
     }
 
-    /// Raises the revision above the doubt, which then loses everywhere.
-    pub(super) fn refute(&mut self, step: &mut RosterStep<'_>, doubted: u32) {
+    /// Raises this node's revision above the suspected one, so that the refutation wins every
+    /// merge.
+    pub(super) fn refute(&mut self, step: &mut RosterStep<'_>, suspected_revision: u32) {
         let Some(own) = self.own_entry() else {
             return;
         };
-        if !own.is_present() || doubted < own.revision {
+        if !own.is_present() || suspected_revision < own.revision {
             return;
         }
-        let (standing, revision) = (own.standing, doubted + 1);
+        let (standing, revision) = (own.standing, suspected_revision + 1);
         self.table
-            .set_standing(step.now, self.own, revision, standing);
+            .set_standing(step.now, self.own_node, revision, standing);
         self.health.refuted();
         step.note(RosterNote::Refuted { revision });
-        self.spread(step, SendClass::Death, RumourSubject::Standing(self.own));
+        self.enqueue(
+            step,
+            SendClass::Death,
+            RumourSubject::Standing(self.own_node),
+        );
     }
 
-    /// A life of this name with a greater incarnation is either an earlier one, from before the
-    /// clock was set back, or one that replaced this one while it was paused. Two that run at the
-    /// same time have different addresses; then the greater incarnation stays.
-    fn meet_newer_self(
+    /// Handles an incarnation of this node's name that is greater than its own.
+    ///
+    /// That incarnation either belongs to an earlier process, from before the clock was set back,
+    /// or to a process that replaced this one while it was paused. Two processes that run at the
+    /// same time have different addresses; the one with the greater incarnation stays.
+    fn on_newer_incarnation(
         &mut self,
         step: &mut RosterStep<'_>,
         instance: InstanceId,
@@ -197,14 +208,19 @@
         step.command(RosterCommand::IncarnationRaised(facts.instance));
         self.table.insert(step.now, facts, 0, standing);
         for slot in slots {
-            self.table.replace_slot(self.own, slot);
+            self.table.replace_slot(self.own_node, slot);
             let id = UpstreamId {
-                node: self.own,
+                node: self.own_node,
                 slot: slot.slot,
             };
-            self.queue.push(SendClass::Up, RumourSubject::Upstream(id));
+            self.queue
+                .push(SendClass::Announce, RumourSubject::Upstream(id));
         }
-        self.spread(step, SendClass::Up, RumourSubject::Member(self.own));
+        self.enqueue(
+            step,
+            SendClass::Announce,
+            RumourSubject::Member(self.own_node),
+        );
     }
 
     pub(super) fn own_rumour(&self) -> Option<MemberRumour> {
@@ -216,10 +232,10 @@
         })
     }
 
-    /// Marks the own sequence as seen when a datagram carries own upstreams.
-    pub(super) fn mark_seen(&mut self, rumours: &[MemberRumour]) {
+    /// Marks the current sequence as seen when a datagram carries own upstreams.
+    pub(super) fn mark_own_sequence_sent(&mut self, rumours: &[MemberRumour]) {
         let carries_own = rumours.iter().any(|rumour| match rumour {
-            MemberRumour::Upstreams { instance, .. } => instance.node == self.own,
+            MemberRumour::Upstreams { instance, .. } => instance.node == self.own_node,
             _ => false,
         });
         if carries_own {
@@ -228,16 +244,16 @@
     }
 }
 
-/// Own change counter.
+/// Counter for changes of this node's own upstreams.
 #[derive(Debug, Default)]
 pub(super) struct ChangeSequence {
     value: u32,
-    /// Whether peers may have seen the present value.
+    /// Whether peers may have seen the current value.
     seen: bool,
 }
 
 impl ChangeSequence {
-    /// The number for a change: a new one once peers have seen the present one.
+    /// Returns the number for a change: a new one if peers may have seen the current one.
     fn next(&mut self) -> u32 {
         if self.seen || self.value == 0 {
             self.value += 1;
@@ -251,7 +267,7 @@
     }
 }
 
-/// Class of a topic's rumours.
+/// Returns the send class of a topic.
 pub(super) const fn topic_class(topic: u8) -> SendClass {
     match topic {
         topic::CONTRACT_HEAD | topic::GUARD_MAP_HEAD | topic::CRASH_SIGNATURE => SendClass::Head,
--- a/crates/roster/src/node/merge.rs
+++ b/crates/roster/src/node/merge.rs
@@ -1,11 +1,11 @@
-//! Taking news in. Every rule here gives the same result in any order and any number of times.
+//! Merging of received rumours. Every merge rule is commutative and idempotent.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
 use sycamorelink_core::{InstanceId, NodeId, ServiceName, UpstreamId};
 
-use super::own::topic_class;
+use super::local::topic_class;
 use super::{NodeRoster, RosterStep};
 use crate::budget::SendClass;
 use crate::event::{DownCause, RosterCommand};
@@ -15,14 +15,14 @@
 use crate::queue::RumourSubject;
 use crate::slots::SlotEntry;
 use crate::table::{MemberEntry, SlotChange};
-use crate::topic::BODY_BYTES;
+use crate::topic::MAX_BODY_BYTES;
 
-/// Slots taken from one run; a node fronts far fewer.
-const RUN_MAX: u16 = 4_096;
+/// Maximum number of slots accepted from one run, far above the upstreams of any node.
+const MAX_RUN_SLOTS: u16 = 4_096;
 
 impl NodeRoster {
-    /// Takes one rumour in. `fresh` news is sent on; state that was asked for is not.
-    pub(super) fn learn(
+    /// Merges one rumour. `fresh` rumours are forwarded; pulled state is not.
+    pub(super) fn apply_rumour(
         &mut self,
         step: &mut RosterStep<'_>,
         sender: NodeId,
@@ -34,22 +34,22 @@
                 facts,
                 revision,
                 standing,
-            } => self.learn_member(step, facts, revision, standing, fresh),
+            } => self.merge_member(step, facts, revision, standing, fresh),
             MemberRumour::Standing {
                 instance,
                 revision,
                 standing,
-            } => self.learn_standing(step, sender, instance, revision, standing),
+            } => self.merge_standing(step, sender, instance, revision, standing),
             MemberRumour::Suspect {
                 instance,
                 revision,
                 observers,
-            } => self.hear_suspicion(step, sender, instance, revision, &observers),
+            } => self.receive_suspicion(step, sender, instance, revision, &observers),
             MemberRumour::Upstreams {
                 instance,
                 service,
                 runs,
-            } => self.learn_upstreams(step, sender, instance, service.as_ref(), &runs, fresh),
+            } => self.merge_upstreams(step, sender, instance, service.as_ref(), &runs, fresh),
             MemberRumour::Topic {
                 origin,
                 topic,
@@ -62,12 +62,12 @@
                     key,
                     version,
                 };
-                self.learn_topic(step, head, origin, body, fresh);
+                self.merge_topic(step, head, origin, body, fresh);
             }
         }
     }
 
-    fn learn_member(
+    fn merge_member(
         &mut self,
         step: &mut RosterStep<'_>,
         facts: MemberFacts,
@@ -76,9 +76,9 @@
         fresh: bool,
     ) {
         let instance = facts.instance;
-        if instance.node == self.own {
+        if instance.node == self.own_node {
             let address = Some(facts.gossip_address);
-            self.hear_about_self(step, instance, revision, standing, address);
+            self.on_rumour_about_self(step, instance, revision, standing, address);
             return;
         }
         let known = self.table.get(instance.node).map(MemberEntry::instance);
@@ -87,18 +87,18 @@
         });
         match order {
             Ordering::Equal => {
-                self.count_heard(RumourSubject::Member(instance.node));
+                self.count_received(RumourSubject::Member(instance.node));
                 self.apply_standing(step, instance, revision, standing);
             }
             Ordering::Greater if standing.is_present() => {
-                self.bring_in(step, facts, revision, standing, fresh);
+                self.insert_member(step, facts, revision, standing, fresh);
             }
             Ordering::Less | Ordering::Greater => {}
         }
     }
 
-    /// A new member, or a new life of one.
-    fn bring_in(
+    /// Inserts a new member or a new incarnation of one.
+    fn insert_member(
         &mut self,
         step: &mut RosterStep<'_>,
         facts: MemberFacts,
@@ -107,27 +107,27 @@
         fresh: bool,
     ) {
         let node = facts.instance.node;
-        self.take_down(step, node, DownCause::Replaced);
-        self.forget_news(node);
+        self.report_down(step, node, DownCause::Replaced);
+        self.drop_rumours_about(node);
         self.table.insert(step.now, facts, revision, standing);
-        self.bring_up(step, node);
+        self.report_up(step, node);
         if fresh {
             let class = if standing == MemberStanding::Leaving {
                 SendClass::Leave
             } else {
-                SendClass::Up
+                SendClass::Announce
             };
-            self.spread(step, class, RumourSubject::Member(node));
+            self.enqueue(step, class, RumourSubject::Member(node));
         }
     }
 
-    fn forget_news(&mut self, node: NodeId) {
+    fn drop_rumours_about(&mut self, node: NodeId) {
         self.queue.drop_subject(RumourSubject::Standing(node));
         self.queue.drop_subject(RumourSubject::Suspect(node));
-        self.suspects.remove(node);
+        self.suspicions.remove(node);
     }
 
-    fn learn_standing(
+    fn merge_standing(
         &mut self,
         step: &mut RosterStep<'_>,
         sender: NodeId,
@@ -135,31 +135,31 @@
         revision: u32,
         standing: MemberStanding,
     ) {
-        if instance.node == self.own {
-            self.hear_about_self(step, instance, revision, standing, None);
+        if instance.node == self.own_node {
+            self.on_rumour_about_self(step, instance, revision, standing, None);
             return;
         }
         let known = self.table.get(instance.node).map(MemberEntry::instance);
         if known == Some(instance) {
-            self.set_right(step, sender, instance, revision);
+            self.correct_stale_peer(step, sender, instance, revision);
             self.apply_standing(step, instance, revision, standing);
         } else if known.is_none_or(|known| known < instance) && standing.is_present() {
-            self.ask_sender(step, sender, instance.node);
+            self.request_facts_from(step, sender, instance.node);
         }
     }
 
-    fn ask_sender(&mut self, step: &mut RosterStep<'_>, sender: NodeId, node: NodeId) {
+    fn request_facts_from(&mut self, step: &mut RosterStep<'_>, sender: NodeId, node: NodeId) {
         let Some(to) = self.address(sender) else {
             return;
         };
-        self.ask_facts(step, to, node);
+        self.request_facts(step, to, node);
     }
 
     pub(super) fn address(&self, node: NodeId) -> Option<SocketAddr> {
         Some(self.table.get(node)?.facts.gossip_address)
     }
 
-    fn learn_upstreams(
+    fn merge_upstreams(
         &mut self,
         step: &mut RosterStep<'_>,
         sender: NodeId,
@@ -168,13 +168,13 @@
         runs: &[SlotRun],
         fresh: bool,
     ) {
-        if instance.node == self.own {
+        if instance.node == self.own_node {
             return;
         }
         let known = self.table.get(instance.node).map(MemberEntry::instance);
         if known != Some(instance) {
             if known.is_none_or(|known| known < instance) {
-                self.ask_sender(step, sender, instance.node);
+                self.request_facts_from(step, sender, instance.node);
             }
             return;
         }
@@ -182,7 +182,7 @@
             self.table.services().intern(name)
         });
         for run in runs {
-            for offset in 0..run.count.min(RUN_MAX) {
+            for offset in 0..run.count.min(MAX_RUN_SLOTS) {
                 let entry = SlotEntry {
                     slot: run.first.saturating_add(offset),
                     slots: run.slots,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Stores a slot entry, reports what changed, and sends fresh news on.
+    /// Stores a slot entry, reports the change and forwards it if it is fresh.
     pub(super) fn store_slot(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -203,7 +203,7 @@
         slot: SlotEntry,
         fresh: bool,
     ) {
-        let change = if node == self.own {
+        let change = if node == self.own_node {
             self.table.replace_slot(node, slot)
         } else {
             self.table.put_slot(node, slot)
@@ -213,7 +213,7 @@
             slot: slot.slot,
         };
         let SlotChange::Stored(old) = change else {
-            self.count_heard(RumourSubject::Upstream(id));
+            self.count_received(RumourSubject::Upstream(id));
             return;
         };
         self.report_slot(step, node, old, slot);
@@ -221,9 +221,9 @@
             let class = if slot.is_gone() || slot.phase == UpstreamPhase::Leaving {
                 SendClass::Leave
             } else {
-                SendClass::Up
+                SendClass::Announce
             };
-            self.spread(step, class, RumourSubject::Upstream(id));
+            self.enqueue(step, class, RumourSubject::Upstream(id));
         }
     }
 
@@ -258,7 +258,7 @@
         }
     }
 
-    fn learn_topic(
+    fn merge_topic(
         &mut self,
         step: &mut RosterStep<'_>,
         head: TopicHead,
@@ -266,7 +266,7 @@
         body: Vec<u8>,
         fresh: bool,
     ) {
-        if body.len() > BODY_BYTES {
+        if body.len() > MAX_BODY_BYTES {
             return;
         }
         let TopicHead {
@@ -279,7 +279,7 @@
         }
         if fresh {
             let subject = RumourSubject::Topic(topic, key);
-            self.spread(step, topic_class(topic), subject);
+            self.enqueue(step, topic_class(topic), subject);
         }
         step.command(RosterCommand::Rumour {
             topic,
--- a/crates/roster/src/node/mod.rs
+++ b/crates/roster/src/node/mod.rs
@@ -1,22 +1,21 @@
-//! The roster of one node: takes events, decides, gives commands.
+//! The roster of one node: takes events and returns commands.
 //!
 //! ```text
-//! event -> stall check -> receive / own -> merge -> queue -> gossip -> Send
+//! event -> stall check -> receive / local -> merge -> queue -> gossip -> Send
 //!                                      \-> probing, sync, join   -> Send
 //! ```
 
 mod contact;
+mod full_state;
 mod gossip;
-mod heads;
+mod local;
 mod merge;
-mod own;
 mod probing;
 mod receive;
-
-mod suspect;
+mod standing;
+mod suspicion;
 mod sync;
-mod transition;
-mod whole;
+mod topic_sync;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -37,44 +36,44 @@
 use crate::table::{MemberEntry, MemberTable};
 use crate::topics::TopicStore;
 
-/// A quarter of a second at most passes between two wakes, so that a pause is noticed.
-const WAKE_MAX: Duration = Duration::from_millis(250);
+/// Maximum time between two wakes, so that a pause of the process is detected.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two rounds of forgetting what is old.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+/// Time between two removals of expired entries.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Membership as one node knows it.
+/// Membership as seen by one node.
 #[derive(Debug)]
 pub struct NodeRoster {
     settings: RosterSettings,
-    own: NodeId,
+    own_node: NodeId,
     table: MemberTable,
     queue: RumourQueue,
     topics: TopicStore,
     probes: ProbeTable,
-    suspects: SuspicionTable,
+    suspicions: SuspicionTable,
     health: LocalHealth,
     budget: ByteBudget,
     rng: SmallRng,
-    /// Present members but this node, in probing order.
-    order: Vec<NodeId>,
-    cursor: usize,
-    /// Members to probe out of turn.
-    urgent: VecDeque<NodeId>,
+    /// Present members except this node, in probing order.
+    probe_order: Vec<NodeId>,
+    probe_cursor: usize,
+    /// Members to probe ahead of their turn.
+    urgent_targets: VecDeque<NodeId>,
     seeds: Vec<SocketAddr>,
     joined: bool,
     join_started: Option<Duration>,
     superseded: bool,
-    /// Whether the next round tells as many peers as the budget allows.
+    /// Whether the next round goes to `leave_fanout` peers instead of `fanout`.
     broadcast: bool,
-    sequence: own::ChangeSequence,
+    sequence: local::ChangeSequence,
     pulled_at: BTreeMap<NodeId, Duration>,
-    /// Members to offer to a peer unless the hashes agree by then.
+    /// Members whose state is sent to a peer unless the hashes agree by then.
     offers: VecDeque<sync::StateOffer>,
     timers: NodeTimers,
 }
 
-/// When each duty is due.
+/// Next due time of each periodic task, and the time of the last call and round.
 #[derive(Debug, Default)]
 struct NodeTimers {
     handled_at: Option<Duration>,
@@ -84,10 +83,10 @@
     sync: Duration,
     join: Duration,
     dead_probe: Duration,
-    forget: Duration,
+    prune: Duration,
 }
 
-/// One call: the time, and where the commands go.
+/// Time and command output of one call of [`NodeRoster::handle`].
 struct RosterStep<'a> {
     now: Duration,
     commands: &'a mut Vec<RosterCommand>,
@@ -104,8 +103,8 @@
 }
 
 impl NodeRoster {
-    /// Starts with this node as the only member. Names in `own` are at most 64 bytes long, so
-    /// that the facts of one member always fit a datagram.
+    /// Creates a roster with this node as the only member. The names in `own` must be at most 64
+    /// bytes long, so that the facts of one member always fit into a datagram.
     #[must_use]
     pub fn new(settings: RosterSettings, own: MemberFacts, seed: u64) -> Self {
         let node = own.instance.node;
@@ -114,48 +113,53 @@
         table.insert(Duration::ZERO, own, 0, MemberStanding::Alive);
         Self {
             settings,
-            own: node,
+            own_node: node,
             table,
             queue: RumourQueue::default(),
             topics: TopicStore::default(),
             probes: ProbeTable::default(),
-            suspects: SuspicionTable::default(),
+            suspicions: SuspicionTable::default(),
             health: LocalHealth::default(),
             budget,
             rng: SmallRng::seed_from_u64(seed),
-            order: Vec::new(),
-            cursor: 0,
-            urgent: VecDeque::new(),
+            probe_order: Vec::new(),
+            probe_cursor: 0,
+            urgent_targets: VecDeque::new(),
             seeds: Vec::new(),
             joined: false,
             join_started: None,
             superseded: false,
             broadcast: false,
-            sequence: own::ChangeSequence::default(),
+            sequence: local::ChangeSequence::default(),
             pulled_at: BTreeMap::new(),
             offers: VecDeque::new(),
             timers: NodeTimers::default(),
         }
     }
 
-    /// Takes one event and adds what follows from it to `commands`.
+    /// Handles one event and appends the resulting commands to `commands`.
     pub fn handle(&mut self, now: Duration, event: RosterEvent, commands: &mut Vec<RosterCommand>) {
         let mut step = RosterStep { now, commands };
         self.budget.refill(now);
-        self.notice_stall(&mut step);
-        self.take_event(&mut step, event);
+        self.detect_stall(&mut step);
+        self.dispatch_event(&mut step, event);
         if !self.has_departed() {
-            self.run_due(&mut step);
+            self.run_due_tasks(&mut step);
         }
     }
 
-    /// When the next [`RosterEvent::Tick`] is due. Any event may bring it forward.
+    /// Returns the time at which the next [`RosterEvent::Tick`] is due. Any event may bring it
+    /// forward.
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let timers = &self.timers;
         let handled = timers.handled_at.unwrap_or_default();
         let gossip = (!self.queue.is_empty()).then_some(timers.gossip);
-        let due = [Some(handled + WAKE_MAX), Some(timers.probe), gossip];
+        let due = [
+            Some(handled + MAX_WAKE_INTERVAL),
+            Some(timers.probe),
+            gossip,
+        ];
         due.into_iter()
             .chain([self.probes.next_deadline()])
             .flatten()
@@ -163,10 +167,11 @@
             .unwrap_or_default()
     }
 
-    /// This node's own instance; its incarnation may have been raised.
+    /// Returns this node's instance. Its incarnation may be greater than the one it started with;
+    /// see [`RosterCommand::IncarnationRaised`].
     #[must_use]
     pub fn own_instance(&self) -> InstanceId {
-        let node = self.own;
+        let node = self.own_node;
         self.table.get(node).map_or(
             InstanceId {
                 node,
@@ -176,7 +181,7 @@
         )
     }
 
-    /// Present members, this node included, in the order of their ids.
+    /// Returns the present members, including this node, in the order of their ids.
     #[must_use]
     pub fn members(&self) -> Vec<MemberView> {
         self.table
@@ -186,26 +191,26 @@
             .collect()
     }
 
-    /// How many members are present.
+    /// Returns the number of present members, including this node.
     #[must_use]
     pub fn member_count(&self) -> usize {
         let present = self.table.iter().filter(|entry| entry.is_present());
         present.count()
     }
 
-    /// One member, present or remembered as gone.
+    /// Returns one member, present or removed, or `None` after [`RosterSettings::forget_after`].
     #[must_use]
     pub fn member(&self, node: NodeId) -> Option<MemberView> {
         self.table.get(node).map(MemberEntry::view)
     }
 
-    /// Upstreams of a service on present members, in the order of their ids.
+    /// Returns the upstreams of a service on present members, in the order of their ids.
     #[must_use]
     pub fn upstreams(&self, service: &str) -> Vec<(UpstreamId, UpstreamFacts)> {
         self.table.upstreams(service)
     }
 
-    /// Whether this life of the node is the newest known and is present.
+    /// Whether the instance is a present member with its newest known incarnation.
     #[must_use]
     pub fn is_current(&self, instance: InstanceId) -> bool {
         self.table
@@ -213,55 +218,56 @@
             .is_some_and(|entry| entry.is_present() && entry.instance() == instance)
     }
 
-    /// Whether a whole roster was pulled from peers, or there were no seeds to ask.
+    /// Whether a complete roster was pulled from peers, or there were no seeds to contact.
     #[must_use]
     pub const fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether probes in a row found nobody: this node rather suspects its own network.
+    /// Whether consecutive probes got no reply from any node, so that this node suspects its own
+    /// network.
     #[must_use]
     pub const fn is_isolated(&self) -> bool {
-        self.health.is_silent()
+        self.health.is_isolated()
     }
 
-    /// Hash over everything held; equal on nodes that hold the same.
+    /// Returns the hash of everything held; nodes with equal state have equal hashes.
     #[must_use]
     pub const fn root(&self) -> u32 {
         self.table.digest().root() ^ self.topics.digest()
     }
 
-    /// The root as others are told it: zero while joining.
-    pub(crate) const fn told_root(&self) -> u32 {
+    /// Returns the root hash sent to peers: zero while joining.
+    pub(crate) const fn advertised_root(&self) -> u32 {
         if self.joined { self.root() } else { 0 }
     }
 
-    /// Failure: this process did not run for a while. Symptom: every answer of that time seems
-    /// missing, and peers that answered seem dead. Moving the timers by the gap and dropping the
-    /// probes under way is enough, because nothing is decided without a fresh probe.
-    fn notice_stall(&mut self, step: &mut RosterStep<'_>) {
+    /// Detects that this process did not run for a while. Without this check, replies missed during
+    /// the pause would make healthy peers look dead. Extending the suspicion timers by the gap and
+    /// dropping the running probes prevents that, because no death is declared without a new probe.
+    fn detect_stall(&mut self, step: &mut RosterStep<'_>) {
         let before = self.timers.handled_at.replace(step.now);
         let gap = step.now.saturating_sub(before.unwrap_or(step.now));
         if gap < self.settings.stall_threshold {
             return;
         }
         self.probes.clear();
-        self.suspects.shift(gap);
+        self.suspicions.postpone(gap);
         self.health.stalled();
         step.note(RosterNote::Stalled { gap });
     }
 
-    fn take_event(&mut self, step: &mut RosterStep<'_>, event: RosterEvent) {
+    fn dispatch_event(&mut self, step: &mut RosterStep<'_>, event: RosterEvent) {
         match event {
             RosterEvent::Tick => {}
             RosterEvent::Seeds(seeds) => self.set_seeds(step, seeds),
             RosterEvent::Datagram { from, message } => self.receive(step, from, message),
             RosterEvent::UpstreamSet { slot, facts } => self.set_upstream(step, slot, &facts),
-            RosterEvent::UpstreamGone { slot } => self.drop_upstream(step, slot),
+            RosterEvent::UpstreamGone { slot } => self.remove_upstream(step, slot),
             RosterEvent::Leave => self.leave(step),
             RosterEvent::Depart => self.depart(step),
-            RosterEvent::Unreachable { node } => self.report_unreachable(step, node),
-            RosterEvent::Reached { node } => self.report_reached(step, node),
+            RosterEvent::Unreachable { node } => self.on_unreachable(step, node),
+            RosterEvent::Reached { node } => self.on_reached(step, node),
             RosterEvent::Publish {
                 topic,
                 key,
@@ -271,33 +277,33 @@
         }
     }
 
-    fn run_due(&mut self, step: &mut RosterStep<'_>) {
-        self.finish_probes(step);
-        self.expire_suspicions(step);
+    fn run_due_tasks(&mut self, step: &mut RosterStep<'_>) {
+        self.advance_due_probes(step);
+        self.resolve_suspicions(step);
         self.probe_next(step);
         self.gossip_round(step);
         self.send_offers(step);
         self.contact_seeds(step);
         self.sync_while_joining(step);
         self.probe_dead(step);
-        self.forget_old(step);
+        self.prune_expired(step);
     }
 
-    fn forget_old(&mut self, step: &mut RosterStep<'_>) {
-        if step.now < self.timers.forget {
+    fn prune_expired(&mut self, step: &mut RosterStep<'_>) {
+        if step.now < self.timers.prune {
             return;
         }
-        self.timers.forget = step.now + FORGET_INTERVAL;
-        self.topics.forget(step.now);
+        self.timers.prune = step.now + PRUNE_INTERVAL;
+        self.topics.prune(step.now);
         let limit = self.settings.forget_after;
-        let old: Vec<NodeId> = self
+        let expired: Vec<NodeId> = self
             .table
             .iter()
             .filter(|entry| !entry.is_present())
             .filter(|entry| step.now.saturating_sub(entry.changed_at) > limit)
             .map(|entry| entry.instance().node)
             .collect();
-        for node in old {
+        for node in expired {
             self.table.remove(node);
         }
     }
--- a/crates/roster/src/node/probing.rs
+++ b/crates/roster/src/node/probing.rs
@@ -1,12 +1,12 @@
-//! Probes: directly, then through helpers in other failure domains.
+//! Failure detection: direct probes, then indirect ones through helpers in other failure domains.
 //!
 //! ```text
-//! ping member ----ack----------------------------> fine
-//!      | no ack in time: one miss of this node's own reach
+//! ping member ----ack----------------------------> alive
+//!      | no ack in time: one miss; two make the member unreachable from here
 //!      v
 //! ask helpers ----one reached it-----------------> alive for the fleet
-//!      |---------some answered, none reached it--> suspect, with them as observers
-//!      |---------none answered-------------------> this node suspects itself
+//!      |---------some replied, none reached it---> suspect, with them as observers
+//!      |---------none replied--------------------> this node suspects itself
 //! ```
 
 use std::collections::BTreeSet;
@@ -17,24 +17,24 @@
 
 use super::{NodeRoster, RosterStep};
 use crate::event::{RosterCommand, RosterNote};
-use crate::health::HealthTurn;
+use crate::health::HealthChange;
 use crate::message::MessagePurpose;
 use crate::probe::{ProbeRecord, ProbeStage};
 
-/// Members probed out of turn in one probe interval.
+/// Urgent targets probed per probe interval.
 const URGENT_PROBES: usize = 2;
 
-/// Suspects probed again in one probe interval.
+/// Suspects probed again per probe interval.
 const SUSPECT_PROBES: usize = 3;
 
-/// Members waiting to be probed out of turn.
-const URGENT_WAITING: usize = 32;
+/// Maximum number of queued urgent targets.
+const MAX_URGENT_TARGETS: usize = 32;
 
-/// Members looked at for each helper wanted.
-const HELPER_DRAWS: usize = 8;
+/// Random members considered per wanted helper.
+const CANDIDATES_PER_HELPER: usize = 8;
 
 impl NodeRoster {
-    /// Probes the next member in turn, those out of turn, and suspects again.
+    /// Probes the next member in order, some urgent targets and some suspects.
     pub(super) fn probe_next(&mut self, step: &mut RosterStep<'_>) {
         if step.now < self.timers.probe {
             return;
@@ -44,7 +44,7 @@
             self.probe(step, target);
         }
         for _ in 0..URGENT_PROBES {
-            if let Some(target) = self.urgent.pop_front() {
+            if let Some(target) = self.urgent_targets.pop_front() {
                 self.probe(step, target);
             }
         }
@@ -54,38 +54,38 @@
     }
 
     fn next_target(&mut self) -> Option<NodeId> {
-        if self.cursor >= self.order.len() {
-            self.cursor = 0;
-            self.order.shuffle(&mut self.rng);
+        if self.probe_cursor >= self.probe_order.len() {
+            self.probe_cursor = 0;
+            self.probe_order.shuffle(&mut self.rng);
         }
-        let target = self.order.get(self.cursor).copied();
-        self.cursor += 1;
+        let target = self.probe_order.get(self.probe_cursor).copied();
+        self.probe_cursor += 1;
         target
     }
 
     fn next_suspects(&mut self) -> Vec<NodeId> {
-        let own = self.own;
-        let mut observed: Vec<NodeId> = self
-            .suspects
+        let own = self.own_node;
+        let mut targets: Vec<NodeId> = self
+            .suspicions
             .iter()
             .filter(|suspicion| suspicion.observers.contains(&own))
             .map(|suspicion| suspicion.instance.node)
             .collect();
-        observed.shuffle(&mut self.rng);
-        observed.truncate(SUSPECT_PROBES);
-        observed
+        targets.shuffle(&mut self.rng);
+        targets.truncate(SUSPECT_PROBES);
+        targets
     }
 
-    /// Probes a member in the next interval at the latest.
+    /// Probes a member now, or queues it if other urgent targets are waiting.
     pub(super) fn probe_soon(&mut self, step: &mut RosterStep<'_>, target: NodeId) {
-        let waits = self.urgent.contains(&target) || self.probes.is_probing(target);
-        if waits || self.urgent.len() >= URGENT_WAITING {
+        let pending = self.urgent_targets.contains(&target) || self.probes.is_probing(target);
+        if pending || self.urgent_targets.len() >= MAX_URGENT_TARGETS {
             return;
         }
-        if self.urgent.is_empty() {
+        if self.urgent_targets.is_empty() {
             self.probe(step, target);
         } else {
-            self.urgent.push_back(target);
+            self.urgent_targets.push_back(target);
         }
     }
 
@@ -97,7 +97,7 @@
             return;
         }
         let to = entry.facts.gossip_address;
-        let timeout = self.health.stretch(self.settings.probe_timeout);
+        let timeout = self.health.scale(self.settings.probe_timeout);
         let stage = ProbeStage::Direct;
         let sequence = self.probes.start(step.now, target, stage, timeout);
         self.ping(step, to, target, sequence);
@@ -105,30 +105,33 @@
 
     fn ping(&mut self, step: &mut RosterStep<'_>, to: SocketAddr, target: NodeId, sequence: u32) {
         let purpose = MessagePurpose::Ping { sequence, target };
-        let doubt = self.suspect_rumour(target);
-        if !self.send_probe(step, to, purpose, doubt) {
+        let suspicion = self.suspect_rumour(target);
+        if !self.send_probe(step, to, purpose, suspicion) {
             self.probes.finish(sequence);
         }
     }
 
-    /// Pings a member for another node.
-    pub(super) fn assist(
+    /// Pings a member on behalf of another node.
+    pub(super) fn on_assist(
         &mut self,
         step: &mut RosterStep<'_>,
-        asker: SocketAddr,
+        requester: SocketAddr,
         sequence: u32,
         target: NodeId,
     ) {
         let Some(to) = self.address(target) else {
             return;
         };
-        let stage = ProbeStage::Errand { asker, sequence };
+        let stage = ProbeStage::Delegated {
+            requester,
+            sequence,
+        };
         let timeout = self.settings.probe_timeout;
         let number = self.probes.start(step.now, target, stage, timeout);
         self.ping(step, to, target, number);
     }
 
-    pub(super) fn take_ack(&mut self, step: &mut RosterStep<'_>, sender: NodeId, sequence: u32) {
+    pub(super) fn on_ack(&mut self, step: &mut RosterStep<'_>, sender: NodeId, sequence: u32) {
         let matches = self
             .probes
             .get_mut(sequence)
@@ -139,17 +142,21 @@
         let Some(record) = self.probes.finish(sequence) else {
             return;
         };
-        self.note_answer(step);
+        self.record_answer(step);
         self.set_misses(step, sender, 0);
-        if let ProbeStage::Errand { asker, sequence } = record.stage {
-            self.answer_errand(step, asker, sequence, record.target, true);
+        if let ProbeStage::Delegated {
+            requester,
+            sequence,
+        } = record.stage
+        {
+            self.reply_to_requester(step, requester, sequence, record.target, true);
         }
     }
 
-    fn answer_errand(
+    fn reply_to_requester(
         &mut self,
         step: &mut RosterStep<'_>,
-        asker: SocketAddr,
+        requester: SocketAddr,
         sequence: u32,
         target: NodeId,
         reached: bool,
@@ -159,10 +166,10 @@
             target,
             reached,
         };
-        self.send_probe(step, asker, purpose, None);
+        self.send_probe(step, requester, purpose, None);
     }
 
-    pub(super) fn take_assisted(
+    pub(super) fn on_assisted(
         &mut self,
         step: &mut RosterStep<'_>,
         helper: NodeId,
@@ -170,7 +177,7 @@
         target: NodeId,
         reached: bool,
     ) {
-        self.note_answer(step);
+        self.record_answer(step);
         let Some(record) = self.probes.get_mut(sequence) else {
             return;
         };
@@ -179,65 +186,73 @@
         }
         if reached {
             self.probes.finish(sequence);
-            self.probe_again(target);
-        } else if !record.denied.contains(&helper) {
-            record.denied.push(helper);
+            self.queue_second_probe(target);
+        } else if !record.failed_helpers.contains(&helper) {
+            record.failed_helpers.push(helper);
         }
     }
 
-    /// A member that only helpers reach is probed again soon: after a second miss it is out of
-    /// this node's reach.
-    fn probe_again(&mut self, target: NodeId) {
+    /// Queues another probe of a member that only helpers reached: a second miss makes the member
+    /// unreachable from this node.
+    fn queue_second_probe(&mut self, target: NodeId) {
         let once = self
             .table
             .get(target)
             .is_some_and(|entry| entry.misses == 1);
-        if once && self.urgent.len() < URGENT_WAITING {
-            self.urgent.push_back(target);
+        if once && self.urgent_targets.len() < MAX_URGENT_TARGETS {
+            self.urgent_targets.push_back(target);
         }
     }
 
-    /// Moves probes on whose time is up.
-    pub(super) fn finish_probes(&mut self, step: &mut RosterStep<'_>) {
+    /// Moves probes whose deadline has passed to their next stage.
+    pub(super) fn advance_due_probes(&mut self, step: &mut RosterStep<'_>) {
         for (sequence, record) in self.probes.take_due(step.now) {
             match record.stage {
-                ProbeStage::Direct => self.ask_helpers(step, sequence, record),
-                ProbeStage::Assisted => self.conclude(step, &record),
-                ProbeStage::Errand { asker, sequence } => {
-                    self.answer_errand(step, asker, sequence, record.target, false);
+                ProbeStage::Direct => self.request_indirect_probes(step, sequence, record),
+                ProbeStage::Indirect => self.conclude_probe(step, &record),
+                ProbeStage::Delegated {
+                    requester,
+                    sequence,
+                } => {
+                    self.reply_to_requester(step, requester, sequence, record.target, false);
                 }
             }
         }
     }
 
-    fn ask_helpers(&mut self, step: &mut RosterStep<'_>, sequence: u32, mut record: ProbeRecord) {
+    fn request_indirect_probes(
+        &mut self,
+        step: &mut RosterStep<'_>,
+        sequence: u32,
+        mut record: ProbeRecord,
+    ) {
         let target = record.target;
         let misses = self.table.get(target).map_or(0, |entry| entry.misses);
         self.set_misses(step, target, misses.saturating_add(1));
         let purpose = MessagePurpose::Assist { sequence, target };
-        let helpers = self.pick_helpers(target);
+        let helpers = self.select_helpers(target);
         for helper in &helpers {
             if let Some(to) = self.address(*helper) {
                 self.send_probe(step, to, purpose.clone(), None);
             }
         }
         record.asked = helpers.len();
-        record.stage = ProbeStage::Assisted;
-        let timeout = self.health.stretch(self.settings.helper_timeout);
+        record.stage = ProbeStage::Indirect;
+        let timeout = self.health.scale(self.settings.helper_timeout);
         record.deadline = step.now + timeout;
         self.probes.resume(sequence, record);
     }
 
-    /// Helpers from as many failure domains as possible: a cut between two domains must not make
-    /// a member of one look dead to the other while a third reaches both.
-    fn pick_helpers(&mut self, target: NodeId) -> Vec<NodeId> {
+    /// Chooses helpers from as many failure domains as possible. In a partition between two
+    /// domains, a helper in a third domain still reaches both sides.
+    fn select_helpers(&mut self, target: NodeId) -> Vec<NodeId> {
         let wanted = self.settings.helpers;
-        let mut drawn = self.pick_peers(wanted * HELPER_DRAWS, &[target]);
-        drawn.retain(|node| self.suspects.get(*node).is_none());
+        let mut sampled = self.select_peers(wanted * CANDIDATES_PER_HELPER, &[target]);
+        sampled.retain(|node| self.suspicions.get(*node).is_none());
         let mut helpers = Vec::new();
         let mut domains = BTreeSet::new();
         let mut spare = Vec::new();
-        for node in drawn {
+        for node in sampled {
             let domain = self.table.get(node).map(|entry| &entry.facts.domain);
             if domains.insert(domain.cloned()) {
                 helpers.push(node);
@@ -250,37 +265,37 @@
         helpers
     }
 
-    /// Neither the member nor a helper on its behalf answered.
-    fn conclude(&mut self, step: &mut RosterStep<'_>, record: &ProbeRecord) {
+    /// Evaluates a probe after which no helper reported that it reached the member.
+    fn conclude_probe(&mut self, step: &mut RosterStep<'_>, record: &ProbeRecord) {
         let Some(entry) = self.table.get(record.target) else {
             return;
         };
-        let heard = entry.heard_at.is_some_and(|at| at >= record.started);
-        let alone = record.asked == 0;
-        if heard {
+        let recently_heard = entry.last_contact.is_some_and(|at| at >= record.started);
+        let no_helpers = record.asked == 0;
+        if recently_heard {
             return;
         }
-        if record.denied.is_empty() && !alone {
-            let turn = self.health.unanswered();
-            note_turn(step, turn);
+        if record.failed_helpers.is_empty() && !no_helpers {
+            let change = self.health.unanswered();
+            report_health_change(step, change);
             return;
         }
-        if record.denied.len() < record.asked {
+        if record.failed_helpers.len() < record.asked {
             self.health.helpers_missing();
         }
-        let mut observers = record.denied.clone();
-        observers.insert(0, self.own);
+        let mut observers = record.failed_helpers.clone();
+        observers.insert(0, self.own_node);
         let (instance, revision) = (entry.instance(), entry.revision);
-        self.learn_suspicion(step, instance, revision, &observers);
-        self.suspects.confirm(step.now, record.target);
+        self.add_suspicion(step, instance, revision, &observers);
+        self.suspicions.record_failed_probe(step.now, record.target);
     }
 
-    pub(super) fn note_answer(&mut self, step: &mut RosterStep<'_>) {
-        let turn = self.health.answered();
-        note_turn(step, turn);
+    pub(super) fn record_answer(&mut self, step: &mut RosterStep<'_>) {
+        let change = self.health.answered();
+        report_health_change(step, change);
     }
 
-    /// Counts direct probes without an answer and reports when the member's reach changes.
+    /// Sets the number of unanswered direct probes and reports a change of reachability.
     pub(super) fn set_misses(&mut self, step: &mut RosterStep<'_>, node: NodeId, misses: u8) {
         let Some(entry) = self.table.get_mut(node) else {
             return;
@@ -293,10 +308,10 @@
     }
 }
 
-fn note_turn(step: &mut RosterStep<'_>, turn: HealthTurn) {
-    match turn {
-        HealthTurn::Same => {}
-        HealthTurn::Silent(probes) => step.note(RosterNote::SelfSuspect { probes }),
-        HealthTurn::Recovered => step.note(RosterNote::SelfRecovered),
+fn report_health_change(step: &mut RosterStep<'_>, change: HealthChange) {
+    match change {
+        HealthChange::Unchanged => {}
+        HealthChange::Isolated(probes) => step.note(RosterNote::SelfSuspect { probes }),
+        HealthChange::Recovered => step.note(RosterNote::SelfRecovered),
     }
 }
--- a/crates/roster/src/node/receive.rs
+++ b/crates/roster/src/node/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in.
+//! Handling of received datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use crate::budget::SendClass;
 use crate::message::{MemberRumour, MessagePurpose, RosterMessage};
 
-/// Shortest time between two corrections told to one member, and two requests for its facts.
-const REPEAT_TIME: Duration = Duration::from_secs(1);
+/// Minimum time between two corrections to one member, and between two requests for its state.
+const MIN_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests for facts remembered.
-const PULLS_REMEMBERED: usize = 4_096;
+/// Maximum number of members whose last request is recorded.
+const MAX_RECORDED_PULLS: usize = 4_096;
 
 impl NodeRoster {
     pub(super) fn receive(
@@ -22,19 +22,19 @@
         from: SocketAddr,
         message: RosterMessage,
     ) {
-        if message.from.node == self.own || self.has_departed() {
+        if message.from.node == self.own_node || self.has_departed() {
             return;
         }
         let fresh = message.purpose != MessagePurpose::State;
         for rumour in message.rumours {
-            self.learn(step, message.from.node, rumour, fresh);
+            self.apply_rumour(step, message.from.node, rumour, fresh);
         }
-        self.hear_from(step, from, message.from, message.root);
-        self.take_purpose(step, from, message.from, message.purpose);
+        self.record_contact(step, from, message.from, message.root);
+        self.handle_purpose(step, from, message.from, message.purpose);
         self.sync_if_different(step, message.from.node, from, message.root);
     }
 
-    fn take_purpose(
+    fn handle_purpose(
         &mut self,
         step: &mut RosterStep<'_>,
         from: SocketAddr,
@@ -44,21 +44,21 @@
         match purpose {
             MessagePurpose::Gossip | MessagePurpose::State => {}
             MessagePurpose::Ping { sequence, target } => {
-                if target == self.own {
+                if target == self.own_node {
                     let ack = MessagePurpose::Ack { sequence };
                     self.send_probe(step, from, ack, None);
                 }
             }
-            MessagePurpose::Ack { sequence } => self.take_ack(step, sender.node, sequence),
+            MessagePurpose::Ack { sequence } => self.on_ack(step, sender.node, sequence),
             MessagePurpose::Assist { sequence, target } => {
-                self.assist(step, from, sequence, target);
+                self.on_assist(step, from, sequence, target);
             }
             MessagePurpose::Assisted {
                 sequence,
                 target,
                 reached,
-            } => self.take_assisted(step, sender.node, sequence, target, reached),
-            MessagePurpose::Join => self.welcome(step, from),
+            } => self.on_assisted(step, sender.node, sequence, target, reached),
+            MessagePurpose::Join => self.on_join(step, from),
             MessagePurpose::Buckets { hashes } => self.compare_buckets(step, from, &hashes),
             MessagePurpose::BucketMembers { differing, buckets } => {
                 self.compare_members(step, from, sender.node, differing, &buckets);
@@ -70,8 +70,9 @@
         }
     }
 
-    /// A datagram came straight from a member: it runs, whatever is said about it.
-    fn hear_from(
+    /// Records direct contact with the sender. Requests the facts of an unknown sender, and
+    /// corrects one that is outdated or marked as gone.
+    fn record_contact(
         &mut self,
         step: &mut RosterStep<'_>,
         from: SocketAddr,
@@ -81,54 +82,66 @@
         let known = self.table.get_mut(sender.node);
         let Some(entry) = known.filter(|entry| entry.instance().incarnation >= sender.incarnation)
         else {
-            self.ask_facts(step, from, sender.node);
+            self.request_facts(step, from, sender.node);
             return;
         };
         if entry.instance() != sender {
-            self.correct(step, sender.node, from);
+            self.send_correction(step, sender.node, from);
             return;
         }
-        entry.heard_at = Some(step.now);
+        entry.last_contact = Some(step.now);
         entry.joining = root == 0;
         if !entry.is_present() {
-            self.correct(step, sender.node, from);
+            self.send_correction(step, sender.node, from);
         }
     }
 
-    /// Asks for the facts of a member that this node does not know in this life.
-    pub(super) fn ask_facts(&mut self, step: &mut RosterStep<'_>, from: SocketAddr, node: NodeId) {
-        if !self.note_pull(step.now, node) {
+    /// Requests the facts of a member whose current incarnation is unknown here.
+    pub(super) fn request_facts(
+        &mut self,
+        step: &mut RosterStep<'_>,
+        from: SocketAddr,
+        node: NodeId,
+    ) {
+        if !self.try_record_pull(step.now, node) {
             return;
         }
         let nodes = vec![node];
         let purpose = MessagePurpose::Pull { nodes };
-        self.send(step, SendClass::Up, from, purpose, Vec::new());
+        self.send(step, SendClass::Announce, from, purpose, Vec::new());
     }
 
-    /// Whether a member may be asked for now; notes that it is.
-    pub(super) fn note_pull(&mut self, now: Duration, node: NodeId) -> bool {
+    /// Records a request for a member's state; returns false if the last one is too recent.
+    pub(super) fn try_record_pull(&mut self, now: Duration, node: NodeId) -> bool {
         let last = self.pulled_at.get(&node);
-        if last.is_some_and(|at| now.saturating_sub(*at) < REPEAT_TIME) {
+        if last.is_some_and(|at| now.saturating_sub(*at) < MIN_REPEAT_INTERVAL) {
             return false;
         }
-        if self.pulled_at.len() >= PULLS_REMEMBERED {
+        if self.pulled_at.len() >= MAX_RECORDED_PULLS {
             self.pulled_at.clear();
         }
         self.pulled_at.insert(node, now);
         true
     }
 
-    /// Tells a member what the fleet holds of it, so that it can say otherwise. A member held
-    /// dead hears that it is; an earlier life hears of the one that replaced it.
-    pub(super) fn correct(&mut self, step: &mut RosterStep<'_>, node: NodeId, to: SocketAddr) {
+    /// Sends a member the state that the fleet holds about it, so that the member can refute it. A
+    /// member that is marked dead learns of its death; a replaced incarnation learns of its
+    /// successor.
+    pub(super) fn send_correction(
+        &mut self,
+        step: &mut RosterStep<'_>,
+        node: NodeId,
+        to: SocketAddr,
+    ) {
         let rumour = self
             .member_rumour(node)
             .or_else(|| self.standing_rumour(node));
-        self.tell(step, node, to, rumour);
+        self.send_direct(step, node, to, rumour);
     }
 
-    /// Sends one rumour straight to the member it is about, once a second at most.
-    pub(super) fn tell(
+    /// Sends one rumour directly to the member it describes, at most once per
+    /// [`MIN_REPEAT_INTERVAL`].
+    pub(super) fn send_direct(
         &mut self,
         step: &mut RosterStep<'_>,
         node: NodeId,
@@ -138,11 +151,11 @@
         let Some(entry) = self.table.get_mut(node) else {
             return;
         };
-        let last = entry.told_at;
-        if last.is_some_and(|at| step.now.saturating_sub(at) < REPEAT_TIME) {
+        let last = entry.corrected_at;
+        if last.is_some_and(|at| step.now.saturating_sub(at) < MIN_REPEAT_INTERVAL) {
             return;
         }
-        entry.told_at = Some(step.now);
+        entry.corrected_at = Some(step.now);
         let rumours = rumour.into_iter().collect();
         let purpose = MessagePurpose::Gossip;
         self.send(step, SendClass::Death, to, purpose, rumours);
--- a/crates/roster/src/node/transition.rs
+++ b/crates/roster/src/node/standing.rs
@@ -1,4 +1,4 @@
-//! Changes of a member's standing and what they mean for its upstreams.
+//! Changes of a member's standing and their effect on its upstreams.
 
 use std::net::SocketAddr;
 
@@ -12,8 +12,8 @@
 use crate::queue::RumourSubject;
 
 impl NodeRoster {
-    /// Takes a standing in when it wins over the one held: the greater revision does, and within
-    /// one revision the one nearer to the end.
+    /// Applies a standing that outranks the current one: the greater revision wins, and within one
+    /// revision the greater standing.
     pub(super) fn apply_standing(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -27,19 +27,19 @@
         if (revision, standing) <= (entry.revision, entry.standing) {
             return;
         }
-        let dies = standing == MemberStanding::Dead && entry.is_present();
-        if dies && entry.heard_within(step.now, self.settings.probe_interval * 2) {
-            self.dispute(step, instance.node, revision, standing);
+        let declares_dead = standing == MemberStanding::Dead && entry.is_present();
+        if declares_dead && entry.contacted_within(step.now, self.settings.probe_interval * 2) {
+            self.dispute_death(step, instance.node, revision, standing);
             return;
         }
         self.change_standing(step, instance.node, revision, standing);
     }
 
-    /// Failure: others behind a cut found a member dead that this node just heard from. Symptom
-    /// without this safeguard: the living member is removed everywhere. This node does not take
-    /// the death in but tells the member, which refutes it; if it cannot, it is soon not heard
-    /// any more and the death comes in with the next digest.
-    fn dispute(
+    /// Sends a reported death to the member instead of applying it. The member was in contact with
+    /// this node just now, so observers behind a partition must not remove it everywhere. The
+    /// member refutes the death; if it cannot, its contact expires and the next digest exchange
+    /// applies the death.
+    fn dispute_death(
         &mut self,
         step: &mut RosterStep<'_>,
         node: NodeId,
@@ -56,7 +56,7 @@
             revision,
             standing,
         };
-        self.tell(step, node, to, Some(rumour));
+        self.send_direct(step, node, to, Some(rumour));
     }
 
     pub(super) fn change_standing(
@@ -70,14 +70,14 @@
             return;
         };
         let (instance, before) = (entry.instance(), entry.standing);
-        let was_suspect = self.suspects.remove(node).is_some();
+        let was_suspect = self.suspicions.remove(node).is_some();
         self.queue.drop_subject(RumourSubject::Suspect(node));
         if before.is_present() && !standing.is_present() {
-            self.take_down(step, node, down_cause(before, standing));
+            self.report_down(step, node, down_cause(before, standing));
         }
         self.table.set_standing(step.now, node, revision, standing);
         if !before.is_present() && standing.is_present() {
-            self.bring_up(step, node);
+            self.report_up(step, node);
         } else if before != standing && standing == MemberStanding::Leaving {
             self.report_leaving(step, node);
         }
@@ -88,11 +88,17 @@
             MemberStanding::Leaving | MemberStanding::Left => SendClass::Leave,
             MemberStanding::Alive | MemberStanding::Dead => SendClass::Death,
         };
-        self.spread(step, class, RumourSubject::Standing(node));
+        self.enqueue(step, class, RumourSubject::Standing(node));
     }
 
-    /// Reports a member's upstreams gone and then the member down. The table still has it.
-    pub(super) fn take_down(&mut self, step: &mut RosterStep<'_>, node: NodeId, cause: DownCause) {
+    /// Reports a member's upstreams as gone and then the member as down. The member must still be
+    /// in the table.
+    pub(super) fn report_down(
+        &mut self,
+        step: &mut RosterStep<'_>,
+        node: NodeId,
+        cause: DownCause,
+    ) {
         let Some(entry) = self.table.get(node).filter(|entry| entry.is_present()) else {
             return;
         };
@@ -110,16 +116,16 @@
         let instance = entry.instance();
         step.command(RosterCommand::MemberDown { instance, cause });
         self.queue.drop_subject(RumourSubject::Member(node));
-        if let Some(place) = self.order.iter().position(|other| *other == node) {
-            self.order.remove(place);
-            if place < self.cursor {
-                self.cursor -= 1;
+        if let Some(index) = self.probe_order.iter().position(|other| *other == node) {
+            self.probe_order.remove(index);
+            if index < self.probe_cursor {
+                self.probe_cursor -= 1;
             }
         }
     }
 
-    /// Reports a member up with its upstreams. The table already has it.
-    pub(super) fn bring_up(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
+    /// Reports a member as up, with its upstreams. The member must already be in the table.
+    pub(super) fn report_up(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
         if let Some(entry) = self.table.get_mut(node) {
             entry.misses = 0;
         }
@@ -131,8 +137,8 @@
             step.command(RosterCommand::MemberChanged(entry.view()));
         }
         self.report_upstreams(step, node);
-        let place = self.rng.random_range(0..=self.order.len());
-        self.order.insert(place, node);
+        let index = self.rng.random_range(0..=self.probe_order.len());
+        self.probe_order.insert(index, node);
     }
 
     fn report_leaving(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
@@ -159,7 +165,8 @@
     }
 }
 
-/// Only a goodbye proves that the process has ended: others rely on that to take over promises.
+/// Returns the cause of a removal. Only an announced departure proves that the process has ended;
+/// callers rely on this before they take over the member's obligations.
 const fn down_cause(before: MemberStanding, standing: MemberStanding) -> DownCause {
     match (before, standing) {
         (_, MemberStanding::Left) => DownCause::Left,
--- a/crates/roster/src/node/suspect.rs
+++ b/crates/roster/src/node/suspicion.rs
@@ -1,4 +1,4 @@
-//! From suspicion to death, or not.
+//! Lifecycle of a suspicion, from the first report to death or refutation.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,20 @@
 use crate::queue::RumourSubject;
 use crate::suspicion::{Suspicion, suspicion_time};
 
-/// Suspicions of others are kept for this many of the longest suspicion times.
-const HEARSAY_TIMES: u32 = 3;
+/// Multiple of the longest suspicion time for which suspicions without an own failed probe are
+/// kept.
+const UNVERIFIED_RETENTION: u32 = 3;
 
-enum SuspicionEnd {
-    Waits,
-    Dropped,
+enum SuspicionOutcome {
+    Pending,
+    Expired,
     Cleared,
-    Dies,
+    Dead,
 }
 
 impl NodeRoster {
-    /// Takes a suspicion in that a peer sent.
-    pub(super) fn hear_suspicion(
+    /// Handles a suspicion received from a peer.
+    pub(super) fn receive_suspicion(
         &mut self,
         step: &mut RosterStep<'_>,
         sender: NodeId,
@@ -32,14 +33,13 @@
         revision: u32,
         observers: &[NodeId],
     ) {
-        self.set_right(step, sender, instance, revision);
-        self.learn_suspicion(step, instance, revision, observers);
+        self.correct_stale_peer(step, sender, instance, revision);
+        self.add_suspicion(step, instance, revision, observers);
     }
 
-    /// Failure: a peer missed a refutation in heavy loss and goes on to doubt or bury a member.
-    /// Symptom without this safeguard: that peer alone removes a living member. Whoever knows
-    /// better tells the peer at once.
-    pub(super) fn set_right(
+    /// Sends the current standing to a peer that still spreads an older revision. Without this, a
+    /// peer that missed a refutation in heavy packet loss could remove a living member on its own.
+    pub(super) fn correct_stale_peer(
         &mut self,
         step: &mut RosterStep<'_>,
         peer: NodeId,
@@ -58,15 +58,15 @@
         self.send(step, SendClass::Death, to, purpose, rumours);
     }
 
-    /// Takes a suspicion in: one's own probe failed, or others say theirs did.
-    pub(super) fn learn_suspicion(
+    /// Merges a suspicion, from an own failed probe or reported by peers.
+    pub(super) fn add_suspicion(
         &mut self,
         step: &mut RosterStep<'_>,
         instance: InstanceId,
         revision: u32,
         observers: &[NodeId],
     ) {
-        if instance.node == self.own {
+        if instance.node == self.own_node {
             if instance == self.own_instance() {
                 self.refute(step, revision);
             }
@@ -78,7 +78,7 @@
         if entry.instance() != instance || revision < entry.revision || !entry.is_present() {
             return;
         }
-        let Some(known) = self.suspects.add(step.now, instance, revision, observers) else {
+        let Some(known) = self.suspicions.add(step.now, instance, revision, observers) else {
             return;
         };
         step.note(RosterNote::Suspected {
@@ -87,65 +87,66 @@
         });
         if known < self.settings.confirmations + 1 {
             let subject = RumourSubject::Suspect(instance.node);
-            self.spread(step, SendClass::Death, subject);
+            self.enqueue(step, SendClass::Death, subject);
         }
     }
 
-    /// Ends suspicions whose time is up.
-    pub(super) fn expire_suspicions(&mut self, step: &mut RosterStep<'_>) {
-        if self.suspects.len() == 0 {
+    /// Ends suspicions whose time has run out.
+    pub(super) fn resolve_suspicions(&mut self, step: &mut RosterStep<'_>) {
+        if self.suspicions.len() == 0 {
             return;
         }
-        let ends: Vec<(InstanceId, SuspicionEnd)> = self
-            .suspects
+        let outcomes: Vec<(InstanceId, SuspicionOutcome)> = self
+            .suspicions
             .iter()
-            .map(|suspicion| (suspicion.instance, self.judge(step, suspicion)))
+            .map(|suspicion| (suspicion.instance, self.evaluate_suspicion(step, suspicion)))
             .collect();
-        for (instance, end) in ends {
-            match end {
-                SuspicionEnd::Waits => {}
-                SuspicionEnd::Dropped => {
-                    self.suspects.remove(instance.node);
+        for (instance, outcome) in outcomes {
+            match outcome {
+                SuspicionOutcome::Pending => {}
+                SuspicionOutcome::Expired => {
+                    self.suspicions.remove(instance.node);
                 }
-                SuspicionEnd::Cleared => {
-                    self.suspects.remove(instance.node);
+                SuspicionOutcome::Cleared => {
+                    self.suspicions.remove(instance.node);
                     step.note(RosterNote::Cleared { instance });
                 }
-                SuspicionEnd::Dies => self.declare_dead(step, instance),
+                SuspicionOutcome::Dead => self.declare_dead(step, instance),
             }
         }
     }
 
-    fn judge(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> SuspicionEnd {
+    fn evaluate_suspicion(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> SuspicionOutcome {
         let age = step.now.saturating_sub(suspicion.since);
-        if !suspicion.observers.contains(&self.own) {
-            let kept = self.settings.suspicion_longest * HEARSAY_TIMES;
-            return if age >= kept {
-                SuspicionEnd::Dropped
+        if !suspicion.observers.contains(&self.own_node) {
+            let retention = self.settings.suspicion_longest * UNVERIFIED_RETENTION;
+            return if age >= retention {
+                SuspicionOutcome::Expired
             } else {
-                SuspicionEnd::Waits
+                SuspicionOutcome::Pending
             };
         }
         let confirmations = self.confirmations(suspicion);
-        let possible = self.order.len().saturating_sub(1);
+        let possible = self.probe_order.len().saturating_sub(1);
         let time = suspicion_time(&self.settings, confirmations, possible);
-        if age < self.health.stretch(time) {
-            return SuspicionEnd::Waits;
+        if age < self.health.scale(time) {
+            return SuspicionOutcome::Pending;
         }
         let entry = self.table.get(suspicion.instance.node);
-        let heard = entry.and_then(|entry| entry.heard_at);
-        if heard.is_some_and(|at| at > suspicion.since) {
-            return SuspicionEnd::Cleared;
+        let last_contact = entry.and_then(|entry| entry.last_contact);
+        if last_contact.is_some_and(|at| at > suspicion.since) {
+            return SuspicionOutcome::Cleared;
         }
-        if self.is_fresh(step, suspicion) {
-            SuspicionEnd::Dies
+        if self.has_recent_failed_probe(step, suspicion) {
+            SuspicionOutcome::Dead
         } else {
-            SuspicionEnd::Waits
+            SuspicionOutcome::Pending
         }
     }
 
-    /// Observers beside the first. When all of them are in one failure domain and the fleet has
-    /// others, the domain may be cut off, and they confirm nothing to each other.
+    /// Returns the number of observers besides the first. Observers that are all in one failure
+    /// domain do not confirm each other if the fleet has other domains, because their domain may be
+    /// cut off.
     fn confirmations(&self, suspicion: &Suspicion) -> usize {
         let domains: BTreeSet<_> = suspicion
             .observers
@@ -159,16 +160,15 @@
         suspicion.observers.len().saturating_sub(1)
     }
 
-    /// Failure: this node is cut off while a suspicion runs, and misses the refutation. Symptom
-    /// without this safeguard: at the end of its timer it removes a living member. Its last own
-    /// probe must be fresh, and have failed while others answered this node; so somebody would
-    /// have passed the refutation on.
-    fn is_fresh(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> bool {
+    /// Whether this node's own last probe of the member is recent and failed while other nodes
+    /// replied. A node that is cut off during a suspicion misses the refutation and would remove a
+    /// living member; a recent probe shows that others could have forwarded it.
+    fn has_recent_failed_probe(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> bool {
         let settings = &self.settings;
         let probe = settings.probe_timeout + settings.helper_timeout;
-        let window = self.health.stretch(settings.probe_interval + probe);
+        let window = self.health.scale(settings.probe_interval + probe);
         suspicion
-            .confirmed_at
+            .probe_failed_at
             .is_some_and(|at| step.now.saturating_sub(at) < window)
     }
 
--- a/crates/roster/src/node/sync.rs
+++ b/crates/roster/src/node/sync.rs
@@ -1,17 +1,17 @@
-//! Anti-entropy: finding and closing differences that rumours left.
+//! Anti-entropy: detection and repair of differences that gossip left.
 //!
 //! ```text
 //! A                                   B
 //! |-- Buckets (a hash each) --------->|  compares
 //! |<- BucketMembers (of some that ----|
-//! |   differ: a hash each member)     |
+//! |   differ: a hash per member)      |
 //! |-- Pull (members that differ) ---->|
 //! |<- State --------------------------|
-//! |-- State (where A knew better) --->|  unless the hashes agree by then
+//! |-- State (where A was newer) ----->|  unless the hashes agree by then
 //! ```
 //!
-//! A joining node is one whose roster differs everywhere: it does the same with many peers at
-//! once, until nothing unknown is left.
+//! A joining node, whose roster differs everywhere, runs the same exchange with many peers in quick
+//! succession until no unknown member is left.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use rand::seq::SliceRandom;
 use sycamorelink_core::NodeId;
 
-use super::whole::read_hashes;
+use super::full_state::read_hashes;
 use super::{NodeRoster, RosterStep};
 use crate::budget::SendClass;
 use crate::digest::BUCKETS;
@@ -31,35 +31,35 @@
 use crate::table::MemberEntry;
 
 /// Time between two exchanges while joining.
-const JOIN_SYNC: Duration = Duration::from_millis(300);
+const JOIN_SYNC_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Peers drawn for one exchange while joining; one that is not joining itself is preferred.
-const JOIN_PEERS: usize = 6;
+/// Peers considered for one exchange while joining; one that has joined itself is preferred.
+const JOIN_CANDIDATES: usize = 6;
 
-/// Time after which state is offered to a peer that had other state.
+/// Delay after which state is sent to a peer whose hash of a member differed.
 const OFFER_DELAY: Duration = Duration::from_millis(600);
 
-/// Offers waiting at most.
-const OFFERS_MAX: usize = 64;
+/// Maximum number of pending offers.
+const MAX_OFFERS: usize = 64;
 
-/// Members asked for in one datagram.
-const PULL_NODES: usize = 32;
+/// Maximum number of members requested in one datagram.
+const MAX_PULL_NODES: usize = 32;
 
-/// Members whose state is sent for one request.
-const STATE_NODES: usize = 32;
+/// Maximum number of members whose state is sent per request.
+const MAX_STATE_NODES: usize = 32;
 
-/// A member's state that a peer may lack.
+/// State of a member to send to a peer whose own state of that member differs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StateOffer {
     peer: NodeId,
     node: NodeId,
-    /// Hash of the peer's state; zero when it had none.
+    /// Hash of the peer's state; zero if the peer lacked the member.
     hash: u32,
     due: Duration,
 }
 
 impl NodeRoster {
-    /// Starts an exchange with a present member whose root hash differs, now and then.
+    /// Starts an exchange with a present member whose root hash differs, at most once per interval.
     pub(super) fn sync_if_different(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -81,12 +81,12 @@
         self.start_sync(step, to);
     }
 
-    /// While joining, exchanges follow each other quickly, each with another peer.
+    /// Starts the next exchange while joining, each with a random peer.
     pub(super) fn sync_while_joining(&mut self, step: &mut RosterStep<'_>) {
         if self.joined || step.now < self.timers.sync {
             return;
         }
-        let mut peers = self.pick_peers(JOIN_PEERS, &[]);
+        let mut peers = self.select_peers(JOIN_CANDIDATES, &[]);
         peers.sort_by_key(|peer| self.table.get(*peer).is_none_or(|entry| entry.joining));
         if let Some(to) = peers.first().and_then(|peer| self.address(*peer)) {
             self.start_sync(step, to);
@@ -98,7 +98,7 @@
             let jitter = self.rng.random_range(0.75..1.25);
             self.settings.sync_interval.mul_f64(jitter)
         } else {
-            JOIN_SYNC
+            JOIN_SYNC_INTERVAL
         };
         self.timers.sync = step.now + interval;
         let mut hashes = self.bucket_hashes();
@@ -107,24 +107,24 @@
         self.send(step, SendClass::Sync, to, purpose, Vec::new());
     }
 
-    /// Answers with the members of some buckets that differ, as many as one datagram takes.
+    /// Replies with the members of buckets that differ, as many as fit into one datagram.
     pub(super) fn compare_buckets(
         &mut self,
         step: &mut RosterStep<'_>,
         to: SocketAddr,
         hashes: &[u8],
     ) {
-        let theirs = read_hashes(hashes);
-        if theirs.len() != BUCKETS + 1 {
+        let remote = read_hashes(hashes);
+        if remote.len() != BUCKETS + 1 {
             return;
         }
-        if theirs[BUCKETS] != self.topics.digest() {
+        if remote[BUCKETS] != self.topics.digest() {
             let heads = self.topics.heads();
             self.send_topics(step, to, heads, false);
         }
         let digest = self.table.digest();
         let mut differing: Vec<usize> = (0..BUCKETS)
-            .filter(|bucket| digest.hash(*bucket) != theirs[*bucket])
+            .filter(|bucket| digest.hash(*bucket) != remote[*bucket])
             .collect();
         let count = u16::try_from(differing.len()).unwrap_or(u16::MAX);
         differing.shuffle(&mut self.rng);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Asks for members whose hashes differ, and prepares to offer what the peer may lack.
+    /// Requests members whose hashes differ and schedules offers for those the peer may lack.
     pub(super) fn compare_members(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -168,16 +168,16 @@
         let mut wanted = Vec::new();
         let mut unknown = false;
         for list in buckets {
-            unknown |= self.compare_list(step, peer, list, &mut wanted);
+            unknown |= self.compare_bucket(step, peer, list, &mut wanted);
         }
         let complete = usize::from(differing) == buckets.len();
         if complete && !unknown {
             self.finish_join(step);
         }
-        self.pull(step, from, &wanted);
+        self.request_states(step, from, &wanted);
     }
 
-    fn compare_list(
+    fn compare_bucket(
         &mut self,
         step: &RosterStep<'_>,
         peer: NodeId,
@@ -185,15 +185,15 @@
         wanted: &mut Vec<NodeId>,
     ) -> bool {
         let mut unknown = false;
-        for theirs in &list.members {
-            let own = self.table.get(theirs.node);
+        for remote in &list.members {
+            let own = self.table.get(remote.node);
             let hash = own.map_or(0, MemberEntry::hash);
-            if hash == theirs.hash {
+            if hash == remote.hash {
                 continue;
             }
             unknown |= own.is_none();
-            wanted.push(theirs.node);
-            self.offer(step, peer, theirs.node, theirs.hash);
+            wanted.push(remote.node);
+            self.schedule_offer(step, peer, remote.node, remote.hash);
         }
         let bucket = usize::from(list.bucket);
         if bucket >= BUCKETS {
@@ -203,17 +203,17 @@
             .table
             .bucket(bucket)
             .map(|entry| entry.instance().node)
-            .filter(|node| list.members.iter().all(|theirs| theirs.node != *node))
+            .filter(|node| list.members.iter().all(|remote| remote.node != *node))
             .collect();
         for node in absent {
             wanted.push(node);
-            self.offer(step, peer, node, 0);
+            self.schedule_offer(step, peer, node, 0);
         }
         unknown
     }
 
-    fn offer(&mut self, step: &RosterStep<'_>, peer: NodeId, node: NodeId, hash: u32) {
-        if self.offers.len() >= OFFERS_MAX {
+    fn schedule_offer(&mut self, step: &RosterStep<'_>, peer: NodeId, node: NodeId, hash: u32) {
+        if self.offers.len() >= MAX_OFFERS {
             return;
         }
         let due = step.now + OFFER_DELAY;
@@ -225,20 +225,20 @@
         });
     }
 
-    fn pull(&mut self, step: &mut RosterStep<'_>, from: SocketAddr, wanted: &[NodeId]) {
+    fn request_states(&mut self, step: &mut RosterStep<'_>, from: SocketAddr, wanted: &[NodeId]) {
         let wanted: Vec<NodeId> = wanted
             .iter()
             .copied()
-            .filter(|node| self.note_pull(step.now, *node))
+            .filter(|node| self.try_record_pull(step.now, *node))
             .collect();
-        for nodes in wanted.chunks(PULL_NODES) {
+        for nodes in wanted.chunks(MAX_PULL_NODES) {
             let nodes = nodes.to_vec();
             let purpose = MessagePurpose::Pull { nodes };
             self.send(step, SendClass::Sync, from, purpose, Vec::new());
         }
     }
 
-    /// Sends state that peers had otherwise, unless it agrees by now.
+    /// Sends due offers, except those whose hashes agree by now.
     pub(super) fn send_offers(&mut self, step: &mut RosterStep<'_>) {
         while let Some(offer) = self.offers.front().copied() {
             if offer.due > step.now {
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Sends the state of members, as many as the budget allows.
+    /// Sends the state of members as far as the budget permits.
     pub(super) fn send_states(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -267,7 +267,7 @@
         let mut packer = DatagramPacker::new(limit, base);
         let pieces: Vec<MemberRumour> = nodes
             .iter()
-            .take(STATE_NODES)
+            .take(MAX_STATE_NODES)
             .flat_map(|node| self.state_of(*node))
             .collect();
         for piece in pieces {
@@ -296,9 +296,9 @@
         self.send(step, SendClass::Sync, to, MessagePurpose::State, rumours)
     }
 
-    /// All that is known of one member, in pieces that fit a datagram each.
+    /// Returns the state of one member in rumours that fit into a datagram each.
     pub(super) fn state_of(&self, node: NodeId) -> Vec<MemberRumour> {
-        /// Bytes of one run at its longest.
+        /// Maximum encoded size of one run, in bytes.
         const RUN_BYTES: usize = 3 + 3 + 3 + 1 + 5;
         let Some(entry) = self.table.get(node) else {
             return Vec::new();
@@ -315,9 +315,9 @@
                 runs: Vec::new(),
             };
             let base = base_size(&MessagePurpose::State);
-            let taken = base + encoded_size(&head) + 8;
-            let room = self.settings.datagram_bytes.saturating_sub(taken);
-            for chunk in runs.chunks((room / RUN_BYTES).max(1)) {
+            let overhead = base + encoded_size(&head) + 8;
+            let available = self.settings.datagram_bytes.saturating_sub(overhead);
+            for chunk in runs.chunks((available / RUN_BYTES).max(1)) {
                 pieces.push(MemberRumour::Upstreams {
                     instance: entry.instance(),
                     service: service.clone(),
--- a/crates/roster/src/node/heads.rs
+++ b/crates/roster/src/node/topic_sync.rs
@@ -1,4 +1,4 @@
-//! Exchange of the standing rumours, such as contract heads, that digests keep whole.
+//! Exchange of retained topics, such as contract heads, whose versions are part of the digests.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
         self.send(step, SendClass::Head, to, purpose, Vec::new());
     }
 
-    /// Sends the standing rumours that the peer lacks and asks for those that it has newer.
+    /// Sends the versions that the peer lacks and requests those that the peer has newer.
     pub(super) fn compare_topics(
         &mut self,
         step: &mut RosterStep<'_>,
@@ -26,36 +26,36 @@
         heads: &[TopicHead],
         wanted: bool,
     ) {
-        let mut lacking = Vec::new();
-        let mut surplus = Vec::new();
+        let mut outdated = Vec::new();
+        let mut to_send = Vec::new();
         for head in heads {
             let own = self.topics.version(head.topic, head.key);
             if own < Some(head.version) {
-                lacking.push(TopicHead {
+                outdated.push(TopicHead {
                     version: own.unwrap_or_default(),
                     ..*head
                 });
             } else if own > Some(head.version) {
-                surplus.push((head.topic, head.key));
+                to_send.push((head.topic, head.key));
             }
         }
         if wanted {
-            surplus = heads.iter().map(|head| (head.topic, head.key)).collect();
+            to_send = heads.iter().map(|head| (head.topic, head.key)).collect();
         } else {
-            surplus.extend(self.missing_there(heads));
-            if !lacking.is_empty() {
-                self.send_topics(step, from, lacking, true);
+            to_send.extend(self.unlisted_topics(heads));
+            if !outdated.is_empty() {
+                self.send_topics(step, from, outdated, true);
             }
         }
-        self.send_topic_states(step, from, &surplus);
+        self.send_topic_states(step, from, &to_send);
     }
 
-    fn missing_there(&self, heads: &[TopicHead]) -> Vec<(u8, u64)> {
+    fn unlisted_topics(&self, heads: &[TopicHead]) -> Vec<(u8, u64)> {
         self.topics
             .heads()
             .iter()
             .map(|head| (head.topic, head.key))
-            .filter(|place| heads.iter().all(|head| (head.topic, head.key) != *place))
+            .filter(|pair| heads.iter().all(|head| (head.topic, head.key) != *pair))
             .collect()
     }
 
@@ -63,9 +63,9 @@
         &mut self,
         step: &mut RosterStep<'_>,
         to: SocketAddr,
-        places: &[(u8, u64)],
+        topic_keys: &[(u8, u64)],
     ) {
-        for (topic, key) in places {
+        for (topic, key) in topic_keys {
             let Some(rumour) = self.topics.rumour(*topic, *key) else {
                 continue;
             };
--- a/crates/roster/src/packer.rs
+++ b/crates/roster/src/packer.rs
@@ -1,19 +1,19 @@
-//! Filling one datagram up to its limit.
+//! Assembly of one datagram up to its size limit.
 
 use crate::message::{MemberRumour, MessagePurpose};
 use crate::size::encoded_size;
 
-/// Bytes of the longest count before the rumours.
+/// Maximum encoded size of the rumour count, in bytes.
 const COUNT_BYTES: usize = 3;
 
-/// Size of a message without its rumours, at its longest.
+/// Returns the maximum size of a message without its rumours, in bytes.
 pub(crate) fn base_size(purpose: &MessagePurpose) -> usize {
-    /// Sender with its incarnation, and the root hash, at their longest.
+    /// Maximum encoded size of the sender's instance and the root hash, in bytes.
     const HEAD_BYTES: usize = 9 + 9 + 5;
     HEAD_BYTES + encoded_size(purpose)
 }
 
-/// Rumours of one datagram under way.
+/// Rumours collected for one datagram.
 #[derive(Debug)]
 pub(crate) struct DatagramPacker {
     limit: usize,
@@ -22,7 +22,7 @@
 }
 
 impl DatagramPacker {
-    /// Starts a datagram of `limit` bytes of which the rest of the message takes `base`.
+    /// Starts a datagram of `limit` bytes, of which the message without rumours takes `base`.
     pub(crate) const fn new(limit: usize, base: usize) -> Self {
         Self {
             limit,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Adds a rumour when the datagram, with it, stays within its limit and `allowed` bytes.
+    /// Adds a rumour if the datagram then stays within its limit and within `allowed` bytes.
+    /// Returns whether it was added.
     pub(crate) fn add(&mut self, rumour: MemberRumour, allowed: usize) -> bool {
         let used = self.used.saturating_add(encoded_size(&rumour));
         if used > self.limit.min(allowed) {
--- a/crates/roster/src/probe.rs
+++ b/crates/roster/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes under way.
+//! Probes that wait for a reply.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,36 +6,36 @@
 
 use sycamorelink_core::NodeId;
 
-/// Where a probe stands.
+/// Stage of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStage {
-    /// The member itself was asked.
+    /// The member was pinged directly.
     Direct,
-    /// Helpers were asked.
-    Assisted,
-    /// The member was asked on behalf of another node.
-    Errand {
-        /// The other node's gossip address.
-        asker: SocketAddr,
-        /// Its number for the probe.
+    /// Helpers were asked to ping the member.
+    Indirect,
+    /// The member was pinged on behalf of another node.
+    Delegated {
+        /// Gossip address of the node that asked.
+        requester: SocketAddr,
+        /// The probe's number on that node.
         sequence: u32,
     },
 }
 
-/// One probe.
+/// State of one probe.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeRecord {
     pub(crate) target: NodeId,
     pub(crate) started: Duration,
     pub(crate) deadline: Duration,
     pub(crate) stage: ProbeStage,
-    /// Helpers asked.
+    /// Number of helpers asked.
     pub(crate) asked: usize,
-    /// Helpers that got no answer either.
-    pub(crate) denied: Vec<NodeId>,
+    /// Helpers that reported no reply from the member.
+    pub(crate) failed_helpers: Vec<NodeId>,
 }
 
-/// Probes by their numbers.
+/// Running probes by their sequence numbers.
 #[derive(Debug, Default)]
 pub(crate) struct ProbeTable {
     records: BTreeMap<u32, ProbeRecord>,
@@ -43,7 +43,7 @@
 }
 
 impl ProbeTable {
-    /// Starts a probe and returns its number.
+    /// Starts a probe and returns its sequence number.
     pub(crate) fn start(
         &mut self,
         now: Duration,
@@ -58,13 +58,13 @@
             deadline: now + timeout,
             stage,
             asked: 0,
-            denied: Vec::new(),
+            failed_helpers: Vec::new(),
         };
         self.records.insert(sequence, record);
         sequence
     }
 
-    /// A number for a ping whose answer needs no record.
+    /// Returns a sequence number for a ping whose reply needs no record.
     pub(crate) fn next_number(&mut self) -> u32 {
         self.next_sequence = self.next_sequence.wrapping_add(1);
         self.next_sequence
@@ -83,14 +83,14 @@
         self.records.insert(sequence, record);
     }
 
-    /// Whether this node's own probe of the member is under way.
+    /// Whether a probe of the member on this node's own behalf is running.
     pub(crate) fn is_probing(&self, target: NodeId) -> bool {
         self.records
             .values()
-            .any(|record| record.target == target && !record.is_errand())
+            .any(|record| record.target == target && !record.is_delegated())
     }
 
-    /// Takes out the probes whose time is up.
+    /// Removes and returns the probes whose deadline has passed.
     pub(crate) fn take_due(&mut self, now: Duration) -> Vec<(u32, ProbeRecord)> {
         let due: Vec<u32> = self
             .records
@@ -107,14 +107,14 @@
         self.records.values().map(|record| record.deadline).min()
     }
 
-    /// Forgets all probes.
+    /// Removes all probes.
     pub(crate) fn clear(&mut self) {
         self.records.clear();
     }
 }
 
 impl ProbeRecord {
-    pub(crate) const fn is_errand(&self) -> bool {
-        matches!(self.stage, ProbeStage::Errand { .. })
+    pub(crate) const fn is_delegated(&self) -> bool {
+        matches!(self.stage, ProbeStage::Delegated { .. })
     }
 }
--- a/crates/roster/src/queue.rs
+++ b/crates/roster/src/queue.rs
@@ -1,8 +1,7 @@
-//! News still to be sent on.
+//! Queue of rumours still to be sent.
 //!
-//! The queue holds only what the news is about; the words are taken from the table when a
-//! datagram is filled. So a newer change replaces an older one by itself, and nothing that is no
-//! longer true is sent.
+//! An entry holds only the subject of a rumour; the content is read from the table when a datagram
+//! is filled. A newer change therefore replaces an older one, and outdated state is never sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +9,22 @@
 
 use crate::budget::SendClass;
 
-/// Entries held at most. Beyond it the least urgent are dropped and reach peers by digests.
-const QUEUE_LIMIT: usize = 8_192;
+/// Maximum number of entries. Beyond it the least urgent are dropped and reach peers through
+/// digests.
+const MAX_QUEUED: usize = 8_192;
 
-/// What a piece of news is about.
+/// Subject of a rumour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RumourSubject {
     /// A member with its facts.
     Member(NodeId),
     /// A member's standing.
     Standing(NodeId),
-    /// A suspicion.
+    /// A suspicion of a member.
     Suspect(NodeId),
     /// One upstream.
     Upstream(UpstreamId),
-    /// News of another part: topic and key.
+    /// A published update, by topic and key.
     Topic(u8, u64),
 }
 
@@ -36,7 +36,7 @@
     subject: RumourSubject,
 }
 
-/// One entry as the caller sees it.
+/// One queue entry, without its rank.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRumour {
     pub(crate) class: SendClass,
@@ -44,7 +44,8 @@
 }
 
 impl QueuedRumour {
-    /// Equal for entries that go into one rumour: the upstreams of one member in one class.
+    /// Returns a key that is equal for entries sent as one rumour: the upstreams of one member in
+    /// one class.
     pub(crate) fn batch(&self) -> (SendClass, RumourSubject) {
         let subject = match self.subject {
             RumourSubject::Upstream(id) => RumourSubject::Upstream(UpstreamId {
@@ -57,7 +58,7 @@
     }
 }
 
-/// News by urgency, then by how often they were sent.
+/// Rumours ordered by class, then by the number of transmissions so far.
 #[derive(Debug, Default)]
 pub(crate) struct RumourQueue {
     ranks: BTreeMap<RumourSubject, QueueRank>,
@@ -66,7 +67,7 @@
 }
 
 impl RumourQueue {
-    /// Queues news, anew when it was queued before.
+    /// Queues a rumour; a queued one with the same subject starts over.
     pub(crate) fn push(&mut self, class: SendClass, subject: RumourSubject) {
         self.drop_subject(subject);
         let rank = QueueRank {
@@ -78,7 +79,7 @@
         self.next_order += 1;
         self.ranks.insert(subject, rank);
         self.ordered.insert(rank);
-        if self.ranks.len() > QUEUE_LIMIT {
+        if self.ranks.len() > MAX_QUEUED {
             self.drop_last();
         }
     }
@@ -105,7 +106,7 @@
         self.ranks.get(&subject).map(|rank| rank.class)
     }
 
-    /// The first entries, most urgent first.
+    /// Returns the first `count` entries, most urgent first.
     pub(crate) fn first(&self, count: usize) -> Vec<QueuedRumour> {
         self.ordered
             .iter()
@@ -117,7 +118,7 @@
             .collect()
     }
 
-    /// Upstreams of one node queued in one class.
+    /// Returns the queued upstreams of one node in one class.
     pub(crate) fn upstreams_of(&self, node: NodeId, class: SendClass) -> Vec<u16> {
         let first = RumourSubject::Upstream(UpstreamId { node, slot: 0 });
         let last = RumourSubject::Upstream(UpstreamId {
@@ -134,7 +135,7 @@
             .collect()
     }
 
-    /// Counts one sending; the entry goes once it was sent often enough.
+    /// Counts one transmission and removes the entry when `limit` is reached.
     pub(crate) fn count_sent(&mut self, subject: RumourSubject, limit: u32) {
         let Some(mut rank) = self.ranks.remove(&subject) else {
             return;
--- a/crates/roster/src/settings.rs
+++ b/crates/roster/src/settings.rs
@@ -6,11 +6,11 @@
 use serde_with::serde_as;
 use sycamorelink_core::{DurationText, FindingList};
 
-/// Smallest datagram limit that still holds a bucket digest and its header, in bytes.
-const SMALLEST_DATAGRAM: usize = 800;
+/// Smallest datagram limit that holds the bucket hashes and the message header, in bytes.
+const MIN_DATAGRAM_BYTES: usize = 800;
 
-/// Smallest budget at which probes and their answers alone fit, in bytes a second.
-const SMALLEST_BUDGET: u32 = 1_000;
+/// Smallest budget that covers probes and their replies, in bytes per second.
+const MIN_BYTES_PER_SECOND: u32 = 1_000;
 
 /// Settings of the roster. Every value has a default.
 #[serde_as]
@@ -20,48 +20,48 @@
     /// Time between two probes of members.
     #[serde_as(as = "DurationText")]
     pub probe_interval: Duration,
-    /// How long a probe waits for the member's own answer before helpers are asked.
+    /// Time a probe waits for the member's own reply before helpers are asked.
     #[serde_as(as = "DurationText")]
     pub probe_timeout: Duration,
-    /// How long helpers have to answer.
+    /// Time within which helpers must reply.
     #[serde_as(as = "DurationText")]
     pub helper_timeout: Duration,
-    /// Helpers asked for one indirect probe, taken from as many failure domains as possible.
+    /// Number of helpers per indirect probe, from as many failure domains as possible.
     pub helpers: usize,
-    /// Shortest time from suspicion to death, with all confirmations there.
+    /// Time from suspicion to death with all confirmations.
     #[serde_as(as = "DurationText")]
     pub suspicion_shortest: Duration,
-    /// Longest time from suspicion to death, with no confirmation.
+    /// Time from suspicion to death without any confirmation.
     #[serde_as(as = "DurationText")]
     pub suspicion_longest: Duration,
-    /// Other observers that must confirm for the shortest suspicion.
+    /// Confirming observers besides the first that give the shortest suspicion.
     pub confirmations: usize,
-    /// Time between two rounds of rumours.
+    /// Time between two gossip rounds.
     #[serde_as(as = "DurationText")]
     pub gossip_interval: Duration,
-    /// Peers told in each round.
+    /// Peers contacted per round.
     pub fanout: usize,
-    /// Peers a leaving node tells directly, at once.
+    /// Peers that a leaving node contacts at once.
     pub leave_fanout: usize,
-    /// Times a rumour is sent on by each node, for each power of ten of the fleet's size.
+    /// Transmissions of a rumour per node, for each power of ten of the fleet's size.
     pub transmit_factor: u32,
-    /// Shortest time between two digest exchanges started by this node.
+    /// Minimum time between two digest exchanges started by this node.
     #[serde_as(as = "DurationText")]
     pub sync_interval: Duration,
-    /// Time between two probes of members found dead, so that a healed cut is noticed.
+    /// Time between two probes of dead members, which detect that a partition has healed.
     #[serde_as(as = "DurationText")]
     pub dead_probe_interval: Duration,
-    /// How long a dead member is remembered and probed.
+    /// Time for which a removed member is remembered and probed.
     #[serde_as(as = "DurationText")]
     pub forget_after: Duration,
-    /// Silence of the node itself after which it takes itself for paused.
+    /// Gap between two calls after which this node concludes that it was paused.
     #[serde_as(as = "DurationText")]
     pub stall_threshold: Duration,
-    /// Bytes sent a second, with headers of IP and UDP.
+    /// Bytes sent per second, including IP and UDP headers.
     pub bytes_per_second: u32,
-    /// Bytes that may be saved up for a burst.
+    /// Largest burst, in bytes.
     pub burst_bytes: u32,
-    /// Largest datagram payload, in bytes. What seals a datagram comes on top.
+    /// Largest datagram payload, in bytes, excluding the frame header and authentication code.
     pub datagram_bytes: usize,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl RosterSettings {
-    /// Checks the values against each other.
+    /// Checks the values and their relations; an empty list means that they are valid.
     #[must_use]
     pub fn validate(&self) -> FindingList {
         let mut findings = FindingList::default();
@@ -101,7 +101,7 @@
     }
 
     fn check_times(&self, findings: &mut FindingList) {
-        for (place, value) in [
+        for (setting, value) in [
             ("probe_interval", self.probe_interval),
             ("probe_timeout", self.probe_timeout),
             ("helper_timeout", self.helper_timeout),
@@ -111,7 +111,7 @@
             ("dead_probe_interval", self.dead_probe_interval),
             ("forget_after", self.forget_after),
         ] {
-            findings.expect(!value.is_zero(), place, "must be longer than zero");
+            findings.expect(!value.is_zero(), setting, "must be longer than zero");
         }
         findings.expect(
             self.probe_timeout + self.helper_timeout <= self.probe_interval,
@@ -131,16 +131,16 @@
     }
 
     fn check_counts(&self, findings: &mut FindingList) {
-        for (place, value) in [
+        for (setting, value) in [
             ("helpers", self.helpers),
             ("fanout", self.fanout),
             ("leave_fanout", self.leave_fanout),
             ("transmit_factor", self.transmit_factor as usize),
         ] {
-            findings.expect(value > 0, place, "must be at least 1");
+            findings.expect(value > 0, setting, "must be at least 1");
         }
         findings.expect(
-            self.bytes_per_second >= SMALLEST_BUDGET,
+            self.bytes_per_second >= MIN_BYTES_PER_SECOND,
             "bytes_per_second",
             "must be at least 1000, or probes go unanswered",
         );
@@ -150,7 +150,7 @@
             "must be at least bytes_per_second",
         );
         findings.expect(
-            (SMALLEST_DATAGRAM..=1_400).contains(&self.datagram_bytes),
+            (MIN_DATAGRAM_BYTES..=1_400).contains(&self.datagram_bytes),
             "datagram_bytes",
             "must be from 800 to 1400",
         );
--- a/crates/roster/src/size.rs
+++ b/crates/roster/src/size.rs
@@ -1,8 +1,8 @@
-//! Size of a value on the wire, without encoding it.
+//! Encoded size of a value, computed without encoding it.
 //!
-//! The roster chooses what goes into a datagram but does not encode it. This serializer counts
-//! what the standard configuration of `bincode` writes: integers of variable length, a length
-//! before each sequence and string, an index before each enum value, nothing around structs.
+//! The roster decides what goes into a datagram but does not encode it. This serializer counts the
+//! bytes that the standard configuration of `bincode` writes: integers of variable length, a length
+//! before each sequence and string, an index before each enum variant, and nothing around structs.
 
 use std::fmt;
 
@@ -11,10 +11,10 @@
 /// Largest value that the encoding writes as a single byte.
 const SINGLE_BYTE_MAX: u128 = 250;
 
-/// Exact number of bytes that the standard configuration of `bincode` takes for a value.
+/// Returns the number of bytes that the standard configuration of `bincode` writes for a value.
 ///
-/// Values that it cannot encode count as the largest number, so that nothing that relies on the
-/// size sends them.
+/// Returns [`usize::MAX`] for values that cannot be encoded, so that callers that check the size
+/// never send them.
 #[must_use]
 pub fn encoded_size<T>(value: &T) -> usize
 where
@@ -27,7 +27,7 @@
     }
 }
 
-/// A value without a known size, such as a sequence of unknown length.
+/// A value without a known encoded size, such as a sequence of unknown length.
 #[derive(Debug, thiserror::Error)]
 #[error("value has no known encoded size")]
 struct SizeError;
--- a/crates/roster/src/slots.rs
+++ b/crates/roster/src/slots.rs
@@ -1,16 +1,16 @@
-//! The upstreams of one member, sixteen bytes each.
+//! Compact storage of one member's upstreams, sixteen bytes each.
 
 use std::collections::BTreeMap;
 
-use crate::digest::{join, mix};
+use crate::digest::{combine, mix};
 use crate::facts::UpstreamPhase;
 use crate::message::SlotRun;
 use crate::names::ServiceNumber;
 
-/// One upstream of a member, or the memory of one that is gone.
+/// One upstream of a member, or a tombstone of one that was removed.
 ///
-/// The sequence is the member's own change counter, so for one life of the member the slot and
-/// the sequence determine everything else.
+/// The sequence is the member's own change counter, so within one incarnation the slot and the
+/// sequence determine all other fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlotEntry {
     pub(crate) slot: u16,
@@ -26,7 +26,7 @@
     }
 
     fn hash(&self) -> u64 {
-        join(mix(u64::from(self.slot)), u64::from(self.sequence))
+        combine(mix(u64::from(self.slot)), u64::from(self.sequence))
     }
 
     fn continues(&self, run: &SlotRun) -> bool {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Slot entries in the order of their numbers, with a running hash.
+/// Slot entries sorted by slot, with a running hash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlotTable {
     entries: Vec<SlotEntry>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Groups entries, which come in the order of their slots, into runs by service.
+/// Groups entries, sorted by slot, into runs by service.
 pub(crate) fn slot_runs<'a, I>(entries: I) -> BTreeMap<ServiceNumber, Vec<SlotRun>>
 where
     I: IntoIterator<Item = &'a SlotEntry>,
--- a/crates/roster/src/suspicion.rs
+++ b/crates/roster/src/suspicion.rs
@@ -1,8 +1,8 @@
-//! Suspicions: members that observers got no answer from.
+//! Table of suspected members, those that did not reply to observers.
 //!
-//! Only observers run a timer: a node that merely heard of a suspicion declares nobody dead, so a
-//! refutation that it missed does no harm. The timer is short when other observers confirm and
-//! long when they do not.
+//! Only observers run a timer: a node that merely received a suspicion declares no death, so
+//! missing the refutation does no harm there. The timer is shorter when other observers confirm the
+//! suspicion.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,19 +11,21 @@
 
 use crate::settings::RosterSettings;
 
-/// Observers named in one suspicion; more add nothing.
-const OBSERVERS_MAX: usize = 4;
+/// Maximum number of observers kept per suspicion. At the default settings three already give the
+/// shortest timer.
+const MAX_OBSERVERS: usize = 4;
 
-/// One suspicion.
+/// A suspected member and its observers.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     pub(crate) instance: InstanceId,
     pub(crate) revision: u32,
     pub(crate) observers: BTreeSet<NodeId>,
-    /// When this node first heard of it.
+    /// When this node first learned of the suspicion.
     pub(crate) since: Duration,
-    /// When this node's own last probe of the member failed while others answered it.
-    pub(crate) confirmed_at: Option<Duration>,
+    /// When this node's own last probe of the member failed while helpers replied or there were
+    /// none.
+    pub(crate) probe_failed_at: Option<Duration>,
 }
 
 /// Suspicions by member.
@@ -33,7 +35,8 @@
 }
 
 impl SuspicionTable {
-    /// Adds observers. Returns how many there were for this life and revision, when any is new.
+    /// Adds observers. Returns the number known before for this incarnation and revision, or `None`
+    /// if none of them is new.
     pub(crate) fn add(
         &mut self,
         now: Duration,
@@ -49,28 +52,29 @@
                 revision,
                 observers: BTreeSet::new(),
                 since: now,
-                confirmed_at: None,
+                probe_failed_at: None,
             });
         if (suspicion.instance, suspicion.revision) != (instance, revision) {
             suspicion.instance = instance;
             suspicion.revision = revision;
             suspicion.observers.clear();
             suspicion.since = now;
-            suspicion.confirmed_at = None;
+            suspicion.probe_failed_at = None;
         }
         let before = suspicion.observers.len();
         for observer in observers {
-            if suspicion.observers.len() < OBSERVERS_MAX {
+            if suspicion.observers.len() < MAX_OBSERVERS {
                 suspicion.observers.insert(*observer);
             }
         }
         (suspicion.observers.len() > before).then_some(before)
     }
 
-    /// Notes that this node's own probe of the member failed while others answered it.
-    pub(crate) fn confirm(&mut self, now: Duration, node: NodeId) {
+    /// Records that this node's own probe of the member failed while helpers replied or there were
+    /// none.
+    pub(crate) fn record_failed_probe(&mut self, now: Duration, node: NodeId) {
         if let Some(suspicion) = self.suspicions.get_mut(&node) {
-            suspicion.confirmed_at = Some(now);
+            suspicion.probe_failed_at = Some(now);
         }
     }
 
@@ -90,16 +94,17 @@
         self.suspicions.len()
     }
 
-    /// Moves all starts forward by the time this node did not run, and has all probed anew.
-    pub(crate) fn shift(&mut self, gap: Duration) {
+    /// Moves all start times forward by a pause of this process and requires new probes.
+    pub(crate) fn postpone(&mut self, gap: Duration) {
         for suspicion in self.suspicions.values_mut() {
             suspicion.since += gap;
-            suspicion.confirmed_at = None;
+            suspicion.probe_failed_at = None;
         }
     }
 }
 
-/// Time from suspicion to death with this many confirming observers beside the first.
+/// Returns the time from suspicion to death with `confirmations` observers besides the first, of
+/// which the fleet has at most `possible`.
 pub(crate) fn suspicion_time(
     settings: &RosterSettings,
     confirmations: usize,
@@ -114,11 +119,11 @@
     }
     let longest = settings.suspicion_longest;
     let range = longest.saturating_sub(settings.suspicion_shortest);
-    let share = logarithm(confirmations) / logarithm(wanted);
+    let share = log_plus_one(confirmations) / log_plus_one(wanted);
     longest.saturating_sub(range.mul_f64(share))
 }
 
-fn logarithm(count: usize) -> f64 {
+fn log_plus_one(count: usize) -> f64 {
     let count = u32::try_from(count).unwrap_or(u32::MAX);
     (f64::from(count) + 1.0).ln()
 }
--- a/crates/roster/src/table.rs
+++ b/crates/roster/src/table.rs
@@ -1,4 +1,4 @@
-//! Everything known about all members, with the digest and the index by service kept in step.
+//! Table of all members, with the digest and the index by service kept up to date.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 
 use crate::digest::{DigestTable, bucket_range, member_hash};
 use crate::facts::{MemberFacts, MemberStanding, MemberView, UpstreamFacts, UpstreamPhase};
-use crate::names::{PlaceNames, ServiceNames, ServiceNumber};
+use crate::names::{LocationNames, ServiceNames, ServiceNumber};
 use crate::slots::{SlotEntry, SlotTable};
 
-/// Direct probes in a row without an answer after which a member is out of this node's reach.
-const REACH_MISSES: u8 = 2;
+/// Consecutive unanswered direct probes that make a member unreachable from this node.
+const UNREACHABLE_MISSES: u8 = 2;
 
-/// One member.
+/// State of one member.
 #[derive(Debug)]
 pub(crate) struct MemberEntry {
     pub(crate) facts: MemberFacts,
     pub(crate) revision: u32,
     pub(crate) standing: MemberStanding,
     pub(crate) slots: SlotTable,
-    /// Last sign of life that came straight from the member.
-    pub(crate) heard_at: Option<Duration>,
-    /// Last time this node told the member what the fleet holds it to be.
-    pub(crate) told_at: Option<Duration>,
-    /// Last change of standing.
+    /// Last direct contact with the member.
+    pub(crate) last_contact: Option<Duration>,
+    /// Last time this node sent the member a rumour about itself.
+    pub(crate) corrected_at: Option<Duration>,
+    /// Last change of the standing.
     pub(crate) changed_at: Duration,
-    /// Direct probes in a row without an answer.
+    /// Consecutive unanswered direct probes.
     pub(crate) misses: u8,
-    /// Whether it said that it is still joining, and so has little to tell.
+    /// Whether the member announced that it is still joining, so that it has little state to offer.
     pub(crate) joining: bool,
 }
 
@@ -42,7 +42,7 @@
     }
 
     pub(crate) const fn is_reachable(&self) -> bool {
-        self.misses < REACH_MISSES
+        self.misses < UNREACHABLE_MISSES
     }
 
     pub(crate) fn view(&self) -> MemberView {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether the member itself was heard from no longer than `window` ago.
-    pub(crate) fn heard_within(&self, now: Duration, window: Duration) -> bool {
-        self.heard_at
+    /// Whether the last direct contact is no longer than `window` ago.
+    pub(crate) fn contacted_within(&self, now: Duration, window: Duration) -> bool {
+        self.last_contact
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
-    /// Hash for digests; members that are gone do not count.
+    /// Returns the digest hash; zero for members that are not present.
     pub(crate) fn hash(&self) -> u32 {
         if !self.is_present() {
             return 0;
@@ -70,13 +70,13 @@
     }
 }
 
-/// All members.
+/// All members, present and removed.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     members: BTreeMap<NodeId, MemberEntry>,
     digest: DigestTable,
     services: ServiceNames,
-    places: PlaceNames,
+    locations: LocationNames,
     by_service: Vec<Vec<UpstreamId>>,
     domains: BTreeMap<DomainName, usize>,
 }
@@ -87,7 +87,7 @@
             members: BTreeMap::new(),
             digest: DigestTable::new(),
             services: ServiceNames::default(),
-            places: PlaceNames::default(),
+            locations: LocationNames::default(),
             by_service: Vec::new(),
             domains: BTreeMap::new(),
         }
@@ -105,7 +105,7 @@
         self.members.get(&node)
     }
 
-    /// The entry, for fields that neither the digest nor the index depends on.
+    /// Returns an entry for changes to fields that neither the digest nor the index depends on.
     pub(crate) fn get_mut(&mut self, node: NodeId) -> Option<&mut MemberEntry> {
         self.members.get_mut(&node)
     }
@@ -122,12 +122,12 @@
             .filter(|entry| entry.is_present())
     }
 
-    /// Failure domains with a present member.
+    /// Returns the number of failure domains with a present member.
     pub(crate) fn domain_count(&self) -> usize {
         self.domains.len()
     }
 
-    /// Puts a new life of a member in, in place of any earlier one.
+    /// Inserts a member and replaces any earlier incarnation.
     pub(crate) fn insert(
         &mut self,
         now: Duration,
@@ -137,35 +137,35 @@
     ) {
         let node = facts.instance.node;
         self.remove(node);
-        facts.domain = self.places.domain(&facts.domain);
-        facts.region = self.places.region(&facts.region);
+        facts.domain = self.locations.domain(&facts.domain);
+        facts.region = self.locations.region(&facts.region);
         let entry = MemberEntry {
             facts,
             revision,
             standing,
             slots: SlotTable::default(),
-            heard_at: None,
-            told_at: None,
+            last_contact: None,
+            corrected_at: None,
             changed_at: now,
             misses: 0,
             joining: false,
         };
-        self.count(&entry);
+        self.add_to_totals(&entry);
         self.members.insert(node, entry);
     }
 
-    /// Forgets a member.
+    /// Removes a member and its upstreams.
     pub(crate) fn remove(&mut self, node: NodeId) {
         let Some(entry) = self.members.remove(&node) else {
             return;
         };
-        self.discount(&entry);
+        self.remove_from_totals(&entry);
         for slot in entry.slots.iter() {
-            unlist(&mut self.by_service, node, slot);
+            unindex_slot(&mut self.by_service, node, slot);
         }
     }
 
-    /// Changes what the fleet holds a member to be.
+    /// Sets the revision and standing of a member.
     pub(crate) fn set_standing(
         &mut self,
         now: Duration,
@@ -176,15 +176,15 @@
         let Some(mut entry) = self.members.remove(&node) else {
             return;
         };
-        self.discount(&entry);
+        self.remove_from_totals(&entry);
         entry.revision = revision;
         entry.standing = standing;
         entry.changed_at = now;
-        self.count(&entry);
+        self.add_to_totals(&entry);
         self.members.insert(node, entry);
     }
 
-    /// Stores a slot entry when it is newer than the one held, and returns the one it replaced.
+    /// Stores a slot entry if its sequence is greater than the current one's.
     pub(crate) fn put_slot(&mut self, node: NodeId, slot: SlotEntry) -> SlotChange {
         let Some(entry) = self.members.get_mut(&node) else {
             return SlotChange::Stale;
@@ -199,7 +199,7 @@
         self.replace_slot(node, slot)
     }
 
-    /// Stores a slot entry whatever its sequence.
+    /// Stores a slot entry regardless of its sequence.
     pub(crate) fn replace_slot(&mut self, node: NodeId, slot: SlotEntry) -> SlotChange {
         let Some(entry) = self.members.get_mut(&node) else {
             return SlotChange::Stale;
@@ -208,13 +208,14 @@
         let old = entry.slots.put(slot);
         self.digest.toggle(node, entry.hash());
         if let Some(old) = &old {
-            unlist(&mut self.by_service, node, old);
+            unindex_slot(&mut self.by_service, node, old);
         }
-        self.list(node, &slot);
+        self.index_slot(node, &slot);
         SlotChange::Stored(old)
     }
 
-    /// What the fleet is to hold of an upstream; nothing when it is gone.
+    /// Returns the facts of an upstream, or `None` if the upstream or its member is gone. Upstreams
+    /// of a leaving member count as leaving.
     pub(crate) fn upstream_facts(
         &self,
         entry: &MemberEntry,
@@ -244,7 +245,7 @@
         self.services.name(number)
     }
 
-    /// Upstreams of a service on present members.
+    /// Returns the upstreams of a service on present members.
     pub(crate) fn upstreams(&self, service: &str) -> Vec<(UpstreamId, UpstreamFacts)> {
         let listed = self
             .services
@@ -264,14 +265,14 @@
             .collect()
     }
 
-    fn count(&mut self, entry: &MemberEntry) {
+    fn add_to_totals(&mut self, entry: &MemberEntry) {
         self.digest.toggle(entry.instance().node, entry.hash());
         if entry.is_present() {
             *self.domains.entry(entry.facts.domain.clone()).or_default() += 1;
         }
     }
 
-    fn discount(&mut self, entry: &MemberEntry) {
+    fn remove_from_totals(&mut self, entry: &MemberEntry) {
         self.digest.toggle(entry.instance().node, entry.hash());
         if !entry.is_present() {
             return;
@@ -284,7 +285,7 @@
         }
     }
 
-    fn list(&mut self, node: NodeId, slot: &SlotEntry) {
+    fn index_slot(&mut self, node: NodeId, slot: &SlotEntry) {
         if slot.is_gone() {
             return;
         }
@@ -297,22 +298,22 @@
             slot: slot.slot,
         };
         let listed = &mut self.by_service[index];
-        if let Err(place) = listed.binary_search(&id) {
-            listed.insert(place, id);
+        if let Err(index) = listed.binary_search(&id) {
+            listed.insert(index, id);
         }
     }
 }
 
-/// What became of a slot entry.
+/// Result of storing a slot entry.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum SlotChange {
-    /// A newer one was there, or the member is unknown.
+    /// Not stored: the current entry is as new, or the member is unknown.
     Stale,
-    /// Stored in place of an earlier one, if any.
+    /// Stored; holds the replaced entry.
     Stored(Option<SlotEntry>),
 }
 
-fn unlist(by_service: &mut [Vec<UpstreamId>], node: NodeId, slot: &SlotEntry) {
+fn unindex_slot(by_service: &mut [Vec<UpstreamId>], node: NodeId, slot: &SlotEntry) {
     let id = UpstreamId {
         node,
         slot: slot.slot,
@@ -320,7 +321,7 @@
     let Some(listed) = by_service.get_mut(slot.service.index()) else {
         return;
     };
-    if let Ok(place) = listed.binary_search(&id) {
-        listed.remove(place);
+    if let Ok(index) = listed.binary_search(&id) {
+        listed.remove(index);
     }
 }
--- a/crates/roster/src/topics.rs
+++ b/crates/roster/src/topics.rs
@@ -1,24 +1,24 @@
-//! News of other parts: the newest version of each key.
+//! Store of published updates: the newest version of each key.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sycamorelink_core::NodeId;
 
-use crate::digest::{fold, join, mix};
+use crate::digest::{combine, fold, mix};
 use crate::message::{MemberRumour, TopicHead};
-use crate::topic::is_standing;
+use crate::topic::is_retained;
 
-/// Keys held of each standing topic; with three such topics their heads fit one datagram.
-const STANDING_KEYS: usize = 16;
+/// Keys kept per retained topic; the versions of three such topics fit into one datagram.
+const RETAINED_KEYS: usize = 16;
 
-/// Keys of passing topics whose versions are remembered.
-const PASSING_KEYS: usize = 4_096;
+/// Keys kept per transient topic.
+const TRANSIENT_KEYS: usize = 4_096;
 
-/// How long a passing rumour is remembered; by then no node sends it on any more.
-const PASSING_AGE: Duration = Duration::from_mins(1);
+/// Time for which a transient update is kept; by then no node forwards it any more.
+const TRANSIENT_TTL: Duration = Duration::from_mins(1);
 
-/// One key's newest version.
+/// Newest version of one key.
 #[derive(Clone, Debug)]
 pub(crate) struct TopicEntry {
     pub(crate) origin: NodeId,
@@ -27,7 +27,7 @@
     stored_at: Duration,
 }
 
-/// The newest version of each key of each topic.
+/// Newest version of each key of each topic.
 #[derive(Debug, Default)]
 pub(crate) struct TopicStore {
     entries: BTreeMap<(u8, u64), TopicEntry>,
@@ -35,12 +35,12 @@
 }
 
 impl TopicStore {
-    /// Hash over the standing topics.
+    /// Returns the hash of the retained topics.
     pub(crate) const fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Stores a version when it is newer than the one held.
+    /// Stores a version if it is newer than the current one. Returns whether it is held now.
     pub(crate) fn store(
         &mut self,
         now: Duration,
@@ -48,21 +48,21 @@
         origin: NodeId,
         body: Vec<u8>,
     ) -> bool {
-        let place = (head.topic, head.key);
+        let topic_key = (head.topic, head.key);
         if self.version(head.topic, head.key) >= Some(head.version) {
             return false;
         }
-        self.discount(place);
+        self.remove_from_digest(topic_key);
         let entry = TopicEntry {
             origin,
             version: head.version,
             body,
             stored_at: now,
         };
-        self.entries.insert(place, entry);
-        self.count(place);
+        self.entries.insert(topic_key, entry);
+        self.toggle_digest(topic_key);
         self.trim(head.topic);
-        self.entries.contains_key(&place)
+        self.entries.contains_key(&topic_key)
     }
 
     pub(crate) fn version(&self, topic: u8, key: u64) -> Option<u64> {
@@ -80,11 +80,11 @@
         })
     }
 
-    /// Heads of the standing topics.
+    /// Returns the versions of all keys of the retained topics.
     pub(crate) fn heads(&self) -> Vec<TopicHead> {
         self.entries
             .iter()
-            .filter(|((topic, _), _)| is_standing(*topic))
+            .filter(|((topic, _), _)| is_retained(*topic))
             .map(|((topic, key), entry)| TopicHead {
                 topic: *topic,
                 key: *key,
@@ -93,20 +93,20 @@
             .collect()
     }
 
-    /// Forgets passing rumours that are old.
-    pub(crate) fn forget(&mut self, now: Duration) {
+    /// Removes expired transient updates.
+    pub(crate) fn prune(&mut self, now: Duration) {
         self.entries.retain(|(topic, _), entry| {
-            is_standing(*topic) || now.saturating_sub(entry.stored_at) < PASSING_AGE
+            is_retained(*topic) || now.saturating_sub(entry.stored_at) < TRANSIENT_TTL
         });
     }
 
-    /// Every node must drop the same keys, or digests would differ for good: of a standing topic
-    /// the greatest versions stay, whatever the order in which they came.
+    /// Drops the key with the smallest version when a topic has too many. All nodes must drop the
+    /// same keys regardless of the order of arrival, or the digests would differ permanently.
     fn trim(&mut self, topic: u8) {
-        let limit = if is_standing(topic) {
-            STANDING_KEYS
+        let limit = if is_retained(topic) {
+            RETAINED_KEYS
         } else {
-            PASSING_KEYS
+            TRANSIENT_KEYS
         };
         let range = (topic, u64::MIN)..=(topic, u64::MAX);
         if self.entries.range(range.clone()).count() <= limit {
@@ -116,26 +116,27 @@
             .entries
             .range(range)
             .min_by_key(|((_, key), entry)| (entry.version, *key))
-            .map(|(place, _)| *place);
-        if let Some(place) = smallest {
-            self.discount(place);
-            self.entries.remove(&place);
+            .map(|(topic_key, _)| *topic_key);
+        if let Some(topic_key) = smallest {
+            self.remove_from_digest(topic_key);
+            self.entries.remove(&topic_key);
         }
     }
 
-    fn count(&mut self, place: (u8, u64)) {
-        let (topic, key) = place;
-        if !is_standing(topic) {
+    fn toggle_digest(&mut self, topic_key: (u8, u64)) {
+        let (topic, key) = topic_key;
+        if !is_retained(topic) {
             return;
         }
-        if let Some(entry) = self.entries.get(&place) {
-            let hash = join(join(mix(u64::from(topic)), key), entry.version);
+        if let Some(entry) = self.entries.get(&topic_key) {
+            let hash = combine(combine(mix(u64::from(topic)), key), entry.version);
             self.digest ^= fold(hash);
         }
     }
 
-    /// Counting twice is the same as not counting.
-    fn discount(&mut self, place: (u8, u64)) {
-        self.count(place);
+    /// Removes a key's hash from the digest. XOR is its own inverse, so this toggles the hash
+    /// again.
+    fn remove_from_digest(&mut self, topic_key: (u8, u64)) {
+        self.toggle_digest(topic_key);
     }
 }
--- a/crates/roster/tests/testsuite/join.rs
+++ b/crates/roster/tests/testsuite/join.rs
@@ -4,58 +4,58 @@
     RosterMessage, UpstreamPhase,
 };
 
-use crate::fabric::{FakeFabric, address, facts, secs, upstream};
+use crate::network::{FakeNetwork, address, facts, secs, upstream};
 
-/// A new instance starts while the log is down: it has only a seed's address from its settings
-/// and must come to know everyone and everyone's upstreams from peers.
+/// A new instance that knows only the address of one seed, because the log is down, must learn all
+/// members and upstreams from its peers.
 #[test]
-fn a_node_joins_through_one_seed() {
-    let mut fabric = FakeFabric::settled(2, 49);
-    fabric.start(49, 1_000, &[17]);
-    let took = fabric.run_until(secs(10), FakeFabric::is_exact);
+fn node_joins_through_one_seed() {
+    let mut network = FakeNetwork::settled(2, 49);
+    network.start(49, 1_000, &[17]);
+    let took = network.run_until(secs(10), FakeNetwork::has_converged);
     assert!(took <= secs(5), "took {took:?}");
-    fabric.run_until(secs(5), |fabric| fabric.nodes[49].roster.is_joined());
-    let upstreams = fabric.nodes[49].roster.upstreams("orders");
+    network.run_until(secs(5), |network| network.nodes[49].roster.is_joined());
+    let upstreams = network.nodes[49].roster.upstreams("orders");
     assert_eq!(upstreams.len(), 50);
 }
 
-/// The whole fleet starts at once, everyone with the same two seeds.
+/// All nodes start at once with the same two seeds.
 #[test]
-fn a_fleet_started_at_once_finds_itself() {
-    let mut fabric = FakeFabric::new(9);
+fn simultaneous_start_converges() {
+    let mut network = FakeNetwork::new(9);
     for index in 0..50 {
-        fabric.start(index, 1_000, &[0, 1]);
+        network.start(index, 1_000, &[0, 1]);
     }
-    let took = fabric.run_until(secs(30), FakeFabric::is_exact);
+    let took = network.run_until(secs(30), FakeNetwork::has_converged);
     assert!(took <= secs(15), "took {took:?}");
 }
 
-/// A process crashes and is started again on the same address before anyone misses it. Its new
-/// life has a greater incarnation; what is still said of the old one must not touch the new.
+/// A process crashes and restarts on the same address before the others detect it. Late rumours
+/// about the old incarnation must not affect the new one, which is greater.
 #[test]
-fn a_restart_on_the_same_address_replaces_the_old_life() {
-    let mut fabric = FakeFabric::settled(2, 12);
-    fabric.start(5, 2_000, &[0, 1]);
-    fabric.run_until(secs(10), FakeFabric::is_exact);
-    fabric.run_for(secs(30));
-    let removals = fabric.removals();
+fn restart_on_the_same_address_replaces_the_old_incarnation() {
+    let mut network = FakeNetwork::settled(2, 12);
+    network.start(5, 2_000, &[0, 1]);
+    network.run_until(secs(10), FakeNetwork::has_converged);
+    network.run_for(secs(30));
+    let removals = network.removals();
     assert_eq!(removals.len(), 11);
     assert!(
         removals
             .iter()
-            .all(|(_, of, cause)| (*of, *cause) == (5, DownCause::Replaced))
+            .all(|(_, removed, cause)| (*removed, *cause) == (5, DownCause::Replaced))
     );
-    assert!(fabric.all_see(5, Some(UpstreamPhase::Ready)));
+    assert!(network.all_see(5, Some(UpstreamPhase::Ready)));
 }
 
-/// Late datagrams still speak of a node's earlier life: that it is dead, and what its upstreams
-/// were. Nobody may apply them to the life that runs.
+/// Late datagrams report the death and the upstreams of a node's earlier incarnation. They must not
+/// be applied to the current one.
 #[test]
-fn rumours_about_an_earlier_life_are_ignored() {
-    let mut fabric = FakeFabric::settled(2, 6);
-    fabric.start(5, 2_000, &[0, 1]);
-    fabric.run_until(secs(10), FakeFabric::is_exact);
-    fabric.clear_logs();
+fn rumours_about_an_earlier_incarnation_are_ignored() {
+    let mut network = FakeNetwork::settled(2, 6);
+    network.start(5, 2_000, &[0, 1]);
+    network.run_until(secs(10), FakeNetwork::has_converged);
+    network.clear_logs();
     let old = facts(5, 1_000);
     let rumours = vec![
         MemberRumour::Standing {
@@ -71,7 +71,7 @@
         MemberRumour::Suspect {
             instance: old.instance,
             revision: 9,
-            observers: vec![fabric.id(1), fabric.id(2)],
+            observers: vec![network.id(1), network.id(2)],
         },
         MemberRumour::Upstreams {
             instance: old.instance,
@@ -91,93 +91,96 @@
         },
     ];
     let message = RosterMessage {
-        from: fabric.nodes[1].facts.instance,
+        from: network.nodes[1].facts.instance,
         root: 0,
         purpose: MessagePurpose::Gossip,
         rumours,
     };
     let from = address(1);
-    fabric.event(0, RosterEvent::Datagram { from, message });
-    assert_eq!(fabric.nodes[0].log, []);
-    fabric.run_for(secs(20));
-    assert_eq!(fabric.removals(), []);
+    network.event(0, RosterEvent::Datagram { from, message });
+    assert_eq!(network.nodes[0].log, []);
+    network.run_for(secs(20));
+    assert_eq!(network.removals(), []);
 }
 
-/// The clock of a restarted instance was set back, so its incarnation is smaller than that of
-/// its earlier life, which peers remember. It must raise itself above it, or it is ignored.
+/// After its clock was set back, a restarted instance has a smaller incarnation than the one peers
+/// remember. It must raise its incarnation, or peers ignore it.
 #[test]
-fn a_clock_set_back_raises_the_incarnation() {
-    let mut fabric = FakeFabric::settled(2, 8);
-    fabric.start(5, 400, &[0, 1]);
-    fabric.run_until(secs(15), FakeFabric::is_exact);
-    let own = fabric.nodes[5].roster.own_instance();
+fn clock_set_back_raises_the_incarnation() {
+    let mut network = FakeNetwork::settled(2, 8);
+    network.start(5, 400, &[0, 1]);
+    network.run_until(secs(15), FakeNetwork::has_converged);
+    let own = network.nodes[5].roster.own_instance();
     assert_eq!(own.incarnation, NodeIncarnation(1_001));
     let raised = RosterCommand::IncarnationRaised(own);
     assert!(
-        fabric.nodes[5]
+        network.nodes[5]
             .log
             .iter()
             .any(|(_, command)| *command == raised)
     );
-    fabric.run_until(secs(5), |fabric| {
-        fabric.all_see(5, Some(UpstreamPhase::Ready))
+    network.run_until(secs(5), |network| {
+        network.all_see(5, Some(UpstreamPhase::Ready))
     });
 }
 
 /// An instance is paused and replaced under its name at another address. When the old process
-/// runs on it must learn that it is no longer the one, and nobody may take it back.
+/// resumes, it must learn that it was superseded, and no node may readmit it.
 #[test]
-fn a_replaced_node_that_thaws_is_superseded() {
-    let mut fabric = FakeFabric::settled(2, 8);
-    fabric.pause(5);
-    fabric.run_for(secs(2));
+fn replaced_node_is_superseded_when_it_resumes() {
+    let mut network = FakeNetwork::settled(2, 8);
+    network.pause(5);
+    network.run_for(secs(2));
     let mut newer = facts(5, 5_000);
     newer.gossip_address = address(8);
-    fabric.start_as(8, newer.clone(), &[0, 1]);
-    fabric.run_for(secs(10));
-    fabric.thaw(5);
-    fabric.run_for(secs(20));
+    network.start_as(8, newer.clone(), &[0, 1]);
+    network.run_for(secs(10));
+    network.resume(5);
+    network.run_for(secs(20));
     let by = newer.instance;
     let superseded = RosterCommand::Superseded { by };
     assert!(
-        fabric.nodes[5]
+        network.nodes[5]
             .log
             .iter()
             .any(|(_, command)| *command == superseded)
     );
-    assert!(fabric.nodes[0].roster.is_current(by));
+    assert!(network.nodes[0].roster.is_current(by));
     assert_eq!(
-        fabric.nodes[8].roster.own_instance(),
+        network.nodes[8].roster.own_instance(),
         by,
-        "the newer life stays as it is"
+        "the newer incarnation is unchanged"
     );
 }
 
-/// A third of the fleet restarts at the same moment, in place.
+/// A third of the fleet restarts in place at the same moment.
 #[test]
-fn a_mass_restart_settles() {
-    let mut fabric = FakeFabric::settled(13, 30);
+fn simultaneous_restart_of_a_third_converges() {
+    let mut network = FakeNetwork::settled(13, 30);
     for index in (0..30).filter(|index| index % 3 == 1) {
-        fabric.start(index, 9_000, &[0, 2]);
+        network.start(index, 9_000, &[0, 2]);
     }
-    let took = fabric.run_until(secs(30), FakeFabric::is_exact);
+    let took = network.run_until(secs(30), FakeNetwork::has_converged);
     assert!(took <= secs(10), "took {took:?}");
-    let wrong = fabric.removals().into_iter().find(|(_, of, _)| of % 3 != 1);
+    let wrong = network
+        .removals()
+        .into_iter()
+        .find(|(_, removed, _)| removed % 3 != 1);
     assert_eq!(wrong, None);
 }
 
-/// A change of upstreams that no rumour brought, because the node was cut off for the time that
-/// rumours travel, is found by digests within seconds.
+/// A node that was cut off while a change of upstreams was spread must receive the change through
+/// digests within seconds.
 #[test]
-fn missed_news_heals_by_digests() {
-    let mut fabric = FakeFabric::settled(13, 12);
-    fabric.cut(|from, to| from == 4 || to == 4);
+fn missed_upstream_change_is_repaired_by_digests() {
+    let mut network = FakeNetwork::settled(13, 12);
+    network.cut(|from, to| from == 4 || to == 4);
     let facts = upstream(UpstreamPhase::Starting);
-    fabric.event(9, RosterEvent::UpstreamSet { slot: 3, facts });
-    fabric.run_for(secs(3));
-    fabric.heal();
-    let took = fabric.run_until(secs(20), |fabric| {
-        fabric.nodes[4].roster.upstreams("orders").len() == 13
+    network.event(9, RosterEvent::UpstreamSet { slot: 3, facts });
+    network.run_for(secs(3));
+    network.heal();
+    let took = network.run_until(secs(20), |network| {
+        network.nodes[4].roster.upstreams("orders").len() == 13
     });
     assert!(took <= secs(10), "took {took:?}");
 }
