--- a/crates/roster/tests/testsuite/leave.rs
+++ b/crates/roster/tests/testsuite/leave.rs
@@ -1,110 +1,110 @@
 use sycamorelink_roster::{DownCause, MemberStanding, RosterCommand, RosterEvent, UpstreamPhase};
 
-use crate::fabric::{FakeFabric, secs, upstream};
+use crate::network::{FakeNetwork, secs, upstream};
 
-/// A backend server announces that it leaves. A tenth of all datagrams is lost and its node
-/// reaches only the third domain directly; all others must still stop sending it work in time.
+/// A leave must reach all nodes in time although a tenth of all datagrams is lost and the leaving
+/// node reaches only one of three domains directly.
 #[test]
-fn a_leaving_upstream_is_known_everywhere_within_two_seconds() {
+fn leaving_upstream_is_known_everywhere_within_two_seconds() {
     for seed in 0..5 {
-        let mut fabric = FakeFabric::settled(seed, 50);
-        fabric.loss = 0.1;
-        fabric.cut(|from, to| from == 9 && to % 3 != 2);
+        let mut network = FakeNetwork::settled(seed, 50);
+        network.loss = 0.1;
+        network.cut(|from, to| from == 9 && to % 3 != 2);
         let facts = upstream(UpstreamPhase::Leaving);
-        fabric.event(9, RosterEvent::UpstreamSet { slot: 0, facts });
-        let took = fabric.run_until(secs(5), |fabric| {
-            fabric.all_see(9, Some(UpstreamPhase::Leaving))
+        network.event(9, RosterEvent::UpstreamSet { slot: 0, facts });
+        let took = network.run_until(secs(5), |network| {
+            network.all_see(9, Some(UpstreamPhase::Leaving))
         });
         assert!(took < secs(2), "took {took:?}");
     }
 }
 
-/// A daemon is drained: its upstreams are leaving for all, it stays a member until it stops, and
-/// then it is gone at once, without any suspicion.
+/// The upstreams of a draining daemon are leaving for all nodes. The daemon stays a member until it
+/// stops, and is then removed at once without a suspicion.
 #[test]
-fn a_leaving_node_is_drained_then_gone() {
-    let mut fabric = FakeFabric::settled(4, 20);
-    fabric.event(9, RosterEvent::Leave);
-    let took = fabric.run_until(secs(5), |fabric| {
-        fabric.all_see(9, Some(UpstreamPhase::Leaving))
+fn leaving_node_drains_and_is_then_removed() {
+    let mut network = FakeNetwork::settled(4, 20);
+    network.event(9, RosterEvent::Leave);
+    let took = network.run_until(secs(5), |network| {
+        network.all_see(9, Some(UpstreamPhase::Leaving))
     });
     assert!(took < secs(2), "took {took:?}");
-    fabric.run_for(secs(10));
-    assert_eq!(fabric.removals(), []);
-    let view = fabric.nodes[0]
+    network.run_for(secs(10));
+    assert_eq!(network.removals(), []);
+    let view = network.nodes[0]
         .roster
-        .member(fabric.id(9))
+        .member(network.id(9))
         .expect("still there");
     assert_eq!(view.standing, MemberStanding::Leaving);
-    fabric.event(9, RosterEvent::Depart);
-    fabric.kill(9);
-    let took = fabric.run_until(secs(5), |fabric| fabric.all_see(9, None));
+    network.event(9, RosterEvent::Depart);
+    network.kill(9);
+    let took = network.run_until(secs(5), |network| network.all_see(9, None));
     assert!(took < secs(2), "took {took:?}");
-    let removals = fabric.removals();
+    let removals = network.removals();
     assert_eq!(removals.len(), 19);
     assert!(
         removals
             .iter()
-            .all(|(_, of, cause)| (*of, *cause) == (9, DownCause::Left))
+            .all(|(_, removed, cause)| (*removed, *cause) == (9, DownCause::Left))
     );
 }
 
-/// A drained daemon that ends without a word is not reported as a failure, but neither as ended:
-/// it may be cut off with work in flight, and nobody may take its promises over.
+/// A drained daemon that vanishes without an announcement is neither a failure nor known to have
+/// ended: it may be cut off with work in flight, so no other node may take over its obligations.
 #[test]
-fn a_leaving_node_that_vanishes_has_left() {
-    let mut fabric = FakeFabric::settled(4, 10);
-    fabric.event(9, RosterEvent::Leave);
-    fabric.run_for(secs(3));
-    fabric.kill(9);
-    fabric.run_until(secs(15), |fabric| fabric.all_see(9, None));
-    let removals = fabric.removals();
+fn leaving_node_that_vanishes_is_not_reported_as_ended() {
+    let mut network = FakeNetwork::settled(4, 10);
+    network.event(9, RosterEvent::Leave);
+    network.run_for(secs(3));
+    network.kill(9);
+    network.run_until(secs(15), |network| network.all_see(9, None));
+    let removals = network.removals();
     assert!(
         removals
             .iter()
-            .all(|(_, of, cause)| (*of, *cause) == (9, DownCause::LeftSilently))
+            .all(|(_, removed, cause)| (*removed, *cause) == (9, DownCause::LeftSilently))
     );
 }
 
-/// Removal of a single upstream, with its node going on.
+/// A single upstream is removed while its node stays.
 #[test]
-fn a_gone_upstream_is_reported_with_its_service() {
-    let mut fabric = FakeFabric::settled(4, 10);
-    fabric.event(9, RosterEvent::UpstreamGone { slot: 0 });
-    let took = fabric.run_until(secs(5), |fabric| fabric.all_see(9, None));
+fn removed_upstream_is_reported_with_its_service() {
+    let mut network = FakeNetwork::settled(4, 10);
+    network.event(9, RosterEvent::UpstreamGone { slot: 0 });
+    let took = network.run_until(secs(5), |network| network.all_see(9, None));
     assert!(took < secs(2), "took {took:?}");
-    let reported = fabric.nodes[0]
+    let reported = network.nodes[0]
         .log
         .iter()
         .any(|(_, command)| match command {
             RosterCommand::UpstreamGone { id, service } => {
-                id.node == fabric.id(9) && service.as_str() == "orders"
+                id.node == network.id(9) && service.as_str() == "orders"
             }
             _ => false,
         });
     assert!(reported);
 }
 
-/// The goodbye of a stopping daemon is its last word, in the same instant. It reaches one domain
-/// only and a third of it is lost there; it must still be known as a goodbye, not found out as a
-/// silence seconds later.
+/// The departure is the last thing a stopping daemon sends. It reaches one domain only, and a third
+/// of all datagrams is lost. It must still be known as a departure and not be detected seconds
+/// later as a death.
 #[test]
-fn a_goodbye_needs_one_datagram_to_arrive() {
+fn departure_is_known_despite_loss_and_cut() {
     for seed in 0..10 {
-        let mut fabric = FakeFabric::settled(seed, 50);
-        fabric.event(9, RosterEvent::Leave);
-        fabric.run_for(secs(3));
-        fabric.loss = 0.3;
-        fabric.cut(|from, to| from == 9 && to % 3 != 2);
-        fabric.event(9, RosterEvent::Depart);
-        fabric.kill(9);
-        let took = fabric.run_until(secs(5), |fabric| fabric.all_see(9, None));
+        let mut network = FakeNetwork::settled(seed, 50);
+        network.event(9, RosterEvent::Leave);
+        network.run_for(secs(3));
+        network.loss = 0.3;
+        network.cut(|from, to| from == 9 && to % 3 != 2);
+        network.event(9, RosterEvent::Depart);
+        network.kill(9);
+        let took = network.run_until(secs(5), |network| network.all_see(9, None));
         assert!(took < secs(2), "took {took:?}");
-        let removals = fabric.removals();
+        let removals = network.removals();
         assert!(
             removals
                 .iter()
-                .all(|(_, of, cause)| (*of, *cause) == (9, DownCause::Left))
+                .all(|(_, removed, cause)| (*removed, *cause) == (9, DownCause::Left))
         );
     }
 }
--- a/crates/roster/tests/testsuite/main.rs
+++ b/crates/roster/tests/testsuite/main.rs
@@ -1,12 +1,12 @@
-//! Tests of the roster: many rosters over a fake datagram network, in virtual time.
+//! Tests of the roster: many rosters over a simulated datagram network, in virtual time.
 
 mod budget;
 mod death;
-mod fabric;
 mod join;
 mod leave;
-mod news;
+mod network;
 mod order;
 mod session;
 mod settings;
 mod suspicion;
+mod topics;
--- a/crates/roster/tests/testsuite/fabric.rs
+++ b/crates/roster/tests/testsuite/network.rs
@@ -1,4 +1,4 @@
-//! A fake datagram network in virtual time: seeded loss and delay, one-way cuts, pauses, kills.
+//! Simulated datagram network in virtual time: seeded loss and delay, one-way cuts, pauses, kills.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
     RosterSettings, UpstreamFacts, UpstreamPhase, encoded_size,
 };
 
-/// Bytes of IP and UDP headers.
+/// Bytes of the IP and UDP headers of each datagram.
 const HEADER_BYTES: usize = 28;
 
-/// Datagrams that a paused node's socket keeps.
+/// Datagrams that the socket of a paused node buffers.
 const SOCKET_BUFFER: usize = 64;
 
 pub fn secs(count: u64) -> Duration {
@@ -26,7 +26,7 @@
     Duration::from_millis(count)
 }
 
-/// Says whether datagrams from one node to another are lost: a cut in one direction.
+/// Whether datagrams from one node (first index) to another (second index) are lost.
 pub type CutRule = Box<dyn Fn(usize, usize) -> bool>;
 
 pub struct FakeNode {
@@ -36,28 +36,29 @@
     running: bool,
     paused: bool,
     buffer: Vec<(SocketAddr, RosterMessage)>,
-    /// Checks the budget from outside: a bucket that leaks at the budget's rate.
-    leaky_bytes: f64,
-    leaked_at: Duration,
+    /// Level of a leaky bucket that drains at the budget's rate, an independent check of the
+    /// budget.
+    bucket_level: f64,
+    drained_at: Duration,
     pub peak_bytes: f64,
     pub largest_datagram: usize,
     wake_at: Duration,
-    wake_number: u64,
+    wake_sequence: u64,
 }
 
-enum FabricEvent {
-    /// Only the latest one set for a node counts.
+enum NetworkEvent {
+    /// Wakes a node; ignored unless the number is the node's latest.
     Wake(usize, u64),
     Deliver(SocketAddr, SocketAddr, RosterMessage),
 }
 
-pub struct FakeFabric {
+pub struct FakeNetwork {
     pub now: Duration,
     pub nodes: Vec<FakeNode>,
     pub settings: RosterSettings,
     pub loss: f64,
     cut: Option<CutRule>,
-    queue: BTreeMap<(Duration, u64), FabricEvent>,
+    queue: BTreeMap<(Duration, u64), NetworkEvent>,
     order: u64,
     rng: SmallRng,
 }
@@ -70,7 +71,7 @@
     ))
 }
 
-/// Facts of the node with this number; every third one is in the same failure domain.
+/// Returns the facts of a node; every third node is in the same failure domain.
 pub fn facts(index: usize, incarnation: u64) -> MemberFacts {
     let name = format!("i-{index:02}");
     MemberFacts {
@@ -98,7 +99,7 @@
     matches!(command, RosterCommand::Note(RosterNote::Suspected { .. }))
 }
 
-impl FakeFabric {
+impl FakeNetwork {
     pub fn new(seed: u64) -> Self {
         Self {
             now: Duration::ZERO,
@@ -112,23 +113,24 @@
         }
     }
 
-    /// Starts nodes with one upstream each, seeded with the first two, and lets them settle.
+    /// Starts nodes with one upstream each and the first two as seeds, and waits until they
+    /// converge.
     pub fn settled(seed: u64, count: usize) -> Self {
-        let mut fabric = Self::new(seed);
+        let mut network = Self::new(seed);
         for index in 0..count {
-            fabric.start(index, 1_000, &[0, 1]);
+            network.start(index, 1_000, &[0, 1]);
         }
-        fabric.run_for(secs(20));
+        network.run_for(secs(20));
         let expected = count;
-        for node in &fabric.nodes {
+        for node in &network.nodes {
             assert_eq!(
                 node.roster.members().len(),
                 expected,
                 "fleet did not settle"
             );
         }
-        fabric.clear_logs();
-        fabric
+        network.clear_logs();
+        network
     }
 
     pub fn clear_logs(&mut self) {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Starts a node, in place of any earlier life of it.
+    /// Starts a node and replaces any earlier incarnation of it.
     pub fn start(&mut self, index: usize, incarnation: u64, seeds: &[usize]) {
         self.start_as(index, facts(index, incarnation), seeds);
     }
@@ -152,12 +154,12 @@
             running: true,
             paused: false,
             buffer: Vec::new(),
-            leaky_bytes: 0.0,
-            leaked_at: self.now,
+            bucket_level: 0.0,
+            drained_at: self.now,
             peak_bytes: 0.0,
             largest_datagram: 0,
             wake_at: Duration::ZERO,
-            wake_number: self.order,
+            wake_sequence: self.order,
         };
         if index < self.nodes.len() {
             self.nodes[index] = node;
@@ -179,8 +181,8 @@
         self.nodes[index].paused = true;
     }
 
-    /// Lets a paused node run on: first what its socket kept, then its timers.
-    pub fn thaw(&mut self, index: usize) {
+    /// Resumes a paused node: first it receives the buffered datagrams, then its timers fire.
+    pub fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
         for (from, message) in std::mem::take(&mut self.nodes[index].buffer) {
             self.event(index, RosterEvent::Datagram { from, message });
@@ -207,12 +209,12 @@
             }
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.take(event);
+            self.process(event);
         }
         self.now = end;
     }
 
-    /// Runs until the condition holds, for `limit` at most; returns how long it took.
+    /// Runs until the condition holds and returns how long that took; panics after `limit`.
     pub fn run_until<F>(&mut self, limit: Duration, mut condition: F) -> Duration
     where
         F: FnMut(&Self) -> bool,
@@ -240,14 +242,14 @@
         self.set_timer(index);
     }
 
-    fn take(&mut self, event: FabricEvent) {
+    fn process(&mut self, event: NetworkEvent) {
         match event {
-            FabricEvent::Wake(index, number) => {
-                if self.is_on(index) && self.nodes[index].wake_number == number {
+            NetworkEvent::Wake(index, number) => {
+                if self.is_active(index) && self.nodes[index].wake_sequence == number {
                     self.event(index, RosterEvent::Tick);
                 }
             }
-            FabricEvent::Deliver(from, to, message) => self.deliver(from, to, message),
+            NetworkEvent::Deliver(from, to, message) => self.deliver(from, to, message),
         }
     }
 
@@ -270,7 +272,7 @@
     }
 
     fn send(&mut self, index: usize, to: SocketAddr, message: RosterMessage) {
-        self.meter(index, &message);
+        self.record_sent_bytes(index, &message);
         let from = self.nodes[index].facts.gossip_address;
         let target = (0..self.nodes.len()).find(|other| address(*other) == to);
         let cut = match (&self.cut, target) {
@@ -281,22 +283,22 @@
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(800..2_500));
-        self.schedule(self.now + delay, FabricEvent::Deliver(from, to, message));
+        self.schedule(self.now + delay, NetworkEvent::Deliver(from, to, message));
     }
 
-    fn meter(&mut self, index: usize, message: &RosterMessage) {
+    fn record_sent_bytes(&mut self, index: usize, message: &RosterMessage) {
         let rate = f64::from(self.settings.bytes_per_second);
         let bytes = encoded_size(message);
         let node = &mut self.nodes[index];
-        let leaked = self.now.saturating_sub(node.leaked_at).as_secs_f64() * rate;
+        let drained = self.now.saturating_sub(node.drained_at).as_secs_f64() * rate;
         let total = u32::try_from(bytes + HEADER_BYTES).expect("fits");
-        node.leaky_bytes = (node.leaky_bytes - leaked).max(0.0) + f64::from(total);
-        node.leaked_at = self.now;
-        node.peak_bytes = node.peak_bytes.max(node.leaky_bytes);
+        node.bucket_level = (node.bucket_level - drained).max(0.0) + f64::from(total);
+        node.drained_at = self.now;
+        node.peak_bytes = node.peak_bytes.max(node.bucket_level);
         node.largest_datagram = node.largest_datagram.max(bytes);
     }
 
-    /// Sets the node's timer when it is due earlier than it is set for.
+    /// Sets the node's timer if the next wake is earlier than the timer's time.
     fn set_timer(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let wake = node.roster.next_wake().max(self.now + millis(1));
@@ -304,25 +306,25 @@
             return;
         }
         node.wake_at = wake;
-        node.wake_number += 1;
-        let number = node.wake_number;
-        self.schedule(wake, FabricEvent::Wake(index, number));
+        node.wake_sequence += 1;
+        let number = node.wake_sequence;
+        self.schedule(wake, NetworkEvent::Wake(index, number));
     }
 
-    fn schedule(&mut self, at: Duration, event: FabricEvent) {
+    fn schedule(&mut self, at: Duration, event: NetworkEvent) {
         self.order += 1;
         self.queue.insert((at, self.order), event);
     }
 
-    pub fn is_on(&self, index: usize) -> bool {
+    pub fn is_active(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         node.running && !node.paused
     }
 
-    /// Nodes that run and are not paused.
-    pub fn on(&self) -> Vec<usize> {
+    /// Returns the nodes that run and are not paused.
+    pub fn active_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
-            .filter(|index| self.is_on(*index))
+            .filter(|index| self.is_active(*index))
             .collect()
     }
 
@@ -330,21 +332,22 @@
         self.nodes[index].facts.instance.node
     }
 
-    /// Every removal that a running node reported: who, of whom, why.
+    /// Returns every removal reported by an active node, as (observer, removed node, cause).
     pub fn removals(&self) -> Vec<(usize, usize, DownCause)> {
         let mut removals = Vec::new();
-        for observer in self.on() {
+        for observer in self.active_nodes() {
             for (_, command) in &self.nodes[observer].log {
                 if let RosterCommand::MemberDown { instance, cause } = command {
-                    let of = (0..self.nodes.len()).find(|index| self.id(*index) == instance.node);
-                    removals.push((observer, of.expect("known"), *cause));
+                    let removed =
+                        (0..self.nodes.len()).find(|index| self.id(*index) == instance.node);
+                    removals.push((observer, removed.expect("known"), *cause));
                 }
             }
         }
         removals
     }
 
-    /// Suspicions that nodes noted.
+    /// Returns the number of suspicions reported by all nodes.
     pub fn suspicions(&self) -> usize {
         let commands = self.nodes.iter().flat_map(|node| &node.log);
         commands
@@ -352,15 +355,15 @@
             .count()
     }
 
-    /// Whether every running node holds exactly the running nodes present.
-    pub fn is_exact(&self) -> bool {
-        let on = self.on();
-        let mut expected: Vec<InstanceId> = on
+    /// Whether the members known to each active node are exactly the active nodes.
+    pub fn has_converged(&self) -> bool {
+        let active = self.active_nodes();
+        let mut expected: Vec<InstanceId> = active
             .iter()
             .map(|index| self.nodes[*index].roster.own_instance())
             .collect();
         expected.sort();
-        on.iter().all(|index| {
+        active.iter().all(|index| {
             let members = self.nodes[*index].roster.members();
             members
                 .iter()
@@ -369,13 +372,17 @@
         })
     }
 
-    /// Whether every running node sees an upstream phase for a node.
-    pub fn all_see(&self, of: usize, phase: Option<UpstreamPhase>) -> bool {
-        let id = self.id(of);
-        self.on().iter().filter(|index| **index != of).all(|index| {
-            let upstreams = self.nodes[*index].roster.upstreams("orders");
-            let seen = upstreams.iter().find(|(upstream, _)| upstream.node == id);
-            seen.map(|(_, facts)| facts.phase) == phase
-        })
+    /// Whether every other active node sees this phase for the target's upstream; `None` for no
+    /// upstream.
+    pub fn all_see(&self, target: usize, phase: Option<UpstreamPhase>) -> bool {
+        let id = self.id(target);
+        self.active_nodes()
+            .iter()
+            .filter(|index| **index != target)
+            .all(|index| {
+                let upstreams = self.nodes[*index].roster.upstreams("orders");
+                let seen = upstreams.iter().find(|(upstream, _)| upstream.node == id);
+                seen.map(|(_, facts)| facts.phase) == phase
+            })
     }
 }
--- a/crates/roster/tests/testsuite/order.rs
+++ b/crates/roster/tests/testsuite/order.rs
@@ -7,7 +7,7 @@
     RosterSettings, SlotRun, UpstreamPhase,
 };
 
-use crate::fabric::{address, facts};
+use crate::network::{address, facts};
 
 const NOW: Duration = Duration::from_secs(1);
 
@@ -20,8 +20,8 @@
     ]
 }
 
-/// News of members 1 to 3 in one life. A slot's values follow from its sequence, as a member never
-/// uses one twice.
+/// Generates rumours about members 1 to 3 in one incarnation. The values of a slot are derived from
+/// its sequence, because a member never uses a sequence twice.
 fn rumour() -> impl Strategy<Value = MemberRumour> {
     let member = (1..4_usize, 0..4_u32, standing()).prop_map(|(index, revision, standing)| {
         MemberRumour::Standing {
@@ -47,7 +47,7 @@
     prop_oneof![member, slots]
 }
 
-fn told(rumours: &[MemberRumour]) -> NodeRoster {
+fn roster_after(rumours: &[MemberRumour]) -> NodeRoster {
     let mut roster = NodeRoster::new(RosterSettings::default(), facts(0, 1_000), 1);
     let members = (1..4).map(|index| MemberRumour::Member {
         facts: facts(index, 1_000),
@@ -78,10 +78,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two nodes hear the same news in another order, some of it twice. Their callers must see the
-    /// same members and upstreams, and their hashes must agree, or digests would go on for good.
+    /// Two nodes receive the same rumours in different orders, some of them twice. Their members,
+    /// upstreams and hashes must agree, or digest exchanges would never end.
     #[test]
-    fn news_in_any_order_gives_the_same_roster(
+    fn merge_result_does_not_depend_on_order(
         rumours in proptest::collection::vec(rumour(), 0..24),
         shuffled in any::<prop::sample::Index>(),
     ) {
@@ -92,7 +92,7 @@
             other.reverse();
             other.extend_from_slice(&rumours[middle..]);
         }
-        let (first, second) = (told(&rumours), told(&other));
+        let (first, second) = (roster_after(&rumours), roster_after(&other));
         prop_assert_eq!(first.members(), second.members());
         prop_assert_eq!(first.upstreams("orders"), second.upstreams("orders"));
         prop_assert_eq!(first.root(), second.root());
--- a/crates/roster/tests/testsuite/settings.rs
+++ b/crates/roster/tests/testsuite/settings.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn findings_name_their_place() {
+fn findings_name_the_setting() {
     let text = r#"{
         "probe_interval": "500ms",
         "suspicion_longest": "1s",
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_duration_without_a_unit_is_refused() {
+fn duration_without_a_unit_is_rejected() {
     let error = serde_json::from_str::<RosterSettings>(r#"{"probe_interval": "500"}"#);
     insta::assert_snapshot!(error.expect_err("refused").to_string());
 }
