--- a/crates/contract/examples/scale.rs
+++ b/crates/contract/examples/scale.rs
@@ -1,4 +1,4 @@
-//! Measures the book and the table at the size they are designed for.
+//! Measures the memory and speed of the book and the table at their design scale.
 //!
 //! ```sh
 //! cargo run --release -p sycamorelink-contract --example scale
@@ -47,7 +47,7 @@
     report_memory("after changes");
 }
 
-/// A contract of about 10 routes and 12 accounts.
+/// Returns a change record for a contract with 10 routes and about 12 accounts.
 fn record(book: &ContractBook, number: usize, rate: u32) -> Vec<u8> {
     let accounts: Vec<String> = (number..ACCOUNTS)
         .step_by(CUSTOMERS)
--- a/crates/contract/src/access/audit.rs
+++ b/crates/contract/src/access/audit.rs
@@ -1,4 +1,4 @@
-//! What is kept of each call of the operators' API.
+//! Audit log entries of the operators' API.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 use super::{AccessCall, AccessDenial};
 use crate::change::{ChangeId, ContractVersion};
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditResult {
-    /// It was answered.
+    /// The call was answered.
     Answered,
-    /// Its change was accepted.
+    /// The change was accepted with this version.
     Accepted(ContractVersion),
-    /// Its change was rejected.
+    /// The change was rejected for this reason.
     Rejected(String),
-    /// Its change was appended, and the result is not known yet.
+    /// The change was appended, and its outcome is still unknown.
     Open,
-    /// It was denied.
+    /// The call was denied.
     Denied(AccessDenial),
 }
 
-/// One call.
+/// Audit entry of one call.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Wall clock of the node.
+    /// Wall-clock time of the node.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
-    /// The node that took the call.
+    /// Node that handled the call.
     pub node: NodeId,
-    /// The account; `None` when the token was unknown.
+    /// Operator account; `None` if the token was unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<Arc<str>>,
-    /// The call.
+    /// Operation that was called.
     pub call: AccessCall,
-    /// The customer it was about.
+    /// Customer of the call, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerName>,
-    /// The change it made.
+    /// Id of the change that the call made, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<ChangeId>,
-    /// How it ended.
+    /// Result of the call.
     pub result: AuditResult,
 }
--- a/crates/contract/src/access/mod.rs
+++ b/crates/contract/src/access/mod.rs
@@ -1,11 +1,11 @@
-//! Who may make which call of the operators' API.
+//! Authorization of calls to the operators' API.
 //!
 //! ```text
-//! token -> SHA-256 -> account -> grants (team, role) -> call needs (role, scope) -> yes or why not
+//! token -> SHA-256 -> account -> grants (team, role) -> call needs (role, scope) -> allow or deny
 //! ```
 //!
-//! A grant gives a role over one team's contracts, or over all teams. Roles include each other:
-//! whoever may change may also read. Everything not allowed here is denied.
+//! A grant assigns a role for the contracts of one team or of all teams. Each role includes the
+//! lesser ones. Calls that no grant allows are denied.
 
 mod audit;
 mod quota;
@@ -37,7 +37,7 @@
 }
 
 impl AccessRole {
-    /// Every role, least first.
+    /// All roles, least privileged first.
     pub const ALL: &'static [Self] = &[Self::Viewer, Self::Operator, Self::Admin];
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The teams a grant is for.
+/// Teams to which a grant applies.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum TeamScope {
@@ -62,7 +62,7 @@
 }
 
 impl TeamScope {
-    /// Whether the scope has a team.
+    /// Returns whether the scope includes a team.
     #[must_use]
     pub fn covers(&self, team: &str) -> bool {
         match self {
@@ -95,7 +95,7 @@
     pub grants: Vec<AccessGrant>,
 }
 
-/// A call of the operators' API.
+/// Operation of the operators' API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AccessCall {
@@ -105,15 +105,15 @@
     ShowFleet,
     /// Shows one service.
     ShowService,
-    /// Reports service-level burn.
+    /// Reports the error-budget burn of service-level objectives.
     ShowBurn,
-    /// Lists customers. The list has only those that the account may see.
+    /// Lists the customers that are visible to the account.
     ListContracts,
     /// Shows a contract.
     ShowContract,
     /// Shows the changes of a contract.
     ShowHistory,
-    /// Shows what became of a change.
+    /// Shows the outcome of a change.
     ShowChange,
     /// Creates or amends a contract.
     PutContract,
@@ -121,16 +121,16 @@
     RollBackContract,
     /// Removes a customer.
     RemoveContract,
-    /// Shows who made which calls.
+    /// Shows the audit log.
     ShowAudit,
-    /// Makes a daemon leave.
+    /// Drains a daemon and makes it leave the fleet.
     DrainDaemon,
 }
 
-/// What a call touches.
+/// Scope of the data that a call reads or changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallScope {
-    /// Nothing of a team's own: any grant will do.
+    /// No data of a particular team; any grant is enough.
     Shared,
     /// One team's contract.
     Team,
@@ -139,7 +139,7 @@
 }
 
 impl AccessCall {
-    /// Every call.
+    /// All calls.
     pub const ALL: &'static [Self] = &[
         Self::ShowStatus,
         Self::ShowFleet,
@@ -156,7 +156,7 @@
         Self::DrainDaemon,
     ];
 
-    const fn needs(self) -> (AccessRole, CallScope) {
+    const fn requirement(self) -> (AccessRole, CallScope) {
         match self {
             Self::ShowStatus
             | Self::ShowFleet
@@ -173,14 +173,15 @@
         }
     }
 
-    /// Whether the call changes anything.
+    /// Returns whether the call changes anything.
     #[must_use]
     pub fn is_change(self) -> bool {
-        self.needs().0 > AccessRole::Viewer && self != Self::ShowAudit
+        self.requirement().0 > AccessRole::Viewer && self != Self::ShowAudit
     }
 }
 
-/// Why a call is denied. The texts tell nothing about contracts the account may not see.
+/// Reason for which a call is denied. The messages reveal nothing about contracts that are not
+/// visible to the account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum AccessDenial {
@@ -190,42 +191,43 @@
     /// The account has no grant for this team, or the call needs one for all teams.
     #[error("{account} has no grant for this")]
     OutOfScope {
-        /// The account.
+        /// Name of the account.
         account: Arc<str>,
     },
-    /// The account's role is too small.
+    /// The account's role does not include the call.
     #[error("{account} is {role} here; the call needs {needed}")]
     RoleTooSmall {
-        /// The account.
+        /// Name of the account.
         account: Arc<str>,
-        /// Its greatest role there.
+        /// Greatest role that the account has for the scope of the call.
         role: AccessRole,
-        /// The role it takes.
+        /// Role required by the call.
         needed: AccessRole,
     },
-    /// The team made too many changes.
+    /// The team exceeded its change quota.
     #[error("team {team} has used up its changes; the next is free in {wait_seconds} s")]
     QuotaUsedUp {
-        /// The team.
+        /// Name of the team.
         team: Arc<str>,
-        /// Seconds until the next change is free.
+        /// Seconds until the quota allows another change.
         wait_seconds: u64,
     },
 }
 
-/// Decides whether an account may make a call. `team` is that of the customer's contract; `None`
-/// for calls about no customer, which then is no team's own and needs a grant for all teams where
-/// the call is about a contract.
+/// Checks whether an account may make a call.
+///
+/// `team` is the team of the customer's contract, or `None` for calls without a customer. A call
+/// that concerns a contract but has no team requires a grant for all teams.
 ///
 /// # Errors
 ///
-/// Why it may not.
+/// Returns the reason for the denial.
 pub fn authorize(
     account: &AccessAccount,
     call: AccessCall,
     team: Option<&str>,
 ) -> Result<(), AccessDenial> {
-    let (needed, scope) = call.needs();
+    let (needed, scope) = call.requirement();
     let covers = |grant: &&AccessGrant| match (scope, team) {
         (CallScope::Shared, _) => true,
         (CallScope::Team, Some(team)) => grant.scope.covers(team),
@@ -245,36 +247,39 @@
     }
 }
 
-/// Decides about a change of a contract: the account needs its role over the team that has the
-/// contract and over the one that is to have it, or a contract could be taken from a team.
+/// Checks whether an account may change a contract.
+///
+/// The account needs the required role for the contract's current team, if any, and for its new
+/// team. Otherwise an account could take over a contract from another team.
 ///
 /// # Errors
 ///
-/// Why it may not.
+/// Returns the reason for the denial.
 pub fn authorize_change(
     account: &AccessAccount,
     call: AccessCall,
-    held_by: Option<&str>,
-    to_be: &str,
+    current_team: Option<&str>,
+    new_team: &str,
 ) -> Result<(), AccessDenial> {
-    if let Some(team) = held_by {
+    if let Some(team) = current_team {
         authorize(account, call, Some(team))?;
     }
-    authorize(account, call, Some(to_be))
+    authorize(account, call, Some(new_team))
 }
 
-/// All accounts of operators.
+/// Accounts of all operators.
 #[derive(Clone, Debug, Default)]
 pub struct AccessTable {
     accounts: Vec<AccessAccount>,
 }
 
 impl AccessTable {
-    /// Takes the accounts of the settings.
+    /// Creates the table from the accounts in the settings.
     ///
     /// # Errors
     ///
-    /// Every account without name or grants, and every name or token that two accounts share.
+    /// Returns a finding for every account without a name, grants or a token, and for every name
+    /// or token that two accounts share.
     pub fn new(accounts: Vec<AccessAccount>) -> Result<Self, FindingList> {
         let mut findings = FindingList::default();
         for (index, account) in accounts.iter().enumerate() {
@@ -300,12 +305,13 @@
         Ok(Self { accounts })
     }
 
-    /// The account that a token belongs to. Every account is compared, each in a time that does
-    /// not depend on the bytes.
+    /// Returns the account that a token belongs to.
+    ///
+    /// Compares the hash of the token with every account, each in constant time.
     ///
     /// # Errors
     ///
-    /// When no account has the token.
+    /// Returns [`AccessDenial::UnknownToken`] if no account has the token.
     pub fn find(&self, token: &[u8]) -> Result<&AccessAccount, AccessDenial> {
         let hash = ContentDigest::of(token);
         let mut found = None;
--- a/crates/contract/src/access/quota.rs
+++ b/crates/contract/src/access/quota.rs
@@ -1,8 +1,8 @@
-//! How many changes a team may make.
+//! Rate limit of the changes that a team may make.
 //!
-//! Each daemon counts the changes of every team as it reads them from the log, so the count is of
-//! the whole fleet without anybody keeping it. Changes under way at the same moment through
-//! several daemons may pass together; the next ones wait the longer for it.
+//! Each daemon counts the changes of every team as it reads them from the log, so the count covers
+//! the whole fleet without coordination. Concurrent changes through several daemons may exceed the
+//! quota together; later changes then have to wait longer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,11 +13,8 @@
 
 use super::AccessDenial;
 
-/// Default changes of a team per day.
 const DEFAULT_PER_DAY: u32 = 2_000;
-/// Default changes of a team at once.
 const DEFAULT_BURST: u32 = 200;
-/// Seconds of a day.
 const DAY_SECONDS: f64 = 86_400.0;
 
 /// Changes a team may make.
@@ -39,7 +36,7 @@
     }
 }
 
-/// What a team has used, decaying by the daily rate.
+/// Changes counted for a team at time `at`. The count decays at the daily rate.
 #[derive(Clone, Copy, Debug)]
 struct QuotaUse {
     used: f64,
@@ -54,7 +51,7 @@
 }
 
 impl QuotaLedger {
-    /// A ledger in which nobody has made a change yet.
+    /// Creates a ledger without any counted changes.
     #[must_use]
     pub const fn new(quota: ChangeQuota) -> Self {
         Self {
@@ -63,8 +60,8 @@
         }
     }
 
-    /// Counts a change that was read from the log at `now`, the time since the node started.
-    pub fn note(&mut self, team: &Arc<str>, now: Duration) {
+    /// Counts a change that was read from the log. `now` is the time since the node started.
+    pub fn record(&mut self, team: &Arc<str>, now: Duration) {
         let used = self.used(team, now) + 1.0;
         self.teams.insert(team.clone(), QuotaUse { used, at: now });
         let rate = self.per_second();
@@ -72,17 +69,17 @@
             .retain(|_, team| team.used > now.saturating_sub(team.at).as_secs_f64() * rate);
     }
 
-    /// Whether a team may make one more change at `now`.
+    /// Checks whether a team may make another change at `now`.
     ///
     /// # Errors
     ///
-    /// When its changes are used up, with the time until the next is free.
+    /// Returns [`AccessDenial::QuotaUsedUp`], with the time to wait, if the quota is exceeded.
     pub fn check(&self, team: &Arc<str>, now: Duration) -> Result<(), AccessDenial> {
-        let over = self.used(team, now) + 1.0 - f64::from(self.quota.burst);
-        if over <= 0.0 {
+        let excess = self.used(team, now) + 1.0 - f64::from(self.quota.burst);
+        if excess <= 0.0 {
             return Ok(());
         }
-        let wait = Duration::try_from_secs_f64(over / self.per_second());
+        let wait = Duration::try_from_secs_f64(excess / self.per_second());
         Err(AccessDenial::QuotaUsedUp {
             team: team.clone(),
             wait_seconds: wait.map_or(u64::MAX, |wait| wait.as_secs() + 1),
@@ -91,8 +88,8 @@
 
     fn used(&self, team: &str, now: Duration) -> f64 {
         self.teams.get(team).map_or(0.0, |team| {
-            let gone = now.saturating_sub(team.at).as_secs_f64() * self.per_second();
-            (team.used - gone).max(0.0)
+            let replenished = now.saturating_sub(team.at).as_secs_f64() * self.per_second();
+            (team.used - replenished).max(0.0)
         })
     }
 
--- a/crates/contract/src/book/ahead.rs
+++ b/crates/contract/src/book/ahead.rs
@@ -1,8 +1,8 @@
-//! Entries from peers that the log was not yet read far enough to confirm.
+//! Entries from peers whose offsets this node has not read in the log yet.
 //!
-//! While the log is down such entries are in force, or an accepted change would wait for the log
-//! to come back. When the log is read up to the offset that an entry names, the log decides: it
-//! has that very change there, or the entry is dropped and reported.
+//! Such entries are in force at once, so that accepted changes take effect while the log is
+//! unavailable. Once the log is read up to the offset of an entry, the log decides: an entry
+//! whose change is not at that offset is dropped and reported.
 
 use sycamorelink_core::CustomerName;
 
@@ -11,22 +11,23 @@
 use crate::change::ContractVersion;
 
 impl ContractBook {
-    /// Puts the entry of a peer that read up to `as_of` into force until the log was read so far.
+    /// Puts a peer's entry into force until the log is read up to it. The peer had read the log
+    /// up to `as_of`.
     pub(super) fn set_ahead(&mut self, entry: BookEntry, as_of: u64) {
         let customer = entry.customer.clone();
         self.forget_ahead(&customer);
-        let round = self.head_round;
+        let reply = self.head_replies;
         let waiting = self.ahead.entry(entry.version).or_default();
         waiting.push(customer.clone());
         self.update(&customer, |state| {
             state.ahead = Some(Box::new(entry));
             state.ahead_as_of = as_of;
-            state.ahead_round = round;
+            state.ahead_reply = reply;
         });
     }
 
-    /// The record of a version was read: the log decides about entries that name it.
-    pub(super) fn check_ahead(&mut self, version: ContractVersion) {
+    /// Resolves the peers' entries of a version whose record was just read from the log.
+    pub(super) fn resolve_ahead_at(&mut self, version: ContractVersion) {
         let Some(customers) = self.ahead.get(&version) else {
             return;
         };
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Drops a peer's entry that the log was read past, and reports it where the log disagrees.
+    /// Drops a peer's entry once the log was read past it. Reports the entry if the log has
+    /// another change there.
     pub(super) fn resolve_ahead(&mut self, customer: &CustomerName) {
         if !self.is_proven(customer) {
             return;
@@ -50,8 +52,8 @@
             return;
         }
         let settled = state.settled.as_ref();
-        let later = |settled: &BookEntry| settled.version > ahead.version;
-        let agrees = settled.is_some_and(|settled| settled.agrees(ahead) || later(settled));
+        let superseded = |settled: &BookEntry| settled.version > ahead.version;
+        let agrees = settled.is_some_and(|settled| settled.agrees(ahead) || superseded(settled));
         if !agrees {
             let message = format!(
                 "a peer spread {} (change {}), which the log never took",
@@ -62,21 +64,22 @@
         self.drop_ahead(customer);
     }
 
-    /// Tells the book the log's next offset, as each answer of the log has it. A book that started
-    /// without it is whole when it has read so far. What peers spread from beyond it the log never
-    /// took, and it is dropped.
+    /// Processes the log's next offset from a reply of the log.
     ///
-    /// An answer may be older than an entry that came while it was under way. So an entry is
-    /// dropped only when the answer before this one came after the entry: then this answer was
-    /// asked for after it.
+    /// A book that was started without this offset is complete once it has read up to it. Peers'
+    /// entries from beyond it are not in the log and are dropped.
+    ///
+    /// A reply may be older than an entry that arrived while the reply was in flight. Therefore an
+    /// entry is dropped only if the previous reply arrived after the entry: the current reply then
+    /// belongs to a request that was sent after the entry had arrived.
     pub fn check_head(&mut self, head: u64) {
-        if self.whole_at == Some(UNKNOWN_HEAD) {
-            self.whole_at = Some(head);
-            self.finish_reading();
+        if self.complete_at == Some(UNKNOWN_HEAD) {
+            self.complete_at = Some(head);
+            self.finish_catch_up();
         }
-        let round = self.head_round;
-        self.head_round += 1;
-        self.check_base(head, round);
+        let reply = self.head_replies;
+        self.head_replies += 1;
+        self.check_base_offset(head, reply);
         let customers: Vec<CustomerName> = self
             .ahead
             .range(ContractVersion::at(head)..)
@@ -84,7 +87,7 @@
             .collect();
         for customer in customers {
             let state = self.states.get(&customer);
-            if state.is_none_or(|state| state.ahead_round >= round) {
+            if state.is_none_or(|state| state.ahead_reply >= reply) {
                 continue;
             }
             let message = format!("a peer spread a version beyond the log's next offset {head}");
@@ -93,12 +96,12 @@
         }
     }
 
-    /// A base that claims more records than the log has would make this node pass over all that
-    /// the log takes until it gets there.
-    fn check_base(&mut self, head: u64, round: u64) {
-        let untried = self.peer_based && self.read == 0 && !self.disputed;
-        if untried && self.base_round < round && head < self.next {
-            self.disputed = true;
+    /// Detects a base snapshot whose offset lies beyond the end of the log. The node would
+    /// otherwise skip all records appended before the log reaches that offset.
+    fn check_base_offset(&mut self, head: u64, reply: u64) {
+        let unread = self.peer_based && self.records_read == 0 && !self.contradicted;
+        if unread && self.base_reply < reply && head < self.next {
+            self.contradicted = true;
             let message = format!(
                 "a peer's snapshot as of {} lies beyond the log's next offset {head}",
                 self.next
@@ -107,18 +110,19 @@
         }
     }
 
-    /// Reads the log again from its oldest record, after it contradicted what came from peers.
-    /// What is in force stays in force until the log says otherwise; until the book is whole it
-    /// takes no peer's snapshot as its base. `head` as in [`Self::starting_at`].
+    /// Restarts reading at the oldest record, after the log contradicted state from peers.
+    ///
+    /// The contracts in force stay in force until the log replaces them. Until the state is
+    /// complete, no peer's snapshot becomes the base. For `head`, see [`Self::starting_at`].
     pub fn rebuild_at(&mut self, oldest: u64, head: u64) {
-        self.disputed = false;
+        self.contradicted = false;
         self.peer_based = false;
         self.rebuilding = true;
-        self.read = 0;
+        self.records_read = 0;
         self.start = oldest;
         self.next = oldest;
-        self.gap_from = oldest;
-        self.whole_at = Some(if head > oldest { head } else { UNKNOWN_HEAD });
+        self.gap_start = oldest;
+        self.complete_at = Some(if head > oldest { head } else { UNKNOWN_HEAD });
         self.ahead.clear();
         let customers: Vec<CustomerName> = self.states.keys().cloned().collect();
         for customer in customers {
--- a/crates/contract/src/book/carry.rs
+++ b/crates/contract/src/book/carry.rs
@@ -1,8 +1,8 @@
-//! Records that carry state forward, read from the log.
+//! Applies carry records, which copy state forward before its original records leave the log.
 //!
-//! A carrying record tells which version of a customer was in force as of an offset, and keeps
-//! the version of the original change. So it reverts nothing: one that comes late tells of an
-//! earlier offset, and a reader that knows better passes it over.
+//! A carry record states which version of a customer was in force as of an offset and keeps the
+//! version of the original change. Therefore a late carry record cannot revert a contract: the
+//! record refers to an earlier offset, and readers with newer state skip it.
 
 use sycamorelink_core::CustomerName;
 
@@ -10,7 +10,7 @@
 use super::{ApplyOutcome, CarryCount, ContractBook, RejectReason, TOMBSTONE_SPAN};
 use crate::change::CarryRecord;
 
-/// What one entry of a carrying record did.
+/// Effect of one entry of a carry record.
 enum CarryEffect {
     Restored,
     Confirmed,
@@ -37,7 +37,7 @@
         };
         for entry in record.entries {
             let customer = entry.customer.clone();
-            match self.take_carry(entry, proof) {
+            match self.apply_carry_entry(entry, proof) {
                 CarryEffect::Restored => count.restored += 1,
                 CarryEffect::Confirmed => count.confirmed += 1,
                 CarryEffect::Stale => count.stale += 1,
@@ -51,26 +51,26 @@
         ApplyOutcome::Carried(count)
     }
 
-    fn take_carry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
+    fn apply_carry_entry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
         if entry.version.0 > proof.as_of {
             return CarryEffect::Refused("its version lies after what its author read".to_owned());
         }
-        if let Some(fault) = entry.fault() {
-            return CarryEffect::Refused(fault);
+        if let Some(error) = entry.validation_error() {
+            return CarryEffect::Refused(error);
         }
         if self.is_proven(&entry.customer) {
-            self.compare_carry(entry, proof)
+            self.verify_entry(entry, proof)
         } else {
-            self.restore_carry(entry, proof)
+            self.restore_entry(entry, proof)
         }
     }
 
-    /// The customer's state is not known: the record may tell it.
-    fn restore_carry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
+    /// Restores the state of an unproven customer from the entry.
+    fn restore_entry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
         let customer = entry.customer.clone();
         let state = self.states.get(&customer);
-        let unread = state.map_or(self.start, |state| state.torn.max(self.start));
-        if proof.as_of < unread {
+        let covered_from = state.map_or(self.start, |state| state.discarded_below.max(self.start));
+        if proof.as_of < covered_from {
             return CarryEffect::Stale;
         }
         let settled = state.and_then(|state| state.settled.as_ref());
@@ -80,23 +80,23 @@
         self.update(&customer, |state| {
             state.origin = ProofOrigin::Log;
             state.proof = proof;
-            state.settle_anew(entry);
+            state.settle_after_gap(entry);
         });
-        self.judge_deferred(&customer, proof.as_of);
+        self.evaluate_deferred(&customer, proof.as_of);
         self.resolve_ahead(&customer);
         CarryEffect::Restored
     }
 
-    /// The customer's state is known: the record must agree with it.
-    fn compare_carry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
+    /// Compares an entry with the proven state of its customer.
+    fn verify_entry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
         let customer = entry.customer.clone();
         let Some(state) = self.states.get_mut(&customer) else {
-            return self.compare_absent(entry, proof);
+            return self.verify_absent_entry(entry, proof);
         };
         if state.history.is_empty() {
-            return self.compare_absent(entry, proof);
+            return self.verify_absent_entry(entry, proof);
         }
-        let Some(known) = state.known_at(proof.as_of) else {
+        let Some(known) = state.history_at(proof.as_of) else {
             return CarryEffect::Stale;
         };
         if agrees(known, &entry) {
@@ -110,25 +110,25 @@
         if state.origin == ProofOrigin::Log && !state.assumed {
             return CarryEffect::Refused(format!("the log has {} there", known.version));
         }
-        self.follow_log(&customer, entry, proof)
+        self.replace_with_log_state(&customer, entry, proof)
     }
 
-    /// The book has nothing of the customer.
-    fn compare_absent(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
+    /// Handles an entry of a customer for which the book has no history.
+    fn verify_absent_entry(&mut self, entry: BookEntry, proof: EntryProof) -> CarryEffect {
         if !entry.is_live() || proof.as_of.saturating_add(TOMBSTONE_SPAN) < self.next {
             return CarryEffect::Stale;
         }
         if self.start == 0 {
             return CarryEffect::Refused("the log has no contract of this customer".to_owned());
         }
-        // Only a reader from the first record knows that there is none. Any other took silence
-        // for absence, and somebody who knows better speaks up late.
+        // Only a reader that started at the first record can rule the customer out. Any other
+        // reader assumed absence because no record carried the customer in time.
         let customer = entry.customer.clone();
-        self.follow_log(&customer, entry, proof)
+        self.replace_with_log_state(&customer, entry, proof)
     }
 
-    /// What is known came from a peer or from silence, and the log says otherwise: the log wins.
-    fn follow_log(
+    /// Replaces state that was assumed or adopted from a peer with the log's state.
+    fn replace_with_log_state(
         &mut self,
         customer: &CustomerName,
         entry: BookEntry,
@@ -139,12 +139,12 @@
             entry.version, proof.as_of
         );
         self.report(customer, message);
-        self.disputed = true;
+        self.contradicted = true;
         self.update(customer, |state| {
             state.proven = true;
             state.origin = ProofOrigin::Log;
             state.proof = proof;
-            state.settle_anew(entry);
+            state.settle_after_gap(entry);
         });
         CarryEffect::Restored
     }
--- a/crates/contract/src/book/entry.rs
+++ b/crates/contract/src/book/entry.rs
@@ -1,4 +1,4 @@
-//! What the book keeps about one customer.
+//! State of a single customer in the book.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,46 +7,46 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use sycamorelink_core::CustomerName;
 
-use super::judge::TOMBSTONE_SPAN;
+use super::evaluate::TOMBSTONE_SPAN;
 use crate::change::{ChangeAction, ChangeId, ContractChange, ContractVersion, MAX_AUTHOR_BYTES};
 use crate::digest::ContentDigest;
 use crate::text::ContractText;
 
-/// Accepted versions remembered per customer, without their content.
-pub const HISTORY_LENGTH: usize = 8;
+/// Maximum number of accepted versions retained per customer, without their content.
+pub const MAX_HISTORY: usize = 8;
 
-/// Changes held back per customer until its state is proven.
-pub const DEFERRED_LENGTH: usize = 64;
+/// Maximum number of changes deferred per customer until its state is proven.
+pub const MAX_DEFERRED: usize = 64;
 
-/// One customer's contract as some record of the log put it into force.
+/// Contract of one customer, or its removal, as put into force by a record of the log.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BookEntry {
     /// The customer.
     pub customer: CustomerName,
-    /// Version: where the log accepted the change, whatever record carried it since.
+    /// Version assigned by the record of the original change; carry records keep it.
     pub version: ContractVersion,
     /// Version that created the customer.
     pub created: ContractVersion,
     /// Id of the change.
     pub change: ChangeId,
-    /// Who made the change.
+    /// Author of the change.
     pub author: Arc<str>,
-    /// The author's team.
+    /// Team of the author.
     pub team: Arc<str>,
-    /// Wall clock of the author's node, for display.
+    /// Wall clock of the author's node, for display only.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
     /// Digest of the content; all zeros for a removal.
     pub digest: ContentDigest,
-    /// The content; `None` says that the customer was removed.
+    /// Content of the contract; `None` if the customer was removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub contract: Option<ContractText>,
 }
 
 impl BookEntry {
-    /// The entry that an accepted change makes.
+    /// Creates the entry of an accepted change.
     pub(super) fn accepted(
         change: &ContractChange,
         version: ContractVersion,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Whether the customer has a contract.
+    /// Returns whether the entry contains a contract, that is, is not a removal.
     #[must_use]
     pub const fn is_live(&self) -> bool {
         self.contract.is_some()
     }
 
-    /// Whether two entries say the same about the log.
+    /// Returns whether two entries describe the same accepted change with the same content.
     #[must_use]
     pub fn agrees(&self, other: &Self) -> bool {
         self.version == other.version
@@ -81,9 +81,9 @@
             && self.created == other.created
     }
 
-    /// One digest over customer, version, change and content.
+    /// Returns a digest over customer, version, change and content.
     #[must_use]
-    pub fn mark(&self) -> ContentDigest {
+    pub fn fingerprint(&self) -> ContentDigest {
         ContentDigest::of_parts(&[
             self.customer.as_str().as_bytes(),
             &self.version.0.to_be_bytes(),
@@ -93,8 +93,8 @@
         ])
     }
 
-    /// Why an entry that somebody else made cannot be taken, if so.
-    pub(super) fn fault(&self) -> Option<String> {
+    /// Returns the reason for which an entry from another node is invalid, or `None`.
+    pub(super) fn validation_error(&self) -> Option<String> {
         let created = self.created.0;
         if self.version.0 == 0 || created == 0 || created > self.version.0 {
             return Some("versions out of order".to_owned());
@@ -117,53 +117,53 @@
     contract.map(ContractText::digest).unwrap_or_default()
 }
 
-/// Where knowledge of a customer's state comes from.
+/// Source of a customer's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProofOrigin {
-    /// Records of the log, read here.
+    /// Records of the log, read by this node.
     #[default]
     Log,
-    /// A peer's snapshot. Not yet compared with the log.
+    /// A peer's snapshot that was not compared with the log yet.
     Peer,
 }
 
-/// How a reader of the log can come to a customer's state.
+/// Record from which a reader of the log can derive a customer's state.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryProof {
-    /// A reader that starts at or below this offset and reads on comes to the state.
+    /// A reader that starts at or below this offset derives the state from the log.
     pub as_of: u64,
-    /// Offset of the record that proves it: the creation, or the newest carrying.
+    /// Offset of the record that proves the state: the creation or the newest carry record.
     pub record: u64,
-    /// Wall clock in that record.
+    /// Wall-clock stamp in that record.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
 }
 
-/// One accepted version in a customer's history.
+/// Accepted version in a customer's history.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryItem {
-    /// The version.
+    /// Version that the change created.
     pub version: ContractVersion,
     /// Id of the change.
     pub change: ChangeId,
-    /// Who made it.
+    /// Author of the change.
     pub author: Arc<str>,
-    /// Wall clock of the author's node, for display.
+    /// Wall clock of the author's node, for display only.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
     /// Digest of the content.
     pub digest: ContentDigest,
-    /// What it did. A state that was carried or came from a peer counts as put.
+    /// Action of the change. Live state from a carry record or a peer is shown as `Put`.
     pub action: HistoryAction,
-    /// Version it amended, zero for a creation. `None` when the state was carried or came from a
-    /// peer, which do not tell.
+    /// Version that the change amended, zero for a creation. `None` if the state came from a carry
+    /// record or a peer, which do not include the base.
     pub base: Option<ContractVersion>,
 }
 
-/// What a change does, without the content.
+/// Kind of a change, without its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HistoryAction {
@@ -212,33 +212,33 @@
     }
 }
 
-/// Everything the book keeps about one customer.
+/// State that the book keeps for one customer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CustomerState {
-    /// What the log says, as far as it was read.
+    /// Entry that follows from the part of the log that was read.
     pub(super) settled: Option<BookEntry>,
-    /// What a peer says and the log was not yet read far enough to tell.
+    /// Entry from a peer that the log has not confirmed yet.
     pub(super) ahead: Option<Box<BookEntry>>,
-    /// Offset up to which the peer who told `ahead` had read.
+    /// Next offset of the peer that sent `ahead`.
     pub(super) ahead_as_of: u64,
-    /// Answers of the log before `ahead` came.
-    pub(super) ahead_round: u64,
-    /// Whether `settled` follows from what was read. While it does not, changes are held back.
+    /// Value of `ContractBook::head_replies` when `ahead` arrived.
+    pub(super) ahead_reply: u64,
+    /// Whether `settled` follows from the records read. Until then, changes are deferred.
     pub(super) proven: bool,
     pub(super) origin: ProofOrigin,
-    /// Whether `settled` was taken over a gap for want of any record.
+    /// Whether `settled` was kept across a gap without a record that proves it.
     pub(super) assumed: bool,
     pub(super) proof: EntryProof,
     pub(super) deferred: Vec<(u64, ContractChange)>,
-    /// Changes below this offset were held back and had to be given up.
-    pub(super) torn: u64,
+    /// Some deferred changes below this offset were discarded because too many were waiting.
+    pub(super) discarded_below: u64,
     pub(super) history: Vec<HistoryItem>,
-    /// No version is missing in the history from this one on.
-    known_from: ContractVersion,
+    /// The history has no gaps from this version on.
+    history_complete_from: ContractVersion,
 }
 
 impl CustomerState {
-    /// The newest of what the log and the peers say.
+    /// Returns the newer of the log's entry and the peer's entry.
     pub(super) fn in_force(&self) -> Option<&BookEntry> {
         let candidates = [self.settled.as_ref(), self.ahead.as_deref()];
         candidates
@@ -247,57 +247,60 @@
             .max_by_key(|entry| entry.version)
     }
 
-    /// Sets what the log says where versions between this and the last may be unknown.
-    pub(super) fn settle_anew(&mut self, entry: BookEntry) {
-        self.known_from = entry.version;
+    /// Sets the settled entry when versions between it and the previous one may be missing.
+    pub(super) fn settle_after_gap(&mut self, entry: BookEntry) {
+        self.history_complete_from = entry.version;
         self.assumed = false;
         self.settle(entry, None);
     }
 
-    /// Sets what the log says next, and remembers it with the change where that was read.
+    /// Sets the next settled entry and adds it to the history. `cause` is the change, if its
+    /// record was read.
     pub(super) fn settle(&mut self, entry: BookEntry, cause: Option<&ContractChange>) {
         self.history.retain(|item| item.version < entry.version);
-        if self.history.len() == HISTORY_LENGTH {
+        if self.history.len() == MAX_HISTORY {
             self.history.remove(0);
         }
-        // Most customers have one version only; a vector would make room for four.
+        // Most customers have only one version; the default growth would allocate four.
         self.history.reserve_exact(1);
         self.history.push(HistoryItem::of(&entry, cause));
         self.settled = Some(entry);
     }
 
-    /// Settles on what was known before a gap, when no record told the state since. A removal is
-    /// carried for [`TOMBSTONE_SPAN`] records; across a longer gap silence means removal.
-    pub(super) fn assume(&mut self, start: u64, gap_from: u64) {
+    /// Settles on the state known before a gap when no record restored the state since.
+    ///
+    /// A removal is carried for [`TOMBSTONE_SPAN`] records. After a longer gap, a missing carry
+    /// record means that the customer was removed.
+    pub(super) fn settle_last_known(&mut self, start: u64, gap_start: u64) {
         let recent = |as_of: u64| start.saturating_sub(as_of) < TOMBSTONE_SPAN;
-        if !recent(gap_from) {
+        if !recent(gap_start) {
             self.settled = None;
         }
         self.assumed = true;
         let known = self.settled.as_ref().map(|entry| entry.version);
-        let told = self.ahead.as_deref().filter(|entry| {
+        let from_peer = self.ahead.as_deref().filter(|entry| {
             entry.version.0 <= start && recent(self.ahead_as_of) && Some(entry.version) > known
         });
-        if let Some(entry) = told.cloned() {
+        if let Some(entry) = from_peer.cloned() {
             self.origin = ProofOrigin::Peer;
             self.proof = EntryProof::default();
-            self.settle_anew(entry);
+            self.settle_after_gap(entry);
             self.assumed = true;
         }
     }
 
-    /// Holds a change back until the state is proven.
+    /// Defers a change until the state is proven.
     pub(super) fn defer(&mut self, offset: u64, change: ContractChange) {
-        if self.deferred.len() == DEFERRED_LENGTH {
+        if self.deferred.len() == MAX_DEFERRED {
             let (oldest, _) = self.deferred.remove(0);
-            self.torn = oldest + 1;
+            self.discarded_below = oldest + 1;
         }
         self.deferred.push((offset, change));
     }
 
-    /// The version that was in force after all records below an offset, where remembered.
-    pub(super) fn known_at(&self, offset: u64) -> Option<&HistoryItem> {
-        if offset < self.known_from.0 {
+    /// Returns the version in force after all records below an offset, if it is still retained.
+    pub(super) fn history_at(&self, offset: u64) -> Option<&HistoryItem> {
+        if offset < self.history_complete_from.0 {
             return None;
         }
         let mut newest_first = self.history.iter().rev();
--- a/crates/contract/src/book/judge.rs
+++ b/crates/contract/src/book/evaluate.rs
@@ -1,14 +1,13 @@
-//! The rules by which every reader judges a change alike.
+//! Deterministic rules by which every reader accepts or rejects a change.
 //!
-//! A verdict follows from the change, its offset and the customer's state alone: no clock, no
-//! memory of earlier ids, no other customer. So readers that come to the same state in different
-//! ways judge the rest of the log alike.
+//! The result depends only on the change, its offset and the customer's state, and never on a
+//! clock, earlier change ids or other customers. Therefore readers that reached the same state in
+//! different ways evaluate the rest of the log identically.
 //!
-//! A late copy of a change never alters the state. A version is an offset of the log and never
-//! comes again, so the base of a copy is not in force any more. A creation has no such base; its
-//! `seen` takes that part: nothing may have happened to the customer at or after it. Removals are
-//! remembered for [`TOMBSTONE_SPAN`] records, and creations whose `seen` is older than that are
-//! refused without looking.
+//! A late copy of a change never alters the state. Versions are log offsets and never repeat, so
+//! the base of a copy is no longer in force. A creation has no base; instead, it is rejected if
+//! the customer was changed at or after the creation's `seen` offset. Removals are retained for
+//! [`TOMBSTONE_SPAN`] records, and creations whose `seen` is older than that are always rejected.
 
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::FindingList;
@@ -20,23 +19,23 @@
 };
 use crate::text::ContractText;
 
-/// Number of records for which a removal is remembered.
+/// Number of records for which a removal is retained.
 pub const TOMBSTONE_SPAN: u64 = 1 << 22;
 
-/// JSON takes less than so many times the bytes of the compact form.
-const JSON_FACTOR: usize = 32;
+/// Upper bound of the ratio of the JSON size of a contract to its compact form.
+const MAX_JSON_EXPANSION: usize = 32;
 
-/// Findings kept of an invalid contract: results are remembered, so they must stay small.
+/// Maximum number of findings kept for an invalid contract, because outcomes stay in memory.
 const MAX_FINDINGS: usize = 16;
 
-/// The version that stands in the way of a rejected change.
+/// Version that conflicts with a rejected change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeWinner {
-    /// Its version.
+    /// Version in force.
     pub version: ContractVersion,
-    /// Id of its change.
+    /// Id of the change that created the version.
     pub change: ChangeId,
-    /// Who made it.
+    /// Author of that change.
     pub author: std::sync::Arc<str>,
 }
 
@@ -50,14 +49,14 @@
     }
 }
 
-/// Why a record was rejected.
+/// Reason for which a record was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum RejectReason {
-    /// The bytes are no record of a known format and kind.
+    /// The bytes are not a record of a known format and kind.
     #[error("{0}")]
     Unreadable(String),
-    /// The record has a format that this build does not know.
+    /// The record has a newer format than this build supports.
     #[error("record format {0} is newer than this build reads")]
     FutureFormat(u64),
     /// The contract is invalid.
@@ -72,28 +71,28 @@
     /// The name of the author or team is empty or too long.
     #[error("the name of the author or team is empty or too long")]
     WrongAuthor,
-    /// The change claims to have seen what was not there yet.
+    /// The change refers to a version or offset after its own record.
     #[error("the base or what was seen lies after the record")]
     FutureBase,
-    /// The creation was made too long before it was appended.
+    /// More than [`TOMBSTONE_SPAN`] records lie between the creation's `seen` and its own record.
     #[error("the creation was made too long before it reached the log")]
     StaleCreate,
-    /// Another version is in force than the change amends.
+    /// The version that the change amends is no longer in force.
     #[error("amends another version than {} by {}, which is in force", .0.version, .0.author)]
     BaseTaken(ChangeWinner),
-    /// The customer was removed after the author of a creation had looked.
+    /// The customer was removed at or after the creation's `seen` offset.
     #[error("the customer was removed by {} at {}, after this creation was made", .0.author, .0.version)]
     RemovedSince(ChangeWinner),
     /// The customer has no contract to amend.
     #[error("the customer has no contract to amend")]
     NoContract,
-    /// The record carries state that its author cannot have known.
+    /// The carry record's `as_of` lies after the record itself.
     #[error("carries state from after the record")]
     FutureCarry,
 }
 
 impl RejectReason {
-    /// The version that stands in the way, where there is one.
+    /// Returns the conflicting version, if there is one.
     #[must_use]
     pub const fn winner(&self) -> Option<&ChangeWinner> {
         match self {
@@ -112,7 +111,7 @@
     }
 }
 
-/// Checks what does not depend on the customer's state.
+/// Checks the parts of a change that do not depend on the customer's state.
 pub(super) fn check_content(change: &ContractChange, offset: u64) -> Result<(), RejectReason> {
     let fits = |name: &str| !name.is_empty() && name.len() <= MAX_AUTHOR_BYTES;
     if !fits(&change.author) || !fits(&change.team) {
@@ -138,11 +137,11 @@
     Ok(())
 }
 
-/// Failure: a contract fits into a record of its own but not into one that carries it, with what
-/// goes along. Symptom: it is lost when its first record leaves the log. The limit leaves a
-/// quarter of a record for the rest. Only contracts that may come near it are written out.
+/// Rejects a contract that fits into a change record but not into a carry record, which has more
+/// overhead; the contract would be lost when its change record leaves the log. The limit leaves a
+/// quarter of a record for the overhead. Only contracts that may exceed it are serialized.
 fn check_size(text: &ContractText) -> Result<(), RejectReason> {
-    if text.size() < MAX_CONTRACT_BYTES / JSON_FACTOR {
+    if text.size() < MAX_CONTRACT_BYTES / MAX_JSON_EXPANSION {
         return Ok(());
     }
     let size = text.json_size();
@@ -152,8 +151,8 @@
     Ok(())
 }
 
-/// Judges a change whose content was checked against the customer's state before it.
-pub(super) fn judge(
+/// Evaluates a change against the customer's preceding state. The content must be checked already.
+pub(super) fn evaluate(
     current: Option<&BookEntry>,
     change: &ContractChange,
     offset: u64,
--- a/crates/contract/src/book/mod.rs
+++ b/crates/contract/src/book/mod.rs
@@ -1,27 +1,28 @@
-//! The book: which contract of each customer is in force, by the order of the log alone.
+//! The replicated set of contracts in force, derived from the order of the log alone.
 //!
 //! ```text
-//! record at offset -> decode -> check content -> state known? -> judge -> settle -> table
-//!                                                   | no
-//!                                                   v
-//!                                            hold back until proven
-//! peer's snapshot -> verify -> newer than what is in force? -> ahead of the log, until read
+//! record at offset -> decode -> check content -> proven? -> evaluate -> settle -> table
+//!                                                  | no
+//!                                                  v
+//!                                           defer until proven
+//! peer's snapshot -> verify -> newer than in force? -> ahead of the log until it is read
 //! ```
 //!
-//! The state after all records below an offset is the same for every reader. A reader that starts
-//! in the middle of the log comes to it through carrying records: each says which version was in
-//! force as of an offset, and proves that to every reader that started at or below that offset.
-//! Until a customer is proven its changes are held back, so nothing is put into force that has to
-//! be taken back.
+//! After reading all records below an offset, every reader has the same state. A reader that
+//! starts in the middle of the log recovers the state from carry records, which nodes append before
+//! the original records leave the log. Each carry record names the version in force as of an
+//! offset, which proves that state to every reader that started at or below the offset. Changes of
+//! a customer are deferred until its state is proven, so no version is put into force that would
+//! have to be reverted.
 
 mod ahead;
 mod carry;
-mod due;
 mod entry;
-mod judge;
+mod evaluate;
 mod outcome;
 mod page;
 mod replay;
+mod schedule;
 mod snapshot;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,68 +35,69 @@
 use crate::digest::ContentDigest;
 use crate::table::{RouteTable, TableBuilder};
 
-pub use due::{CarryWindow, DueCarries};
 pub use entry::{
-    BookEntry, DEFERRED_LENGTH, EntryProof, HISTORY_LENGTH, HistoryAction, HistoryItem, ProofOrigin,
+    BookEntry, EntryProof, HistoryAction, HistoryItem, MAX_DEFERRED, MAX_HISTORY, ProofOrigin,
 };
-pub use judge::{ChangeWinner, RejectReason, TOMBSTONE_SPAN};
+pub use evaluate::{ChangeWinner, RejectReason, TOMBSTONE_SPAN};
 pub use outcome::{
-    ApplyOutcome, CarryCount, ChangeOutcome, OUTCOME_LENGTH, REJECTED_LENGTH, RejectedChange,
+    ApplyOutcome, CarryCount, ChangeOutcome, MAX_OUTCOMES, MAX_REJECTED, RejectedChange,
 };
 pub use page::{PageRequest, SnapshotAssembly, SnapshotPage};
+pub use schedule::{CarryWindow, DueCarries};
 pub use snapshot::{AdoptOutcome, BookSnapshot, SnapshotEntry};
 
 use entry::CustomerState;
-use outcome::OutcomeMemory;
+use outcome::OutcomeCache;
 
-/// Stands for the log's next offset while it is not known.
+/// Placeholder for the log's next offset while it is unknown.
 const UNKNOWN_HEAD: u64 = u64::MAX;
 
-/// Findings kept until somebody takes them.
-const FINDING_LENGTH: usize = 256;
+/// Maximum number of findings kept until [`ContractBook::take_findings`] returns them.
+const MAX_PENDING_FINDINGS: usize = 256;
 
-/// The contracts in force and how they came about.
+/// Contracts in force, with their history and the state needed to replay the log.
 #[derive(Clone, Debug, Default)]
 pub struct ContractBook {
-    /// Offset from which the log was read here.
+    /// First offset read by this book.
     start: u64,
     /// Next offset to read.
     next: u64,
-    /// Next offset before the first record that was missed, while the state is not whole.
-    gap_from: u64,
-    /// Offset from which on the state is whole; `None` when it is.
-    whole_at: Option<u64>,
-    /// Records read since the last snapshot that was taken as the base.
-    read: u64,
-    /// Answers of the log that told its next offset.
-    head_round: u64,
-    /// Records in formats that this build does not know.
-    future: u64,
+    /// Offset of the first missed record, while the state is incomplete.
+    gap_start: u64,
+    /// Offset at which the state becomes complete; `None` when it already is.
+    complete_at: Option<u64>,
+    /// Records read since the last snapshot that was adopted as the base.
+    records_read: u64,
+    /// Number of log replies received that carried the log's next offset.
+    head_replies: u64,
+    /// Records in formats that this build does not support.
+    future_records: u64,
     /// Whether the base is a peer's snapshot.
     peer_based: bool,
-    /// Answers of the log before the base came.
-    base_round: u64,
+    /// Value of `head_replies` when the base was adopted.
+    base_reply: u64,
     /// Whether the log contradicted the base.
-    disputed: bool,
-    /// Whether the log is read again; until it is whole no peer's snapshot becomes the base.
+    contradicted: bool,
+    /// Whether the log is being read again. Until the state is complete, no peer's snapshot
+    /// becomes the base.
     rebuilding: bool,
     states: BTreeMap<CustomerName, CustomerState>,
-    /// Customers with an entry from a peer that the log was not read far enough to confirm.
+    /// Customers with an entry from a peer that the log has not confirmed yet.
     ahead: BTreeMap<ContractVersion, Vec<CustomerName>>,
-    /// Customers by the version in force, removals too.
+    /// Customers by the version in force, including removals.
     versions: BTreeSet<(ContractVersion, CustomerName)>,
-    /// Removals settled by the log.
+    /// Removals accepted by the log.
     tombstones: BTreeMap<ContractVersion, CustomerName>,
     digest: ContentDigest,
-    outcomes: OutcomeMemory,
+    outcomes: OutcomeCache,
     findings: VecDeque<SettingFinding>,
     builder: TableBuilder,
 }
 
-/// Summary of a book, small enough to ride on gossip.
+/// Summary of a book, small enough to be sent with gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionDigest {
-    /// Next offset the book reads: it has everything below.
+    /// Next offset to read; the state covers every record below it.
     pub offset: u64,
     /// Newest version in force; above `offset` when it came from a peer.
     pub newest: ContractVersion,
@@ -104,15 +106,17 @@
 }
 
 impl ContractBook {
-    /// A book that reads the log from its first record.
+    /// Creates a book that reads the log from its first record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A book that starts at the oldest record the log still has. `head` is the log's next offset
-    /// as of the same answer: the state is whole when everything below it was read. A `head` that
-    /// is not above `oldest` says that it is not known; see [`Self::check_head`].
+    /// Creates a book that starts at the oldest record the log still has.
+    ///
+    /// `head` is the log's next offset from the same reply. The state is complete once all records
+    /// below `head` are read. A `head` that is not above `oldest` means that the next offset is
+    /// unknown; see [`Self::check_head`].
     #[must_use]
     pub fn starting_at(oldest: u64, head: u64) -> Self {
         let mut book = Self::default();
@@ -120,73 +124,79 @@
         book
     }
 
-    /// Goes on at a later offset because the records between have left the log. What is in force
-    /// stays in force; it is whole again when everything below `head` was read or a peer's
-    /// snapshot was adopted. Does nothing when no record is missing. `head` as in
-    /// [`Self::starting_at`].
+    /// Continues at a later offset after the log dropped the records in between.
+    ///
+    /// The contracts in force stay in force. The state is complete again once all records below
+    /// `head` are read or a peer's snapshot is adopted. Does nothing when no record is missing.
+    /// For `head`, see [`Self::starting_at`].
     pub fn restart_at(&mut self, oldest: u64, head: u64) {
         if oldest <= self.next {
             return;
         }
-        if self.is_whole() {
-            self.gap_from = self.next;
+        if self.is_complete() {
+            self.gap_start = self.next;
         }
         self.start = oldest;
         self.next = oldest;
-        self.whole_at = Some(if head > oldest { head } else { UNKNOWN_HEAD });
+        self.complete_at = Some(if head > oldest { head } else { UNKNOWN_HEAD });
         for state in self.states.values_mut() {
             state.proven = false;
             state.deferred.clear();
-            state.torn = 0;
+            state.discarded_below = 0;
         }
     }
 
-    /// The next offset to read.
+    /// Returns the next offset to read.
     #[must_use]
     pub const fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Whether the state follows from everything below [`Self::next_offset`]. While it does not,
-    /// the node should not serve from this book unless it has nothing better.
+    /// Returns whether the state reflects all records below [`Self::next_offset`].
+    ///
+    /// Until then, the node should serve from this book only as a last resort.
     #[must_use]
-    pub const fn is_whole(&self) -> bool {
-        self.whole_at.is_none()
+    pub const fn is_complete(&self) -> bool {
+        self.complete_at.is_none()
     }
 
-    /// Whether records were missed, so that a peer's snapshot would help.
+    /// Returns whether records were missed that a peer's snapshot can replace.
     #[must_use]
     pub const fn needs_snapshot(&self) -> bool {
-        !self.is_whole()
+        !self.is_complete()
     }
 
-    /// Whether the log contradicted what this book took from a peer or assumed. The node should
-    /// read the log again; see [`Self::rebuild_at`].
+    /// Returns whether the log contradicted state that this book adopted from a peer or assumed.
+    ///
+    /// The node should then read the log again with [`Self::rebuild_at`].
     #[must_use]
     pub const fn needs_rebuild(&self) -> bool {
-        self.disputed
+        self.contradicted
     }
 
-    /// Records in formats that this build does not know. A node that met some must not speak for
-    /// the log: it neither carries state forward nor offers its snapshot as whole.
+    /// Returns the number of records in formats that this build does not support.
+    ///
+    /// While the number is above zero, the state may be outdated: the node neither carries state
+    /// forward nor marks its snapshots as complete.
     #[must_use]
     pub const fn future_records(&self) -> u64 {
-        self.future
+        self.future_records
     }
 
-    /// What is in force for a customer, also a removal.
+    /// Returns the entry in force for a customer, which may be a removal.
     #[must_use]
     pub fn entry(&self, customer: &str) -> Option<&BookEntry> {
         self.states.get(customer)?.in_force()
     }
 
-    /// Everything in force, in order of customer, removals too.
+    /// Returns all entries in force in order of customer, including removals.
     pub fn entries(&self) -> impl Iterator<Item = &BookEntry> {
         self.states.values().filter_map(CustomerState::in_force)
     }
 
-    /// What is in force and newer than a version, in the order of the log, removals too. A peer
-    /// whose book reads on at `offset` lacks at most the entries newer than
+    /// Returns the entries in force newer than a version, in log order, including removals.
+    ///
+    /// A peer whose next offset is `offset` lacks at most the entries newer than
     /// `ContractVersion(offset)`.
     pub fn entries_newer_than(&self, version: ContractVersion) -> impl Iterator<Item = &BookEntry> {
         let newer = ContractVersion(version.0.saturating_add(1));
@@ -195,20 +205,22 @@
             .filter_map(|(_, customer)| self.entry(customer.as_str()))
     }
 
-    /// The accepted versions of a customer that are remembered, oldest first.
+    /// Returns the retained accepted versions of a customer, oldest first.
     pub fn history(&self, customer: &str) -> impl Iterator<Item = &HistoryItem> {
         let states = self.states.get(customer).into_iter();
         states.flat_map(|state| state.history.iter())
     }
 
-    /// The changes of a customer that were read and have no effect, as far as they are remembered,
-    /// oldest first. Those refused before they reached the log are not among them.
+    /// Returns the retained rejected changes of a customer, oldest first.
+    ///
+    /// Changes that were refused before they reached the log are not included.
     pub fn rejected(&self, customer: &str) -> impl Iterator<Item = &RejectedChange> {
         self.outcomes.rejected(customer)
     }
 
-    /// What became of a change: settles a lost reply to an append. `None` when it was not read
-    /// yet, is held back, or lies too far back.
+    /// Returns the outcome of a change, for an author whose append reply was lost.
+    ///
+    /// Returns `None` when the change was not read yet, is deferred, or is no longer retained.
     #[must_use]
     pub fn change_outcome(&self, id: ChangeId) -> Option<ChangeOutcome> {
         if let Some(outcome) = self.outcomes.get(id) {
@@ -224,20 +236,21 @@
         })
     }
 
-    /// Judges a change as if it were appended now: tells an author early what every reader would
-    /// say. The log may still take another change first.
+    /// Evaluates a change as if it were appended now.
+    ///
+    /// The result is preliminary: another change may still reach the log first.
     ///
     /// # Errors
     ///
-    /// Why it would be rejected.
+    /// Returns the reason for which readers would reject the change.
     pub fn preview(&self, change: &ContractChange) -> Result<(), RejectReason> {
         let offset = self.next.max(change.seen);
-        judge::check_content(change, offset)?;
+        evaluate::check_content(change, offset)?;
         let current = self.entry(change.customer.as_str());
-        judge::judge(current, change, offset).map(|_| ())
+        evaluate::evaluate(current, change, offset).map(|_| ())
     }
 
-    /// Starts a change on what is in force here.
+    /// Starts a change based on the version in force in this book.
     #[must_use]
     pub fn draft(
         &self,
@@ -254,7 +267,7 @@
             .seen(self.next.max(base.0))
     }
 
-    /// The summary for gossip.
+    /// Returns the summary for gossip.
     #[must_use]
     pub fn version_digest(&self) -> VersionDigest {
         let newest = self.versions.last();
@@ -265,32 +278,34 @@
         }
     }
 
-    /// The compiled form of everything in force.
+    /// Returns the compiled form of all contracts in force.
     #[must_use]
     pub fn table(&self) -> Arc<RouteTable> {
         self.builder.table()
     }
 
-    /// Gives compiled routes back when there are more than `limit` of them; see
-    /// [`RouteTable::compiled_routes`]. Tells whether there is a new table.
+    /// Drops the compiled routes when there are more than `limit`; see
+    /// [`RouteTable::compiled_routes`]. Returns whether the table was replaced.
     pub fn trim_table(&mut self, limit: usize) -> bool {
-        self.builder.trim(limit)
+        self.builder.drop_compiled_routes(limit)
     }
 
-    /// Tokens that several contracts in force name. The customer that was created first holds each.
+    /// Returns a finding for each token that several contracts in force contain.
+    ///
+    /// Such a token belongs to the customer that was created first.
     #[must_use]
     pub fn token_findings(&self) -> FindingList {
         self.builder.findings()
     }
 
-    /// Takes the findings since the last call: state that a peer or a record told wrongly.
+    /// Returns and clears the findings about wrong state received from peers or carry records.
     #[must_use]
     pub fn take_findings(&mut self) -> Vec<SettingFinding> {
         self.findings.drain(..).collect()
     }
 
-    /// Whether peers may take this book's state for the log's.
-    fn speaks_for_log(&self) -> bool {
-        self.is_whole() && self.future == 0 && !self.disputed
+    /// Returns whether peers may treat this book's state as that of the log.
+    fn is_authoritative(&self) -> bool {
+        self.is_complete() && self.future_records == 0 && !self.contradicted
     }
 }
--- a/crates/contract/src/book/outcome.rs
+++ b/crates/contract/src/book/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of records and changes.
+//! Outcomes of records and changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,29 +8,29 @@
 use sycamorelink_core::CustomerName;
 
 use super::entry::HistoryAction;
-use super::judge::{ChangeWinner, RejectReason};
+use super::evaluate::{ChangeWinner, RejectReason};
 use crate::change::{ChangeId, ContractChange, ContractVersion};
 
-/// Changes whose result is remembered.
-pub const OUTCOME_LENGTH: usize = 4096;
+/// Maximum number of changes whose outcome is retained.
+pub const MAX_OUTCOMES: usize = 4096;
 
-/// Rejected changes remembered for histories, over all customers.
-pub const REJECTED_LENGTH: usize = 256;
+/// Maximum number of rejected changes retained for histories, over all customers.
+pub const MAX_REJECTED: usize = 256;
 
-/// What became of one change.
+/// Final outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeOutcome {
-    /// It is in the log's order.
+    /// The change was accepted.
     Accepted {
-        /// Its version.
+        /// Version that the change created.
         version: ContractVersion,
     },
-    /// It has no effect and never will.
+    /// The change has no effect and never will.
     Rejected {
-        /// The version that stands in the way, where there is one.
+        /// Conflicting version, if there is one.
         winner: Option<ChangeWinner>,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectReason,
     },
 }
@@ -44,82 +44,82 @@
     }
 }
 
-/// What a record did.
+/// Effect of a record on the book.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// A change was accepted.
     Accepted {
-        /// The customer.
+        /// Customer of the change.
         customer: CustomerName,
-        /// The new version.
+        /// Version that the change created.
         version: ContractVersion,
     },
     /// The record has no effect.
     Rejected {
-        /// The change, where the record could be read so far.
+        /// Id of the change; `None` if the record is not a valid change.
         change: Option<ChangeId>,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectReason,
     },
-    /// A further copy of a change.
+    /// The record is another copy of a change.
     Repeated {
-        /// The change.
+        /// Id of the change.
         change: ChangeId,
-        /// What became of the first copy.
+        /// Outcome of the first copy.
         first: ChangeOutcome,
     },
-    /// The customer's state before this record is not known yet; the change is judged once it is.
+    /// The customer's state before this record is not proven yet. The change is evaluated later.
     Deferred {
-        /// The customer.
+        /// Customer of the change.
         customer: CustomerName,
-        /// The change.
+        /// Id of the change.
         change: ChangeId,
     },
-    /// State carried forward.
+    /// The record carried state forward.
     Carried(CarryCount),
     /// The record was read before.
     Skipped,
-    /// Records are missing before this one. Nothing was applied; see
+    /// Records before this one are missing. Nothing was applied; see
     /// [`ContractBook::restart_at`](super::ContractBook::restart_at).
     Gap {
-        /// The offset the book needs next.
+        /// Next offset of the book.
         expected: u64,
-        /// The offset it was given.
+        /// Offset of the record.
         found: u64,
     },
 }
 
-/// What the entries of a carrying record did.
+/// Effects of the entries of a carry record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CarryCount {
-    /// They told this reader a state it did not know.
+    /// Entries that restored a state unknown to this reader.
     pub restored: usize,
-    /// They agree with what this reader knows.
+    /// Entries that agree with this reader's state.
     pub confirmed: usize,
-    /// They tell of a time before what this reader knows.
+    /// Entries that refer to an offset before this reader's known state.
     pub stale: usize,
-    /// They contradict the log or themselves. Reported as findings.
+    /// Entries that are invalid or contradict the log. Reported as findings.
     pub refused: usize,
 }
 
-/// A change that was read and has no effect, for a customer's history.
+/// Rejected change in a customer's history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedChange {
-    /// The customer.
+    /// Customer of the change.
     pub customer: CustomerName,
-    /// Version that it would have made: its place among the accepted ones.
+    /// Version that the change would have created; orders it among the accepted versions.
     pub place: ContractVersion,
     /// Id of the change.
     pub change: ChangeId,
-    /// Version it meant to amend, zero for a creation.
+    /// Version that the change tried to amend, zero for a creation.
     pub base: ContractVersion,
-    /// What it meant to do, without the content.
+    /// Requested action, without the content.
     pub action: HistoryAction,
-    /// Who made it.
+    /// Author of the change.
     pub author: Arc<str>,
-    /// Wall clock of the author's node, for display.
+    /// Wall clock of the author's node, for display only.
     pub stamp: Duration,
-    /// Why it has no effect.
+    /// Reason for the rejection.
     pub reason: RejectReason,
 }
 
@@ -142,21 +142,21 @@
     }
 }
 
-/// Results of recent changes. For reports only: no verdict depends on it.
+/// Outcomes of recent changes. For reports only: the evaluation of changes never reads it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OutcomeMemory {
+pub(super) struct OutcomeCache {
     outcomes: BTreeMap<ChangeId, ChangeOutcome>,
     order: VecDeque<ChangeId>,
     rejected: VecDeque<RejectedChange>,
 }
 
-impl OutcomeMemory {
+impl OutcomeCache {
     pub(super) fn get(&self, id: ChangeId) -> Option<&ChangeOutcome> {
         self.outcomes.get(&id)
     }
 
-    /// The remembered rejections of a customer, oldest first. A change with a copy that was
-    /// accepted is none.
+    /// Returns the retained rejections of a customer, oldest first. Changes of which another copy
+    /// was accepted are left out.
     pub(super) fn rejected(&self, customer: &str) -> impl Iterator<Item = &RejectedChange> {
         self.rejected.iter().filter(move |rejected| {
             let accepted = matches!(
@@ -168,13 +168,13 @@
     }
 
     pub(super) fn add_rejected(&mut self, rejected: RejectedChange) {
-        if self.rejected.len() == REJECTED_LENGTH {
+        if self.rejected.len() == MAX_REJECTED {
             self.rejected.pop_front();
         }
         self.rejected.push_back(rejected);
     }
 
-    /// Remembers a result. The first one stays, but an acceptance goes before a rejection.
+    /// Records an outcome. The first one is kept, except that an acceptance replaces a rejection.
     pub(super) fn add(&mut self, id: ChangeId, outcome: ChangeOutcome) {
         let accepted = matches!(outcome, ChangeOutcome::Accepted { .. });
         if let Some(first) = self.outcomes.get_mut(&id) {
@@ -185,7 +185,7 @@
         }
         self.outcomes.insert(id, outcome);
         self.order.push_back(id);
-        if self.order.len() > OUTCOME_LENGTH
+        if self.order.len() > MAX_OUTCOMES
             && let Some(oldest) = self.order.pop_front()
         {
             self.outcomes.remove(&oldest);
--- a/crates/contract/src/book/page.rs
+++ b/crates/contract/src/book/page.rs
@@ -1,4 +1,4 @@
-//! A large book in pages, for peers that start while the log is down.
+//! Transfer of a large book in pages, for nodes that start while the log is unavailable.
 //!
 //! ```text
 //! asking node                         any peers
@@ -7,12 +7,13 @@
 //!   next_request() = Page(after "k") ----->  book.page(Some("k"), bytes)
 //!   ...
 //!   next_request() = Newer(v)        ----->  book.newer(v)
-//!   finish(newer)                    <-----  snapshot as of that answer's offset
+//!   finish(newer)                    <-----  snapshot as of that reply's offset
 //! ```
 //!
-//! Pages are of different moments, so together they are no state the log ever had. The last answer
-//! mends that: it has everything that came into force after the earliest page. What it does not
-//! name has not changed since, so pages and answer together are the state at the answer's offset.
+//! Pages are taken at different offsets, so together they do not form a consistent state. The last
+//! reply fixes this: it contains all entries that came into force after the earliest page. Entries
+//! that it does not contain have not changed since, so the pages and the last reply together form
+//! the state at the offset of that reply.
 
 use std::collections::BTreeMap;
 
@@ -24,52 +25,52 @@
 use crate::change::{ContractVersion, RECORD_FORMAT};
 use crate::text::ContractText;
 
-/// Bytes of an entry besides its content.
-const ENTRY_BYTES: usize = 256;
+/// Estimated size of an entry without its content, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
-/// Some entries of a book, in order of customer, or those newer than a version.
+/// Part of a book's entries: a page in order of customer, or those newer than a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPage {
-    /// Format of the records the book read.
+    /// Record format supported by the book's node.
     pub format: u64,
     /// Next offset of the book.
     pub offset: u64,
-    /// Whether the book was whole.
+    /// Whether the state was complete, in supported formats only, and not contradicted by the log.
     pub whole: bool,
-    /// The entries, removals too.
+    /// Entries of the page, including removals.
     pub entries: Vec<SnapshotEntry>,
-    /// Whether no customer comes after these.
+    /// Whether this is the last page.
     pub last: bool,
 }
 
 impl ContractBook {
-    /// The entries after a customer, as many as fit into about so many bytes, at least one.
+    /// Returns the entries after a customer that fit into about `bytes`, but at least one.
     #[must_use]
     pub fn page(&self, after: Option<&CustomerName>, bytes: usize) -> SnapshotPage {
         let mut page = self.empty_page();
-        let mut room = bytes;
+        let mut bytes_left = bytes;
         for (customer, state) in &self.states {
             if after.is_some_and(|after| customer <= after) {
                 continue;
             }
             let settled = snapshot_entries(state)
                 .into_iter()
-                .filter(|part| part.entry.version.0 <= self.next);
-            for part in settled {
-                let content = part.entry.contract.as_ref();
-                let size = ENTRY_BYTES + content.map_or(0, ContractText::size);
-                if size > room && !page.entries.is_empty() {
+                .filter(|item| item.entry.version.0 <= self.next);
+            for item in settled {
+                let content = item.entry.contract.as_ref();
+                let size = ENTRY_OVERHEAD_BYTES + content.map_or(0, ContractText::size);
+                if size > bytes_left && !page.entries.is_empty() {
                     page.last = false;
                     return page;
                 }
-                room = room.saturating_sub(size);
-                page.entries.push(part);
+                bytes_left = bytes_left.saturating_sub(size);
+                page.entries.push(item);
             }
         }
         page
     }
 
-    /// The entries newer than a version, also those that are ahead of the log.
+    /// Returns the entries newer than a version, including those ahead of the log.
     #[must_use]
     pub fn newer(&self, version: ContractVersion) -> SnapshotPage {
         let mut page = self.empty_page();
@@ -78,7 +79,7 @@
             .filter_map(|entry| self.states.get(&entry.customer));
         let entries = states.flat_map(snapshot_entries);
         page.entries = entries
-            .filter(|part| part.entry.version > version)
+            .filter(|item| item.entry.version > version)
             .collect();
         page
     }
@@ -87,28 +88,28 @@
         SnapshotPage {
             format: RECORD_FORMAT,
             offset: self.next,
-            whole: self.speaks_for_log(),
+            whole: self.is_authoritative(),
             entries: Vec::new(),
             last: true,
         }
     }
 }
 
-/// What to ask a peer for next.
+/// Next request to send to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageRequest {
-    /// The page after a customer, the first one for `None`.
+    /// Requests the page after a customer, or the first page for `None`.
     Page(Option<CustomerName>),
-    /// Everything newer than a version.
+    /// Requests all entries newer than a version.
     Newer(ContractVersion),
 }
 
-/// Puts pages together to a snapshot.
+/// Assembles pages into a snapshot.
 #[derive(Clone, Debug)]
 pub struct SnapshotAssembly {
     entries: BTreeMap<CustomerName, SnapshotEntry>,
-    lowest: u64,
-    highest: u64,
+    lowest_offset: u64,
+    highest_offset: u64,
     whole: bool,
     last: bool,
 }
@@ -117,8 +118,8 @@
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
-            lowest: u64::MAX,
-            highest: 0,
+            lowest_offset: u64::MAX,
+            highest_offset: 0,
             whole: true,
             last: false,
         }
@@ -126,36 +127,37 @@
 }
 
 impl SnapshotAssembly {
-    /// What to ask for next, of any peer.
+    /// Returns the next request, which any peer can answer.
     #[must_use]
     pub fn next_request(&self) -> PageRequest {
         if self.last {
-            return PageRequest::Newer(ContractVersion(self.lowest));
+            return PageRequest::Newer(ContractVersion(self.lowest_offset));
         }
         let after = self.entries.last_key_value();
         PageRequest::Page(after.map(|(customer, _)| customer.clone()))
     }
 
-    /// Takes the page that was asked for.
+    /// Adds the requested page.
     pub fn add(&mut self, page: SnapshotPage) {
-        self.lowest = self.lowest.min(page.offset);
-        self.highest = self.highest.max(page.offset);
+        self.lowest_offset = self.lowest_offset.min(page.offset);
+        self.highest_offset = self.highest_offset.max(page.offset);
         self.whole &= page.whole && page.format == RECORD_FORMAT;
         self.last = page.last;
-        for part in page.entries {
-            self.entries.insert(part.entry.customer.clone(), part);
+        for item in page.entries {
+            self.entries.insert(item.entry.customer.clone(), item);
         }
     }
 
-    /// Takes everything newer and gives the snapshot.
+    /// Adds the reply to the last request and returns the snapshot.
     ///
     /// # Errors
     ///
-    /// Gives itself back when the answer is of a moment before one of the pages, or so long after
-    /// them that removals may be forgotten: ask another peer, or start again.
+    /// Returns the assembly when pages are missing, when the reply is older than one of the pages,
+    /// or when it is so much newer that the peer may no longer retain removals. Ask another peer
+    /// or start again.
     pub fn finish(mut self, newer: SnapshotPage) -> Result<BookSnapshot, Box<Self>> {
-        let behind = newer.offset < self.highest;
-        let late = newer.offset.saturating_sub(self.lowest) > TOMBSTONE_SPAN;
+        let behind = newer.offset < self.highest_offset;
+        let late = newer.offset.saturating_sub(self.lowest_offset) > TOMBSTONE_SPAN;
         if !self.last || behind || late {
             return Err(Box::new(self));
         }
@@ -164,9 +166,9 @@
         let (settled, ahead): (Vec<_>, Vec<_>) = newer
             .entries
             .into_iter()
-            .partition(|part| part.entry.version.0 <= offset);
-        for part in settled {
-            self.entries.insert(part.entry.customer.clone(), part);
+            .partition(|item| item.entry.version.0 <= offset);
+        for item in settled {
+            self.entries.insert(item.entry.customer.clone(), item);
         }
         let entries = self.entries.into_values().chain(ahead).collect();
         Ok(BookSnapshot::seal(offset, whole, entries))
--- a/crates/contract/src/book/replay.rs
+++ b/crates/contract/src/book/replay.rs
@@ -1,17 +1,18 @@
-//! Reading records: from bytes to a new state and table.
+//! Replay of log records: decodes each record and updates the state and the table.
 
 use sycamorelink_core::{CustomerName, SettingFinding};
 
 use super::entry::{BookEntry, CustomerState, EntryProof};
-use super::judge::{self, RejectReason, TOMBSTONE_SPAN};
+use super::evaluate::{self, RejectReason, TOMBSTONE_SPAN};
 use super::outcome::{ApplyOutcome, ChangeOutcome, RejectedChange};
-use super::{ContractBook, FINDING_LENGTH};
+use super::{ContractBook, MAX_PENDING_FINDINGS};
 use crate::change::{ContractChange, ContractVersion, LogRecord};
 use crate::table::ContractInForce;
 
 impl ContractBook {
-    /// Reads the record at an offset. A record that cannot be read or is invalid is passed over;
-    /// nothing stops the replay.
+    /// Applies the record at an offset.
+    ///
+    /// A record that is invalid or cannot be decoded is skipped; the replay never stops.
     pub fn apply(&mut self, offset: u64, bytes: &[u8]) -> ApplyOutcome {
         if offset < self.next {
             return ApplyOutcome::Skipped;
@@ -23,20 +24,20 @@
             };
         }
         self.next = offset.saturating_add(1);
-        self.read += 1;
+        self.records_read += 1;
         let outcome = match LogRecord::decode(bytes) {
             Ok(LogRecord::Change(change)) => self.apply_change(offset, *change),
             Ok(LogRecord::Carry(record)) => self.apply_carry(offset, record),
-            Err(error) => self.pass_over(error.into()),
+            Err(error) => self.reject_undecodable(error.into()),
         };
-        self.check_ahead(ContractVersion::at(offset));
-        self.finish_reading();
+        self.resolve_ahead_at(ContractVersion::at(offset));
+        self.finish_catch_up();
         self.drop_tombstones();
         outcome
     }
 
     fn apply_change(&mut self, offset: u64, change: ContractChange) -> ApplyOutcome {
-        if let Err(reason) = judge::check_content(&change, offset) {
+        if let Err(reason) = evaluate::check_content(&change, offset) {
             return self.reject(offset, &change, reason);
         }
         if !self.is_proven(&change.customer) {
@@ -49,13 +50,13 @@
                 change: id,
             };
         }
-        self.judge_change(offset, &change)
+        self.evaluate_change(offset, &change)
     }
 
-    fn judge_change(&mut self, offset: u64, change: &ContractChange) -> ApplyOutcome {
+    fn evaluate_change(&mut self, offset: u64, change: &ContractChange) -> ApplyOutcome {
         let state = self.states.get(&change.customer);
         let current = state.and_then(|state| state.settled.as_ref());
-        match judge::judge(current, change, offset) {
+        match evaluate::evaluate(current, change, offset) {
             Ok(entry) => self.accept(entry, change),
             Err(reason) => self.reject(offset, change, reason),
         }
@@ -74,9 +75,9 @@
         };
         self.update(&customer, |state| {
             state.proven = true;
-            // A reader that starts after a removal and before a new creation does not know of the
-            // removal, and would take a late copy of an earlier creation in between. So a creation
-            // proves itself only where no removal is remembered.
+            // A reader that starts between a removal and a new creation does not know about the
+            // removal and would accept a late copy of an earlier creation in between. Therefore a
+            // creation is its own proof only if no removal is retained.
             if state.settled.is_none() {
                 state.proof = proof;
             }
@@ -106,9 +107,9 @@
         }
     }
 
-    fn pass_over(&mut self, reason: RejectReason) -> ApplyOutcome {
+    fn reject_undecodable(&mut self, reason: RejectReason) -> ApplyOutcome {
         if matches!(reason, RejectReason::FutureFormat(_)) {
-            self.future += 1;
+            self.future_records += 1;
         }
         ApplyOutcome::Rejected {
             change: None,
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Whether a customer's state follows from what was read.
+    /// Returns whether a customer's state follows from the records read.
     pub(super) fn is_proven(&self, customer: &CustomerName) -> bool {
-        self.is_whole() || self.states.get(customer).is_some_and(|state| state.proven)
+        self.is_complete() || self.states.get(customer).is_some_and(|state| state.proven)
     }
 
-    /// Changes a customer's state, and brings all that follows from it into line.
+    /// Changes a customer's state and updates the tombstones, indexes, digest and table.
     pub(super) fn update<F>(&mut self, customer: &CustomerName, change: F)
     where
         F: FnOnce(&mut CustomerState),
@@ -139,10 +140,10 @@
         if let Some(version) = tombstone {
             self.tombstones.insert(version, customer.clone());
         }
-        self.bring_into_line(customer, before.as_ref(), after.as_ref());
+        self.update_indexes(customer, before.as_ref(), after.as_ref());
     }
 
-    fn bring_into_line(
+    fn update_indexes(
         &mut self,
         customer: &CustomerName,
         before: Option<&BookEntry>,
@@ -153,11 +154,11 @@
         }
         if let Some(entry) = before {
             self.versions.remove(&(entry.version, customer.clone()));
-            self.digest.toggle(&entry.mark());
+            self.digest.toggle(&entry.fingerprint());
         }
         if let Some(entry) = after {
             self.versions.insert((entry.version, customer.clone()));
-            self.digest.toggle(&entry.mark());
+            self.digest.toggle(&entry.fingerprint());
         }
         let content = after.and_then(|entry| entry.contract.as_ref());
         match (after, content) {
@@ -170,11 +171,11 @@
         }
     }
 
-    pub(super) fn finish_reading(&mut self) {
-        if self.whole_at.is_none_or(|offset| self.next < offset) {
+    pub(super) fn finish_catch_up(&mut self) {
+        if self.complete_at.is_none_or(|offset| self.next < offset) {
             return;
         }
-        self.whole_at = None;
+        self.complete_at = None;
         self.rebuilding = false;
         let unproven: Vec<CustomerName> = self
             .states
@@ -183,38 +184,41 @@
             .map(|(customer, _)| customer.clone())
             .collect();
         for customer in unproven {
-            self.assume_proven(&customer);
+            self.resolve_unproven(&customer);
         }
     }
 
-    /// Nothing below the log's head carried this customer, so by the rule of carrying it had no
-    /// contract where the reading started. What was known before the gap is kept all the same
-    /// when a removal would still have been carried: then the rule was broken, because nobody
-    /// could append for the whole retention, and dropping the contract would cut the customer off.
-    fn assume_proven(&mut self, customer: &CustomerName) {
+    /// Settles a customer that no record below the log's head carried.
+    ///
+    /// Normally such a customer had no contract at the offset where reading started. But if the
+    /// gap is so short that even a removal would have been carried, no node can have appended
+    /// records for the whole retention. The contract known before the gap is then kept, because
+    /// dropping it would cut the customer off.
+    fn resolve_unproven(&mut self, customer: &CustomerName) {
         let start = self.start;
-        let gap_from = self.gap_from;
-        self.update(customer, |state| state.assume(start, gap_from));
+        let gap_start = self.gap_start;
+        self.update(customer, |state| state.settle_last_known(start, gap_start));
         let state = self.states.get(customer);
-        if state.is_some_and(|state| state.settled.is_some() || state.torn > 0) {
+        if state.is_some_and(|state| state.settled.is_some() || state.discarded_below > 0) {
             let message = "its state was not carried forward in time".to_owned();
             self.report(customer, message);
         }
-        self.judge_deferred(customer, start);
+        self.evaluate_deferred(customer, start);
         self.resolve_ahead(customer);
     }
 
-    /// Judges the held-back changes at or after an offset; those before it took no effect.
-    pub(super) fn judge_deferred(&mut self, customer: &CustomerName, from: u64) {
+    /// Evaluates the deferred changes at or after an offset and discards the earlier ones, which
+    /// the restored state already covers.
+    pub(super) fn evaluate_deferred(&mut self, customer: &CustomerName, from: u64) {
         let Some(state) = self.states.get_mut(customer) else {
             return;
         };
         state.proven = true;
-        state.torn = 0;
+        state.discarded_below = 0;
         let deferred = std::mem::take(&mut state.deferred);
         for (offset, change) in deferred {
             if offset >= from {
-                self.judge_change(offset, &change);
+                self.evaluate_change(offset, &change);
             }
         }
     }
@@ -239,7 +243,7 @@
     }
 
     pub(super) fn report(&mut self, customer: &CustomerName, message: String) {
-        if self.findings.len() == FINDING_LENGTH {
+        if self.findings.len() == MAX_PENDING_FINDINGS {
             self.findings.pop_front();
         }
         self.findings.push_back(SettingFinding {
--- a/crates/contract/src/book/snapshot.rs
+++ b/crates/contract/src/book/snapshot.rs
@@ -1,8 +1,8 @@
-//! Snapshots of the book, for nodes that start while the log is down or too long to read.
+//! Snapshots of the book, for nodes that start while the log is unavailable or too long to read.
 //!
-//! A snapshot tells the state after all records below its offset, and what its book had from
-//! peers beyond that. Adopting one never puts an older version of a customer's contract into
-//! force than was in force before, whoever offers it.
+//! A snapshot contains the state after all records below its offset, and the book's entries from
+//! peers that are ahead of the log. Adopting a snapshot never replaces a version in force by an
+//! older one, regardless of the peer that sent it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,32 +14,32 @@
 use crate::change::{ContractVersion, RECORD_FORMAT};
 use crate::digest::ContentDigest;
 
-/// One customer in a snapshot.
+/// Entry of one customer in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotEntry {
-    /// What is in force. Its version lies above the snapshot's offset when it came from a peer.
+    /// Entry of the book. Its version lies above the snapshot's offset when it came from a peer.
     pub entry: BookEntry,
-    /// How a reader of the log comes to it.
+    /// Record from which a reader of the log derives the entry.
     pub proof: EntryProof,
 }
 
-/// The state of a book, with digests.
+/// State of a book at an offset, protected by a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BookSnapshot {
-    /// Format of the records the book read.
+    /// Record format supported by the book's node.
     pub format: u64,
-    /// Next offset of the book: it has everything below.
+    /// Next offset of the book; the state covers every record below it.
     pub offset: u64,
-    /// Whether the book was whole.
+    /// Whether the state was complete, in supported formats only, and not contradicted by the log.
     pub whole: bool,
-    /// Settled entries and those ahead of the log, removals too, in order of customer.
+    /// Settled entries and those ahead of the log, including removals, in order of customer.
     pub entries: Vec<SnapshotEntry>,
-    /// SHA-256 over all of the above.
+    /// SHA-256 over the fields above; entries count by their fingerprint and proof offsets.
     pub digest: ContentDigest,
 }
 
 impl BookSnapshot {
-    /// Puts a snapshot together and computes its digest.
+    /// Creates a snapshot and computes its digest.
     #[must_use]
     pub fn seal(offset: u64, whole: bool, entries: Vec<SnapshotEntry>) -> Self {
         let mut snapshot = Self {
@@ -58,16 +58,16 @@
         parts.push(self.format.to_be_bytes().to_vec());
         parts.push(self.offset.to_be_bytes().to_vec());
         parts.push(vec![u8::from(self.whole)]);
-        for part in &self.entries {
-            parts.push(part.entry.mark().0.to_vec());
-            parts.push(part.proof.as_of.to_be_bytes().to_vec());
-            parts.push(part.proof.record.to_be_bytes().to_vec());
+        for item in &self.entries {
+            parts.push(item.entry.fingerprint().0.to_vec());
+            parts.push(item.proof.as_of.to_be_bytes().to_vec());
+            parts.push(item.proof.record.to_be_bytes().to_vec());
         }
         let parts: Vec<&[u8]> = parts.iter().map(Vec::as_slice).collect();
         ContentDigest::of_parts(&parts)
     }
 
-    /// Everything that shows the snapshot to be damaged or inconsistent.
+    /// Returns a finding for everything that shows the snapshot to be damaged or inconsistent.
     #[must_use]
     pub fn verify(&self) -> FindingList {
         let mut findings = FindingList::default();
@@ -82,11 +82,11 @@
             "does not match the entries",
         );
         let mut seen = BTreeSet::new();
-        for part in &self.entries {
-            let entry = &part.entry;
+        for item in &self.entries {
+            let entry = &item.entry;
             let place = format!("entries.{}", entry.customer);
-            if let Some(fault) = entry.fault() {
-                findings.add(&place, fault);
+            if let Some(error) = entry.validation_error() {
+                findings.add(&place, error);
             }
             let settled = entry.version.0 <= self.offset;
             findings.expect(
@@ -99,32 +99,32 @@
     }
 }
 
-/// What adopting a snapshot or some entries did.
+/// Result of adopting a snapshot or individual entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdoptOutcome {
-    /// Customers for which a newer version came into force.
+    /// Customers for which another version came into force.
     pub taken: Vec<CustomerName>,
-    /// Entries that were not newer than what was in force.
+    /// Number of entries that were not newer than the version in force.
     pub kept: usize,
-    /// Whether the book now reads on at the snapshot's offset.
+    /// Whether the book skipped forward and continues at the snapshot's offset.
     pub moved: bool,
-    /// What was refused and why.
+    /// Refused entries, with the reason for each.
     pub findings: FindingList,
 }
 
 impl ContractBook {
-    /// The state of the book.
+    /// Returns a snapshot of the book.
     #[must_use]
     pub fn snapshot(&self) -> BookSnapshot {
         let entries = self.states.values().flat_map(snapshot_entries).collect();
-        BookSnapshot::seal(self.next, self.speaks_for_log(), entries)
+        BookSnapshot::seal(self.next, self.is_authoritative(), entries)
     }
 
-    /// Takes what a peer's snapshot has and this book lacks.
+    /// Adopts the entries of a peer's snapshot that are newer than this book's.
     ///
-    /// A book that read nothing of the log yet, or that misses records, takes a whole snapshot as
-    /// its new base and reads on from there. Any other book takes only versions from offsets it
-    /// has not read, and lets the log decide when it comes to them.
+    /// A book that has read no records yet, or that misses records, adopts a complete snapshot as
+    /// its new base and continues at its offset. Any other book adopts only versions from offsets
+    /// that it has not read, and the log decides when they are read.
     pub fn adopt(&mut self, snapshot: &BookSnapshot) -> AdoptOutcome {
         let mut outcome = AdoptOutcome {
             findings: snapshot.verify(),
@@ -134,21 +134,22 @@
             return outcome;
         }
         let before = self.versions_in_force();
-        let open = !self.rebuilding && (self.read == 0 || !self.is_whole());
+        let open = !self.rebuilding && (self.records_read == 0 || !self.is_complete());
         let covers = snapshot.whole && snapshot.offset >= self.start;
         if open && covers {
             outcome.moved = snapshot.offset > self.next;
             self.rebase(snapshot, &mut outcome);
         }
-        for part in &snapshot.entries {
-            self.offer(&part.entry, snapshot.offset, &mut outcome);
+        for item in &snapshot.entries {
+            self.adopt_entry(&item.entry, snapshot.offset, &mut outcome);
         }
         outcome.taken = self.versions_since(&before);
         outcome
     }
 
-    /// Takes entries that a peer sent alone, such as those newer than this book's offset. Each is
-    /// in force until the log is read up to it, and then the log decides.
+    /// Adopts individual entries from a peer, such as those newer than this book's offset.
+    ///
+    /// Each entry is in force until the log is read up to it; then the log decides.
     pub fn adopt_entries<'a, I>(&mut self, entries: I) -> AdoptOutcome
     where
         I: IntoIterator<Item = &'a BookEntry>,
@@ -156,11 +157,11 @@
         let mut outcome = AdoptOutcome::default();
         let before = self.versions_in_force();
         for entry in entries {
-            if let Some(fault) = entry.fault() {
-                outcome.findings.add(entry.customer.as_str(), fault);
+            if let Some(error) = entry.validation_error() {
+                outcome.findings.add(entry.customer.as_str(), error);
                 continue;
             }
-            self.offer(entry, entry.version.0, &mut outcome);
+            self.adopt_entry(entry, entry.version.0, &mut outcome);
         }
         outcome.taken = self.versions_since(&before);
         outcome
@@ -182,34 +183,34 @@
         entries.map(|entry| entry.customer.clone()).collect()
     }
 
-    /// Takes the snapshot's state as that after all records below its offset.
+    /// Adopts the snapshot as the state after all records below its offset.
     fn rebase(&mut self, snapshot: &BookSnapshot, outcome: &mut AdoptOutcome) {
         self.peer_based = true;
-        self.whole_at = None;
+        self.complete_at = None;
         if outcome.moved {
-            self.base_round = self.head_round;
+            self.base_reply = self.head_replies;
             self.next = snapshot.offset;
             self.start = snapshot.offset;
-            self.read = 0;
+            self.records_read = 0;
         }
         let offered: BTreeMap<&CustomerName, &SnapshotEntry> = snapshot
             .entries
             .iter()
-            .filter(|part| part.entry.version.0 <= snapshot.offset)
-            .map(|part| (&part.entry.customer, part))
+            .filter(|item| item.entry.version.0 <= snapshot.offset)
+            .map(|item| (&item.entry.customer, item))
             .collect();
         let known: BTreeSet<CustomerName> = self.states.keys().cloned().collect();
         let all = offered.keys().map(|customer| (*customer).clone());
         for customer in all.chain(known).collect::<BTreeSet<_>>() {
-            let part = offered.get(&customer).copied();
-            self.rebase_customer(&customer, part, snapshot.offset, outcome);
+            let item = offered.get(&customer).copied();
+            self.rebase_customer(&customer, item, snapshot.offset, outcome);
         }
     }
 
     fn rebase_customer(
         &mut self,
         customer: &CustomerName,
-        part: Option<&SnapshotEntry>,
+        item: Option<&SnapshotEntry>,
         offset: u64,
         outcome: &mut AdoptOutcome,
     ) {
@@ -217,20 +218,20 @@
         if !outcome.moved && state.is_some_and(|state| state.proven) {
             return;
         }
-        if state.is_some_and(|state| state.torn > offset) {
-            self.disputed = true;
+        if state.is_some_and(|state| state.discarded_below > offset) {
+            self.contradicted = true;
             self.report(customer, "too many changes were held back".to_owned());
         }
         let state = self.states.get(customer);
         let settled = state.and_then(|state| state.settled.clone());
-        match (settled, part) {
-            (Some(own), Some(part)) if own.version > part.entry.version => {
+        match (settled, item) {
+            (Some(own), Some(item)) if own.version > item.entry.version => {
                 outcome.findings.add(
                     customer.as_str(),
-                    format!("offers {}, older than {}", part.entry.version, own.version),
+                    format!("offers {}, older than {}", item.entry.version, own.version),
                 );
             }
-            (Some(own), Some(part)) if own.agrees(&part.entry) => {}
+            (Some(own), Some(item)) if own.agrees(&item.entry) => {}
             (Some(own), None) if offset.saturating_sub(own.version.0) <= TOMBSTONE_SPAN => {
                 outcome
                     .findings
@@ -238,18 +239,18 @@
             }
             (Some(_), None) => self.update(customer, |state| state.settled = None),
             (None, None) => {}
-            (_, Some(part)) => self.update(customer, |state| {
+            (_, Some(item)) => self.update(customer, |state| {
                 state.origin = ProofOrigin::Peer;
-                state.proof = part.proof;
-                state.settle_anew(part.entry.clone());
+                state.proof = item.proof;
+                state.settle_after_gap(item.entry.clone());
             }),
         }
-        self.judge_deferred(customer, offset);
+        self.evaluate_deferred(customer, offset);
     }
 
-    /// Takes one entry of a peer that read up to `as_of` when it is newer than what is in force
-    /// and the log as read here does not speak against it.
-    fn offer(&mut self, entry: &BookEntry, as_of: u64, outcome: &mut AdoptOutcome) {
+    /// Adopts an entry of a peer whose next offset is `as_of`, if the entry is newer than the
+    /// version in force and does not contradict the records read.
+    fn adopt_entry(&mut self, entry: &BookEntry, as_of: u64, outcome: &mut AdoptOutcome) {
         let state = self.states.get(&entry.customer);
         let in_force = state.and_then(CustomerState::in_force);
         if let Some(own) = in_force.filter(|own| own.version >= entry.version) {
--- a/crates/contract/src/change/id.rs
+++ b/crates/contract/src/change/id.rs
@@ -1,12 +1,12 @@
-//! Versions and ids of changes.
+//! Contract versions and change ids.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-/// Version of a customer's contract: offset of the record that was accepted, plus one. Zero is
-/// "no contract".
+/// Version of a customer's contract: offset of the accepted record plus one. Zero means "no
+/// contract".
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,13 +14,13 @@
 pub struct ContractVersion(pub u64);
 
 impl ContractVersion {
-    /// The version of a record accepted at an offset.
+    /// Returns the version of a record accepted at an offset.
     #[must_use]
     pub const fn at(offset: u64) -> Self {
         Self(offset.saturating_add(1))
     }
 
-    /// The offset of the record; `None` for "no contract".
+    /// Returns the offset of the record; `None` for "no contract".
     #[must_use]
     pub const fn offset(self) -> Option<u64> {
         self.0.checked_sub(1)
@@ -33,8 +33,8 @@
     }
 }
 
-/// Id of one change, chosen by its author before the first append, so that the result can be
-/// asked for when the reply to the append is lost.
+/// Id of a change, chosen by the author before the first append. If the reply to the append is
+/// lost, the author queries the outcome by this id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u128);
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Text that is not the id of a change.
+/// Error for text that is not the id of a change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not the id of a change: {0:?}")]
 pub struct ChangeIdError(String);
--- a/crates/contract/src/change/mod.rs
+++ b/crates/contract/src/change/mod.rs
@@ -1,4 +1,4 @@
-//! Changes as they are written to the platform's log, and the content they carry.
+//! Changes in the form written to the platform's log, and their content.
 //!
 //! A record is one JSON object: `{"format": 1, "kind": "change", ...}` with the fields of
 //! [`ContractChange`], or `"kind": "carry"` with those of [`CarryRecord`].
@@ -22,31 +22,31 @@
 use crate::text::ContractText;
 use record::encode_record;
 
-/// Longest name of an author or team in a record, in bytes.
+/// Maximum length of the name of an author or team in a record, in bytes.
 pub const MAX_AUTHOR_BYTES: usize = 128;
 
-/// What a change does.
+/// Action of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeAction {
     /// Creates or amends the contract.
     Put {
-        /// The whole new contract.
+        /// Complete new contract.
         contract: ContractText,
     },
     /// Removes the customer.
     Remove,
-    /// Puts an earlier content into force again, as a new version.
+    /// Puts earlier content into force again, as a new version.
     RollBack {
-        /// The version whose content it is.
+        /// Version that had this content.
         to: ContractVersion,
-        /// The whole content: the earlier record may have left the log.
+        /// Complete content, because the earlier record may have left the log.
         contract: ContractText,
     },
 }
 
 impl ChangeAction {
-    /// Creates or amends the contract.
+    /// Returns the action that creates or amends a contract.
     #[must_use]
     pub fn put(contract: &CustomerContract) -> Self {
         Self::Put {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The content that the change puts into force; `None` for a removal.
+    /// Returns the content that the change puts into force; `None` for a removal.
     #[must_use]
     pub const fn contract(&self) -> Option<&ContractText> {
         match self {
@@ -64,33 +64,33 @@
     }
 }
 
-/// One change of one customer's contract.
+/// Change of one customer's contract.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ContractChange {
     /// Id of the change.
     pub id: ChangeId,
-    /// The customer.
+    /// Customer whose contract is changed.
     pub customer: CustomerName,
-    /// The version that the change amends; zero creates the contract.
+    /// Version that the change amends; zero creates the contract.
     pub base: ContractVersion,
-    /// Next offset of the book from which the author took `base`. It lets a reader tell a late
-    /// copy of a creation from a new creation after a removal.
+    /// Next offset of the book from which the author took `base`. It distinguishes a late copy of
+    /// a creation from a new creation after a removal.
     pub seen: u64,
-    /// Who made the change.
+    /// Author of the change.
     pub author: Arc<str>,
-    /// The author's team.
+    /// Team of the author.
     pub team: Arc<str>,
-    /// Wall clock of the author's node. For display only; no rule reads it.
+    /// Wall clock of the author's node. For display only; no rule depends on it.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
-    /// What it does.
+    /// Action of the change.
     pub action: ChangeAction,
 }
 
 impl ContractChange {
-    /// Starts a change of a customer's contract on a base of "no contract".
+    /// Starts a change of a customer's contract with the base "no contract".
     #[must_use]
     pub fn builder(id: ChangeId, customer: CustomerName, action: ChangeAction) -> ChangeBuilder {
         ChangeBuilder {
@@ -107,17 +107,17 @@
         }
     }
 
-    /// The bytes to append to the log.
+    /// Returns the bytes to append to the log.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         encode_record("change", self)
     }
 
-    /// Reads a change from the bytes of a record.
+    /// Decodes a change from the bytes of a record.
     ///
     /// # Errors
     ///
-    /// When the bytes are no change of a known format.
+    /// Returns an error if the bytes are not a change of a known format.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         match LogRecord::decode(bytes)? {
             LogRecord::Change(change) => Ok(*change),
@@ -133,21 +133,21 @@
 }
 
 impl ChangeBuilder {
-    /// The version that the change amends.
+    /// Sets the version that the change amends.
     #[must_use]
     pub const fn base(mut self, base: ContractVersion) -> Self {
         self.change.base = base;
         self
     }
 
-    /// Next offset of the book from which the base was taken.
+    /// Sets the next offset of the book from which the base was taken.
     #[must_use]
     pub const fn seen(mut self, seen: u64) -> Self {
         self.change.seen = seen;
         self
     }
 
-    /// Who makes the change, and for which team.
+    /// Sets the author and the author's team.
     #[must_use]
     pub fn author(mut self, author: &str, team: &str) -> Self {
         self.change.author = Arc::from(author);
@@ -155,14 +155,14 @@
         self
     }
 
-    /// Wall clock of the node, for display.
+    /// Sets the wall-clock time of the author's node, for display only.
     #[must_use]
     pub const fn stamp(mut self, wall: Duration) -> Self {
         self.change.stamp = wall;
         self
     }
 
-    /// The change. A base later than what was seen raises the latter.
+    /// Returns the change. Raises `seen` to the base if the base is later.
     #[must_use]
     pub fn build(mut self) -> ContractChange {
         self.change.seen = self.change.seen.max(self.change.base.0);
--- a/crates/contract/src/change/record.rs
+++ b/crates/contract/src/change/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log as bytes.
+//! Encoding and decoding of log records.
 
 use std::time::Duration;
 
@@ -10,76 +10,76 @@
 use super::ContractChange;
 use crate::book::BookEntry;
 
-/// Format of the records written by this build. The rules by which readers judge a format never
-/// change, or two builds would replay one log differently; new rules take a new format.
+/// Format of the records written by this build. The rules for evaluating a format never change,
+/// or two builds would replay the same log differently; new rules need a new format.
 pub const RECORD_FORMAT: u64 = 1;
 
-/// Largest record in bytes that is read.
+/// Maximum size of a record that is decoded, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 
-/// Largest contract as compact JSON, in bytes. A record that carries it forward has room for it
-/// and for what goes with it.
+/// Maximum size of a contract as compact JSON, in bytes. A carry record has space for it and for
+/// the other fields of its entry.
 pub const MAX_CONTRACT_BYTES: usize = 768 * 1024;
 
-/// State carried forward before its records leave the log. Anybody may append one.
+/// Copy of state, appended before the original records leave the log. Any node may append one.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CarryRecord {
-    /// The node that appended it.
+    /// Node that appended the record.
     pub node: NodeId,
     /// Next offset of the node's book: the entries were in force after all records below it.
     pub as_of: u64,
-    /// Wall clock of the node. It may hasten or delay the next carrying, no more.
+    /// Wall clock of the node. It only affects when the state is carried forward again.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub stamp: Duration,
-    /// The entries, each with the version it got from its original record.
+    /// Entries, each with the version assigned by its original record.
     pub entries: Vec<BookEntry>,
-    /// Entries that could not be read, counted so that one of them does not spoil the others.
+    /// Number of entries that could not be decoded. One bad entry does not invalidate the others.
     #[serde(skip)]
     pub unreadable: usize,
 }
 
 impl CarryRecord {
-    /// The bytes to append to the log.
+    /// Returns the bytes to append to the log.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         encode_record("carry", self)
     }
 }
 
-/// A record of the log.
+/// Decoded record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogRecord {
-    /// A change.
+    /// Change of a contract.
     Change(Box<ContractChange>),
-    /// State carried forward.
+    /// Copy of state that is carried forward.
     Carry(CarryRecord),
 }
 
-/// Why bytes are no record.
+/// Reason for which bytes could not be decoded as a record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It is larger than [`MAX_RECORD_BYTES`].
+    /// The record is larger than [`MAX_RECORD_BYTES`].
     #[error("record of {0} bytes is too large")]
     TooLarge(usize),
-    /// It is no JSON object with a format, kind and fields as expected.
+    /// The bytes are not a JSON object with the expected format, kind and fields.
     #[error("malformed record: {0}")]
     Malformed(String),
-    /// Its format is newer than this build.
+    /// The format is newer than this build supports.
     #[error("record format {0} is newer than this build reads")]
     FutureFormat(u64),
-    /// Its kind is not known.
+    /// The kind is unknown.
     #[error("unknown kind of record: {0:?}")]
     UnknownKind(String),
 }
 
 impl LogRecord {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// When the bytes are no record of a known format and kind.
+    /// Returns an error if the bytes are not a record of a known format and kind.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::TooLarge(bytes.len()));
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads a carrying record entry by entry.
+/// Decodes a carry record entry by entry, and counts the entries that cannot be decoded.
 fn decode_carry(mut value: Value) -> Result<CarryRecord, serde_json::Error> {
     let entries = value["entries"].take();
     value["entries"] = Value::Array(Vec::new());
--- a/crates/contract/src/contract.rs
+++ b/crates/contract/src/contract.rs
@@ -1,4 +1,4 @@
-//! A customer's contract: the one document from which every limit of the customer follows.
+//! Customer contract: the document that defines all limits and routes of a customer.
 
 use std::sync::{Arc, LazyLock};
 
@@ -11,9 +11,9 @@
 use crate::terms::{
     ClientAccount, DetectionLeaning, HedgeBudget, RateLimit, RetryBudget, RouteTerms, ServiceTerms,
 };
-use crate::{shape, validate};
+use crate::{schema, validate};
 
-/// What one customer is promised and held to.
+/// Limits, services and routes of one customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerContract {
@@ -25,7 +25,7 @@
     pub tokens: Vec<ClientAccount>,
     /// Requests per second in the whole fleet.
     pub rate: RateLimit,
-    /// Requests at a time in the whole fleet.
+    /// Maximum number of concurrent requests in the whole fleet.
     pub concurrency: u32,
     /// How many requests may be retried.
     #[serde(default)]
@@ -33,7 +33,7 @@
     /// How many requests may be hedged.
     #[serde(default)]
     pub hedge_budget: HedgeBudget,
-    /// Which error of detection costs the customer more.
+    /// Preference between missed and false ejections of upstreams.
     #[serde(default)]
     pub leaning: DetectionLeaning,
     /// Header in which backend servers echo the request's id. A reply with another id is
@@ -47,12 +47,12 @@
 }
 
 impl CustomerContract {
-    /// Reads and checks a contract.
+    /// Parses and validates a contract.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it, each with its JSON path: first all faults of form, and
-    /// when there are none, all faults of meaning.
+    /// Returns all problems with their JSON paths: violations of the schema, or if there are none,
+    /// all semantic errors.
     pub fn from_json(text: &str) -> Result<Self, FindingList> {
         let mut findings = FindingList::default();
         match serde_json::from_str(text) {
@@ -71,16 +71,16 @@
         }
     }
 
-    /// Reads and checks a contract that was parsed already.
+    /// Validates a contract that was already parsed as JSON.
     ///
     /// # Errors
     ///
-    /// As [`Self::from_json`].
+    /// See [`Self::from_json`].
     pub fn from_value(value: &Value) -> Result<Self, FindingList> {
-        // The deserializer stops at the first fault, so only faulty documents take the slower
-        // check that finds all of them.
+        // The deserializer stops at the first error, so only invalid documents take the slower
+        // schema check that finds all errors.
         let contract: Self = serde_path_to_error::deserialize(value).map_err(|error| {
-            let mut findings = shape::check(&CONTRACT_SCHEMA, value);
+            let mut findings = schema::check(&CONTRACT_SCHEMA, value);
             if findings.0.is_empty() {
                 findings.add(error.path().to_string(), error.inner().to_string());
             }
@@ -90,19 +90,19 @@
         Ok(contract)
     }
 
-    /// The contract as indented JSON, without what is left at its default.
+    /// Returns the contract as indented JSON, without fields that have their default value.
     #[must_use]
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// Everything that contradicts itself in the contract, each with its JSON path.
+    /// Returns all semantic errors of the contract with their JSON paths.
     #[must_use]
     pub fn validate(&self) -> FindingList {
         validate::check(self)
     }
 
-    /// The terms of one of the contract's services.
+    /// Returns the terms of one of the contract's services.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceTerms> {
         self.services
@@ -118,7 +118,7 @@
 static CONTRACT_SCHEMA: LazyLock<Value> =
     LazyLock::new(|| schemars::schema_for!(CustomerContract).to_value());
 
-/// The JSON schema of a contract.
+/// Returns the JSON schema of a contract.
 #[must_use]
 pub fn contract_schema() -> Value {
     CONTRACT_SCHEMA.clone()
--- a/crates/contract/src/diff.rs
+++ b/crates/contract/src/diff.rs
@@ -1,4 +1,4 @@
-//! The difference of two contracts, as a list of JSON paths.
+//! Differences between two contracts, as a list of JSON paths.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,15 +8,15 @@
 
 use crate::contract::CustomerContract;
 
-/// One value that differs.
+/// Value that differs between two contracts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValueChange {
-    /// JSON path, such as `services[orders].floor`. Services and accounts are named by their name
-    /// or id, routes by method and prefix, so that a moved one is no difference.
+    /// JSON path, such as `services[orders].floor`. List items are identified by name, id, or
+    /// methods and prefix, so that reordering them is not a difference.
     pub place: String,
-    /// The value before; `None` where there was none.
+    /// Old value; `None` if there was none.
     pub old: Option<Value>,
-    /// The value after; `None` where there is none.
+    /// New value; `None` if there is none.
     pub new: Option<Value>,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Everything in which two contracts differ, in order of place.
+/// Returns all differences between two contracts in order of JSON path.
 #[must_use]
 pub fn diff(old: &CustomerContract, new: &CustomerContract) -> Vec<ValueChange> {
     let old = serde_json::to_value(old).unwrap_or_default();
@@ -82,7 +82,7 @@
     items.iter().all(|item| item_name(item).is_some())
 }
 
-/// What an item of a list is known by.
+/// Returns the name that identifies an item of a list, if it has one.
 fn item_name(item: &Value) -> Option<String> {
     if let Some(prefix) = item["prefix"].as_str() {
         let methods = item["methods"].as_array()?;
--- a/crates/contract/src/digest.rs
+++ b/crates/contract/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digests, written as 64 hexadecimal digits.
+//! SHA-256 digests, displayed as 64 hexadecimal digits.
 
 use std::fmt;
 
@@ -9,21 +9,20 @@
 /// Length of a digest in bytes.
 pub(crate) const DIGEST_BYTES: usize = 32;
 
-/// Base of hexadecimal digits.
 const HEX_BASE: u32 = 16;
 
-/// A SHA-256 digest.
+/// SHA-256 digest.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentDigest(pub [u8; DIGEST_BYTES]);
 
 impl ContentDigest {
-    /// The digest of some bytes.
+    /// Returns the digest of bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
 
-    /// The digest of several parts, each with its length.
+    /// Returns the digest of several parts, each preceded by its length.
     #[must_use]
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
@@ -34,20 +33,20 @@
         Self(hasher.finalize().into())
     }
 
-    /// Adds or takes away one part of a digest of a set, whatever the order.
+    /// Adds an item to the digest of a set or removes it, by XOR. The order does not matter.
     pub fn toggle(&mut self, part: &Self) {
         for (byte, other) in self.0.iter_mut().zip(part.0) {
             *byte ^= other;
         }
     }
 
-    /// Compares in a time that does not depend on the bytes.
+    /// Compares two digests in constant time.
     #[must_use]
     pub fn ct_eq(&self, other: &Self) -> bool {
         bool::from(self.0.ct_eq(&other.0))
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != DIGEST_BYTES * 2 || !text.is_ascii() {
--- a/crates/contract/src/fleet/account.rs
+++ b/crates/contract/src/fleet/account.rs
@@ -1,8 +1,8 @@
-//! Client accounts of a fleet contract: who may call, how urgently, and how often.
+//! Client accounts of a fleet contract, with their keys, priority and quota.
 //!
-//! A key is a secret of the account's owner. Only its digest is kept, gossiped and logged, so that
-//! whoever reads a daemon's memory, messages or logs cannot call in the account's name. Keys are
-//! found by their digest: how long that takes tells nothing of the key.
+//! A key is a secret of the account's owner. Nodes keep, gossip and log only its digest, so a
+//! reader of a daemon's memory, messages or logs cannot impersonate the account. Keys are looked
+//! up by digest, so the duration of a lookup reveals nothing about the key.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,44 +15,44 @@
 use crate::table::CustomerRule;
 use crate::terms::MAX_PRIORITY;
 
-/// Longest name of an account, in bytes: it goes to backend servers in a header of each request, whose
-/// headers together are bounded to some KiB.
-const MAX_NAME: usize = 256;
+/// Maximum length of an account name, in bytes. The name is sent to backend servers in a header of
+/// each request, and the total size of the headers is limited to a few KiB.
+const MAX_NAME_BYTES: usize = 256;
 
-/// One client account.
+/// Client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetAccount {
-    /// Its name, as backend servers are told it.
+    /// Name of the account, sent to backend servers.
     pub name: CustomerName,
-    /// Digests of its keys.
+    /// Digests of the account's keys.
     pub keys: Vec<ContentDigest>,
-    /// Priority of its requests, 0 to 9; none where the route's holds.
+    /// Priority of the account's requests, 0 to 9; `None` uses the priority of the route.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// How often it may call; none for no limit.
+    /// Rate limit of the account; `None` for no limit.
     #[serde(default)]
     pub quota: Option<AccountQuota>,
 }
 
-/// How often an account may call, over all instances together.
+/// Rate limit of an account, over all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountQuota {
-    /// Requests a second in the long run.
+    /// Sustained requests per second.
     pub rate: f64,
-    /// Requests at once after a pause.
+    /// Size of a burst after an idle period, in requests.
     pub burst: f64,
 }
 
-/// What a request of an account gets.
+/// Terms for the requests of an account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountRule {
-    /// Terms under the account's own name.
+    /// Terms of the fleet contract, with the account's name as the customer.
     pub terms: Arc<CustomerRule>,
-    /// Priority that goes before the route's.
+    /// Priority that overrides the route's; `None` keeps the route's.
     pub priority: Option<u8>,
-    /// How often the account may call.
+    /// Rate limit of the account; `None` for no limit.
     pub quota: Option<AccountQuota>,
 }
 
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Name of the account.
+    /// Returns the name of the account.
     #[must_use]
     pub fn name(&self) -> &CustomerName {
         &self.terms.customer
     }
 }
 
-/// Collects what is wrong with the accounts of one contract.
+/// Validates the accounts of a fleet contract.
 pub(super) fn check_accounts(accounts: &[FleetAccount], findings: &mut FindingList) {
     let mut names = BTreeMap::new();
-    let mut holders: BTreeMap<&ContentDigest, &CustomerName> = BTreeMap::new();
+    let mut key_owners: BTreeMap<&ContentDigest, &CustomerName> = BTreeMap::new();
     let empty_key = ContentDigest::of(b"");
     for (index, account) in accounts.iter().enumerate() {
         let place = format!("accounts[{index}]");
@@ -102,16 +102,16 @@
             "must be 0 to 9",
         );
         findings.expect(
-            account.quota.is_none_or(|quota| quota.is_sound()),
+            account.quota.is_none_or(|quota| quota.is_valid()),
             &format!("{place}.quota"),
             "rate must be above 0 and burst 0 or more",
         );
         for (number, key) in account.keys.iter().enumerate() {
             let place = format!("{place}.keys[{number}]");
             findings.expect(!key.ct_eq(&empty_key), &place, "is an empty key");
-            let holder = holders.insert(key, &account.name);
+            let owner = key_owners.insert(key, &account.name);
             findings.expect(
-                holder.is_none_or(|holder| *holder == account.name),
+                owner.is_none_or(|owner| *owner == account.name),
                 &place,
                 "another account has this key",
             );
@@ -120,13 +120,13 @@
 }
 
 impl AccountQuota {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.rate.is_finite() && self.rate > 0.0 && self.burst.is_finite() && self.burst >= 0.0
     }
 }
 
-/// Whether a text can be the value of a header as it is.
+/// Returns whether a text is a valid account name and header value without escaping.
 fn is_header_text(text: &str) -> bool {
     let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
-    (1..=MAX_NAME).contains(&text.len()) && visible
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && visible
 }
--- a/crates/contract/src/fleet/mod.rs
+++ b/crates/contract/src/fleet/mod.rs
@@ -1,14 +1,17 @@
-//! One contract for the whole fleet, published as a whole. Callers need no token of the product; where
-//! it has client accounts, a request brings a key of one, unless its route is public.
+//! A single contract for the whole fleet, published as one document. Callers need no token. If the
+//! contract has client accounts, each request needs the key of an account, unless its route is
+//! public.
 //!
 //! ```text
-//! FleetContract ── validate ──▶ FleetTable ─┬ find(host, path) ──▶ FleetRule ── part(draw) ──▶ RouteRule
-//!                                           └ account(digest of the key) ──▶ AccountRule
+//! FleetContract -- validate --> FleetTable
+//!
+//! FleetTable -- find(host, path) --> FleetRule -- part(draw) --> RouteRule
+//!            -- account(digest of the key) --> AccountRule
 //! ```
 //!
-//! Where every caller is trusted and an operator publishes routes for all of them at once, a chain
-//! of amended versions for each customer has no work. The newest whole contract is in force; it
-//! carries its own version, and a node never goes back to an older one.
+//! This form suits fleets with trusted callers, in which an operator publishes the routes of all
+//! callers at once and a version history for each customer is not needed. The newest contract is
+//! in force. The contract contains its own version, and a node never returns to an older one.
 
 mod account;
 mod table;
@@ -29,72 +32,73 @@
 /// Name under which the requests of a fleet contract are counted.
 pub const FLEET_CUSTOMER: &str = "fleet";
 
-/// What holds for all callers of the fleet.
+/// Terms for all callers of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetContract {
-    /// Version of the whole; greater is newer. Versions may leave gaps.
+    /// Version of the contract; greater is newer. Versions may have gaps.
     pub version: u64,
-    /// Services that the routes lead to.
+    /// Services to which the routes forward requests.
     pub services: Vec<ServiceName>,
     /// Routes, in any order.
     pub routes: Vec<FleetRoute>,
-    /// Client accounts; with none, callers need no key.
+    /// Client accounts. If the list is empty, callers need no key.
     #[serde(default)]
     pub accounts: Vec<FleetAccount>,
-    /// How many requests may be retried.
+    /// Limit of retries, as a share of the requests.
     #[serde(default)]
     pub retry_budget: RetryBudget,
-    /// Retries at one service that all nodes together may make in ten seconds whatever the share.
+    /// Retries per service that all nodes together may make in ten seconds regardless of the
+    /// share.
     #[serde(default)]
     pub retry_slack: u32,
-    /// Which error of detection costs more.
+    /// Preference between missed and false ejections of upstreams.
     #[serde(default)]
     pub leaning: DetectionLeaning,
 }
 
-/// Requests to one host under one path prefix that are treated alike.
+/// Route of the requests to one host under one path prefix.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRoute {
     /// Name of the route, for logs.
     pub name: Arc<str>,
-    /// Host that the request names, in lower case and without a port.
+    /// Host name of the request, in lower case and without a port.
     pub host: Arc<str>,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether a request may be run more than once.
     pub repeat: RepeatClass,
-    /// Longest time that a request is kept waiting for its answer.
+    /// Maximum time that a request waits for its reply.
     #[serde_as(as = "DurationText")]
     pub deadline: Duration,
-    /// Time within which an answer has its full worth to the caller.
+    /// Latency within which a reply has its full value for the caller.
     #[serde_as(as = "DurationText")]
     pub objective: Duration,
-    /// Most upstreams that may run one request.
+    /// Maximum number of upstreams that may run one request.
     pub attempts: u16,
     /// 0 (low, shed first) to 9 (high, shed last).
     pub priority: u8,
-    /// Services that share the requests by weight.
+    /// Services among which the requests are split by weight.
     pub parts: Vec<RoutePart>,
-    /// Whether callers need no key of an account.
+    /// Whether callers need no account key.
     #[serde(default)]
     pub public: bool,
 }
 
-/// A service's part of a route.
+/// Share of a service in a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutePart {
-    /// The service, one of `services`.
+    /// Name of the service, one of `services`.
     pub service: ServiceName,
-    /// Its weight among the parts.
+    /// Weight relative to the other parts.
     pub weight: u32,
 }
 
 impl FleetContract {
-    /// Everything that contradicts itself, each with its JSON path.
+    /// Returns all semantic errors of the contract with their JSON paths.
     #[must_use]
     pub fn validate(&self) -> FindingList {
         let mut findings = FindingList::default();
--- a/crates/contract/src/fleet/table.rs
+++ b/crates/contract/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The compiled form of a fleet contract, read by the request path.
+//! Compiled form of a fleet contract, read by the request path.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,14 +13,15 @@
     DEFAULT_SUCCESS, DEFAULT_WINDOW, HedgeBudget, OpaqueKeys, RepeatClass, ServiceObjective,
 };
 
-/// Greatest request body, in bytes: the smallest memory of an instance that the fleet is run on is
-/// many times this, and bodies beyond a few KB are passed on as they come.
+/// Maximum size of a request body, in bytes. The smallest instance of the fleet has many times this
+/// memory, and bodies beyond a few KB are streamed.
 const MAX_BODY: u64 = 64 << 20;
-/// Greatest reply that is held until it is whole, in bytes: the largest document bundles are about
-/// half of it, and a reply that is held can still be fetched from another upstream.
+/// Maximum size of a reply that is buffered completely before it is forwarded, in bytes. The
+/// largest document bundles are about half of this, and while a reply is buffered, it can still be
+/// fetched from another upstream.
 const REPLY_BUFFER: u64 = 1 << 20;
 
-/// A route with a rule for each of its parts.
+/// Compiled route with one rule per part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRule {
     parts: Vec<(u32, RouteRule)>,
@@ -29,33 +30,33 @@
 }
 
 impl FleetRule {
-    /// The rule of the part that a draw from 0 to 1 falls to.
+    /// Selects a part by weight, with a random number from 0 to 1, and returns its rule.
     #[must_use]
     pub fn part(&self, draw: f64) -> Option<&RouteRule> {
-        let mut left = draw * to_float(self.total);
+        let mut remaining = draw * to_float(self.total);
         for (weight, rule) in &self.parts {
-            left -= f64::from(*weight);
-            if left < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return Some(rule);
             }
         }
         self.parts.last().map(|(_, rule)| rule)
     }
 
-    /// Whether callers need no key of an account.
+    /// Returns whether callers need no account key.
     #[must_use]
     pub const fn is_public(&self) -> bool {
         self.public
     }
 
-    /// Whether the requests go to more than one service.
+    /// Returns whether the requests are split among several services.
     #[must_use]
     pub fn is_split(&self) -> bool {
         self.parts.len() > 1
     }
 }
 
-/// A fleet contract, compiled.
+/// Compiled form of a fleet contract.
 #[derive(Clone, Debug, Default)]
 pub struct FleetTable {
     version: u64,
@@ -68,18 +69,18 @@
     /// Compiles a contract.
     #[must_use]
     pub fn new(contract: &FleetContract) -> Self {
-        let terms = Arc::new(terms_of(contract));
+        let terms = Arc::new(fleet_terms(contract));
         let mut hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, FleetRule>> = BTreeMap::new();
         for route in &contract.routes {
             let rules = hosts.entry(Arc::clone(&route.host)).or_default();
-            rules.insert(Arc::clone(&route.prefix), rule_of(route, &terms));
+            rules.insert(Arc::clone(&route.prefix), fleet_rule(route, &terms));
         }
         let mut accounts = BTreeMap::new();
         let mut keys = BTreeMap::new();
         for account in &contract.accounts {
             let rule = Arc::new(AccountRule::new(account, &terms));
-            let held = account.keys.iter().map(|key| (*key, Arc::clone(&rule)));
-            keys.extend(held);
+            let account_keys = account.keys.iter().map(|key| (*key, Arc::clone(&rule)));
+            keys.extend(account_keys);
             accounts.insert(account.name.clone(), rule);
         }
         Self {
@@ -90,42 +91,44 @@
         }
     }
 
-    /// Whether requests need a key of an account, unless their route is public.
+    /// Returns whether requests need an account key, unless their route is public.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// The account that holds the key with this digest.
+    /// Returns the account whose key has this digest.
     #[must_use]
     pub fn account(&self, key: &ContentDigest) -> Option<&Arc<AccountRule>> {
         self.keys.get(key)
     }
 
-    /// All accounts, by name.
+    /// Returns all accounts in order of name.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<AccountRule>> {
         self.accounts.values()
     }
 
-    /// Version of the contract.
+    /// Returns the version of the contract.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// The route for a request: of the host's routes the one with the longest prefix that begins
-    /// the path. Prefixes end with a slash, so only the path's slashes are looked at, from the last.
+    /// Returns the host's route with the longest prefix of the path.
+    ///
+    /// Prefixes end with a slash, so the search only checks the path up to each slash, starting
+    /// with the last one.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&FleetRule> {
         let rules = self.hosts.get(host)?;
         let slashes = path.bytes().enumerate().rev();
         slashes
             .filter(|(_, byte)| *byte == b'/')
-            .find_map(|(place, _)| rules.get(&path[..=place]))
+            .find_map(|(index, _)| rules.get(&path[..=index]))
     }
 }
 
-fn terms_of(contract: &FleetContract) -> CustomerRule {
+fn fleet_terms(contract: &FleetContract) -> CustomerRule {
     CustomerRule {
         customer: CustomerName::new(FLEET_CUSTOMER),
         team: Arc::from(""),
@@ -140,7 +143,7 @@
     }
 }
 
-fn rule_of(route: &FleetRoute, terms: &Arc<CustomerRule>) -> FleetRule {
+fn fleet_rule(route: &FleetRoute, terms: &Arc<CustomerRule>) -> FleetRule {
     let parts: Vec<(u32, RouteRule)> = route
         .parts
         .iter()
@@ -182,7 +185,6 @@
     }
 }
 
-/// A sum of a few weights, far below the precision of the type.
 #[expect(
     clippy::cast_precision_loss,
     reason = "a few weights of 32 bits each are far below 2^53"
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -8,7 +8,7 @@
 //!           request path
 //! ```
 //!
-//! Pure logic: no I/O, no threads, no clock of its own.
+//! This crate performs no I/O, starts no threads and reads no clock.
 
 pub mod access;
 pub mod book;
@@ -19,7 +19,7 @@
 pub mod fleet;
 mod pack;
 pub mod samples;
-mod shape;
+mod schema;
 pub mod table;
 pub mod terms;
 mod text;
--- a/crates/contract/src/pack/mod.rs
+++ b/crates/contract/src/pack/mod.rs
@@ -1,15 +1,15 @@
-//! The compact form in which a book keeps contracts.
+//! Compact binary form in which a book keeps contracts.
 //!
-//! A fleet of 200,000 routes and 250,000 client accounts takes about 60 MB as JSON text, on every
-//! node. The compact form takes about a third of that: hashes as bytes, numbers as short as they
-//! are, nothing for what is left at its default.
+//! The contracts of a fleet with 200,000 routes and 250,000 client accounts take about 60 MB as
+//! JSON text, on every node. The compact form takes about a third of that: it stores hashes as
+//! bytes, numbers with variable length, and no fields that have their default value.
 //!
 //! ```text
 //! number of accounts | their hashes | names and limits | services | routes
 //! ```
 //!
-//! The digest of a version is that of this form, so the form belongs to the record format and
-//! never changes within it. It never leaves the process.
+//! The digest of a version is computed over this form. Therefore the form is part of the record
+//! format and must not change within it, although it never leaves the process.
 
 mod read;
 mod write;
@@ -21,10 +21,10 @@
 use read::PackReader;
 use write::PackWriter;
 
-/// Bytes of the number of accounts.
+/// Length of the number of accounts, in bytes.
 const COUNT_BYTES: usize = 4;
 
-/// A contract in its compact form. Cheap to share.
+/// Contract in compact form. A clone shares the bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PackedContract(Arc<[u8]>);
 
@@ -43,11 +43,11 @@
         self.0.len()
     }
 
-    /// Hash of the token of one account.
-    pub(crate) fn account_hash(&self, number: u32) -> Option<ContentDigest> {
-        let start = COUNT_BYTES + number as usize * DIGEST_BYTES;
+    /// Returns the token hash of an account by its position in the contract.
+    pub(crate) fn account_hash(&self, index: u32) -> Option<ContentDigest> {
+        let start = COUNT_BYTES + index as usize * DIGEST_BYTES;
         let bytes = self.0.get(start..start + DIGEST_BYTES)?;
-        (number < self.account_count())
+        (index < self.account_count())
             .then(|| bytes.try_into().ok().map(ContentDigest))
             .flatten()
     }
--- a/crates/contract/src/pack/read.rs
+++ b/crates/contract/src/pack/read.rs
@@ -1,4 +1,4 @@
-//! Reads the compact form.
+//! Decoder of the compact form.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
     RateLimit, RepeatClass, RetryBudget, RouteMethod, RouteTerms, ServiceObjective, ServiceTerms,
 };
 
-/// Reads what the writer wrote, in the same order.
+/// Decodes the output of [`PackWriter`](super::write::PackWriter), in the same order.
 pub(super) struct PackReader<'a> {
     pub(super) rest: &'a [u8],
 }
 
 impl PackReader<'_> {
-    fn take(&mut self, count: usize) -> Option<&[u8]> {
-        let (taken, rest) = self.rest.split_at_checked(count)?;
+    fn take(&mut self, length: usize) -> Option<&[u8]> {
+        let (taken, rest) = self.rest.split_at_checked(length)?;
         self.rest = rest;
         Some(taken)
     }
@@ -30,7 +30,7 @@
         self.take(1)?.first().copied()
     }
 
-    fn number(&mut self) -> Option<u64> {
+    fn varint(&mut self) -> Option<u64> {
         let mut value = 0;
         for shift in (0..u64::BITS).step_by(7) {
             let byte = self.byte()?;
@@ -42,16 +42,16 @@
         None
     }
 
-    fn small(&mut self) -> Option<u32> {
-        self.number()?.try_into().ok()
+    fn varint_u32(&mut self) -> Option<u32> {
+        self.varint()?.try_into().ok()
     }
 
-    fn count(&mut self) -> Option<usize> {
-        self.number()?.try_into().ok()
+    fn length(&mut self) -> Option<usize> {
+        self.varint()?.try_into().ok()
     }
 
     fn text(&mut self) -> Option<Arc<str>> {
-        let length = self.count()?;
+        let length = self.length()?;
         self.text_of(length)
     }
 
@@ -65,7 +65,7 @@
     }
 
     fn duration(&mut self) -> Option<Duration> {
-        self.number().map(Duration::from_nanos)
+        self.varint().map(Duration::from_nanos)
     }
 
     fn flags<const COUNT: usize>(&mut self) -> Option<[bool; COUNT]> {
@@ -73,18 +73,18 @@
         Some(std::array::from_fn(|bit| byte >> bit & 1 == 1))
     }
 
-    /// Reads a value where one was written, else takes the default.
-    fn either<T, F>(&mut self, written: bool, default: T, read: F) -> Option<T>
+    /// Reads a value if it is present, and returns the default otherwise.
+    fn value_or_default<T, F>(&mut self, present: bool, default: T, read: F) -> Option<T>
     where
         F: FnOnce(&mut Self) -> Option<T>,
     {
-        if written { read(self) } else { Some(default) }
+        if present { read(self) } else { Some(default) }
     }
 
     pub(super) fn contract(&mut self) -> Option<CustomerContract> {
-        let count: [u8; COUNT_BYTES] = self.take(COUNT_BYTES)?.try_into().ok()?;
-        let count = u32::from_le_bytes(count) as usize;
-        let hashes = self.take(count * DIGEST_BYTES)?.to_vec();
+        let account_count: [u8; COUNT_BYTES] = self.take(COUNT_BYTES)?.try_into().ok()?;
+        let account_count = u32::from_le_bytes(account_count) as usize;
+        let hashes = self.take(account_count * DIGEST_BYTES)?.to_vec();
         let customer = CustomerName::new(&self.text()?);
         let team = self.text()?;
         let hashes = hashes.chunks_exact(DIGEST_BYTES);
@@ -93,8 +93,8 @@
             .collect::<Option<Vec<_>>>()?;
         let [burst, header] = self.flags()?;
         let per_second = self.float()?;
-        let burst = self.either(burst, None, |reader| reader.small().map(Some))?;
-        let concurrency = self.small()?;
+        let burst = self.value_or_default(burst, None, |reader| reader.varint_u32().map(Some))?;
+        let concurrency = self.varint_u32()?;
         let retry_budget = RetryBudget {
             share: self.float()?,
             min_per_second: self.float()?,
@@ -103,11 +103,12 @@
             share: self.float()?,
         };
         let leaning = leaning_of(self.byte()?)?;
-        let reply_id_header = self.either(header, None, |reader| reader.text().map(Some))?;
-        let count = self.count()?;
+        let reply_id_header =
+            self.value_or_default(header, None, |reader| reader.text().map(Some))?;
+        let count = self.length()?;
         let services: Vec<ServiceTerms> =
             (0..count).map(|_| self.service()).collect::<Option<_>>()?;
-        let count = self.count()?;
+        let count = self.length()?;
         let routes = (0..count)
             .map(|_| self.route(&services))
             .collect::<Option<_>>()?;
@@ -127,23 +128,30 @@
     }
 
     fn account(&mut self, sha256: ContentDigest) -> Option<ClientAccount> {
-        let head = self.count()?;
-        let id = self.text_of(head >> 1)?;
-        let role = self.either(head & 1 == 1, None, |reader| reader.text().map(Some))?;
+        let id_header = self.length()?;
+        let id = self.text_of(id_header >> 1)?;
+        let role =
+            self.value_or_default(id_header & 1 == 1, None, |reader| reader.text().map(Some))?;
         Some(ClientAccount { id, sha256, role })
     }
 
     fn service(&mut self) -> Option<ServiceTerms> {
         let name = ServiceName::new(&self.text()?);
-        let [floor, count, deadline, longest, slots, objective] = self.flags()?;
+        let [floor, floor_count, deadline, max_deadline, slots, objective] = self.flags()?;
         Some(ServiceTerms {
             name,
-            floor: self.either(floor, DEFAULT_FLOOR, Self::float)?,
-            floor_count: self.either(count, DEFAULT_FLOOR_COUNT, Self::small)?,
-            deadline: self.either(deadline, DEFAULT_DEADLINE, Self::duration)?,
-            max_deadline: self.either(longest, None, |reader| reader.duration().map(Some))?,
-            slots: self.either(slots, None, |reader| reader.small().map(Some))?,
-            objective: self.either(objective, None, |reader| reader.objective().map(Some))?,
+            floor: self.value_or_default(floor, DEFAULT_FLOOR, Self::float)?,
+            floor_count: self.value_or_default(
+                floor_count,
+                DEFAULT_FLOOR_COUNT,
+                Self::varint_u32,
+            )?,
+            deadline: self.value_or_default(deadline, DEFAULT_DEADLINE, Self::duration)?,
+            max_deadline: self
+                .value_or_default(max_deadline, None, |reader| reader.duration().map(Some))?,
+            slots: self.value_or_default(slots, None, |reader| reader.varint_u32().map(Some))?,
+            objective: self
+                .value_or_default(objective, None, |reader| reader.objective().map(Some))?,
         })
     }
 
@@ -156,10 +164,10 @@
     }
 
     fn route(&mut self, services: &[ServiceTerms]) -> Option<RouteTerms> {
-        let place = self.count()?;
+        let service_index = self.length()?;
         let prefix = self.text()?;
         let [
-            once,
+            non_idempotent,
             deadline,
             priority,
             max_body,
@@ -168,7 +176,7 @@
             hedged,
             keys,
         ] = self.flags()?;
-        let count = self.count()?;
+        let count = self.length()?;
         let methods = self.take(count)?.iter();
         let methods = methods
             .map(|method| RouteMethod::ALL.get(usize::from(*method)).copied())
@@ -176,25 +184,30 @@
         Some(RouteTerms {
             prefix,
             methods,
-            service: services.get(place)?.name.clone(),
-            repeat: if once {
+            service: services.get(service_index)?.name.clone(),
+            repeat: if non_idempotent {
                 RepeatClass::NonIdempotent
             } else {
                 RepeatClass::Idempotent
             },
-            deadline: self.either(deadline, None, |reader| reader.duration().map(Some))?,
-            priority: self.either(priority, DEFAULT_PRIORITY, Self::byte)?,
-            max_body: self.either(max_body, DEFAULT_MAX_BODY, Self::number)?,
-            reply_buffer: self.either(reply_buffer, DEFAULT_REPLY_BUFFER, Self::number)?,
+            deadline: self
+                .value_or_default(deadline, None, |reader| reader.duration().map(Some))?,
+            priority: self.value_or_default(priority, DEFAULT_PRIORITY, Self::byte)?,
+            max_body: self.value_or_default(max_body, DEFAULT_MAX_BODY, Self::varint)?,
+            reply_buffer: self.value_or_default(
+                reply_buffer,
+                DEFAULT_REPLY_BUFFER,
+                Self::varint,
+            )?,
             hedge: hedge.then_some(hedged),
-            keys: self.either(keys, KeyTerms::default(), Self::keys)?,
+            keys: self.value_or_default(keys, KeyTerms::default(), Self::keys)?,
         })
     }
 
     fn keys(&mut self) -> Option<KeyTerms> {
-        let [chosen, required, window] = self.flags()?;
+        let [has_required, required, window] = self.flags()?;
         Some(KeyTerms {
-            required: chosen.then_some(required),
+            required: has_required.then_some(required),
             opaque: if window {
                 OpaqueKeys::Window
             } else {
--- a/crates/contract/src/pack/write.rs
+++ b/crates/contract/src/pack/write.rs
@@ -1,4 +1,4 @@
-//! Writes the compact form.
+//! Encoder of the compact form.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 }
 
 impl PackWriter {
-    fn number(&mut self, mut value: u64) {
+    fn varint(&mut self, mut value: u64) {
         while value > 0x7f {
             let low = u8::try_from(value & 0x7f).unwrap_or_default();
             self.bytes.push(low | 0x80);
@@ -25,7 +25,7 @@
     }
 
     fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
+        self.varint(text.len() as u64);
         self.bytes.extend_from_slice(text.as_bytes());
     }
 
@@ -34,7 +34,7 @@
     }
 
     fn duration(&mut self, value: Duration) {
-        self.number(u64::try_from(value.as_nanos()).unwrap_or(u64::MAX));
+        self.varint(u64::try_from(value.as_nanos()).unwrap_or(u64::MAX));
     }
 
     fn flags(&mut self, flags: &[bool]) {
@@ -55,22 +55,23 @@
             self.account(account);
         }
         self.limits(contract);
-        self.number(contract.services.len() as u64);
+        self.varint(contract.services.len() as u64);
         for service in &contract.services {
             self.service(service);
         }
-        self.number(contract.routes.len() as u64);
+        self.varint(contract.routes.len() as u64);
         for route in &contract.routes {
             let mut names = contract.services.iter();
-            let place = names.position(|service| service.name == route.service);
-            self.number(place.unwrap_or_default() as u64);
+            let service_index = names.position(|service| service.name == route.service);
+            self.varint(service_index.unwrap_or_default() as u64);
             self.route(route);
         }
     }
 
-    /// One number tells the length of the id and whether a role follows.
+    /// Writes an account without its token hash. One number contains the length of the id and, in
+    /// its lowest bit, whether a role follows.
     fn account(&mut self, account: &ClientAccount) {
-        self.number((account.id.len() as u64) << 1 | u64::from(account.role.is_some()));
+        self.varint((account.id.len() as u64) << 1 | u64::from(account.role.is_some()));
         self.bytes.extend_from_slice(account.id.as_bytes());
         if let Some(role) = &account.role {
             self.text(role);
@@ -84,9 +85,9 @@
         ]);
         self.float(contract.rate.per_second);
         if let Some(burst) = contract.rate.burst {
-            self.number(u64::from(burst));
+            self.varint(u64::from(burst));
         }
-        self.number(u64::from(contract.concurrency));
+        self.varint(u64::from(contract.concurrency));
         self.float(contract.retry_budget.share);
         self.float(contract.retry_budget.min_per_second);
         self.float(contract.hedge_budget.share);
@@ -98,12 +99,12 @@
 
     fn service(&mut self, service: &ServiceTerms) {
         let floor = service.floor.to_bits() != DEFAULT_FLOOR.to_bits();
-        let count = service.floor_count != DEFAULT_FLOOR_COUNT;
+        let floor_count = service.floor_count != DEFAULT_FLOOR_COUNT;
         let deadline = service.deadline != DEFAULT_DEADLINE;
         self.text(service.name.as_str());
         self.flags(&[
             floor,
-            count,
+            floor_count,
             deadline,
             service.max_deadline.is_some(),
             service.slots.is_some(),
@@ -112,17 +113,17 @@
         if floor {
             self.float(service.floor);
         }
-        if count {
-            self.number(u64::from(service.floor_count));
+        if floor_count {
+            self.varint(u64::from(service.floor_count));
         }
         if deadline {
             self.duration(service.deadline);
         }
-        if let Some(longest) = service.max_deadline {
-            self.duration(longest);
+        if let Some(max_deadline) = service.max_deadline {
+            self.duration(max_deadline);
         }
         if let Some(slots) = service.slots {
-            self.number(u64::from(slots));
+            self.varint(u64::from(slots));
         }
         if let Some(objective) = &service.objective {
             self.duration(objective.latency);
@@ -147,7 +148,7 @@
             route.hedge == Some(true),
             keys,
         ]);
-        self.number(route.methods.len() as u64);
+        self.varint(route.methods.len() as u64);
         let methods = route.methods.iter();
         self.bytes.extend(methods.map(|method| *method as u8));
         if let Some(deadline) = route.deadline {
@@ -157,10 +158,10 @@
             self.bytes.push(route.priority);
         }
         if max_body {
-            self.number(route.max_body);
+            self.varint(route.max_body);
         }
         if reply_buffer {
-            self.number(route.reply_buffer);
+            self.varint(route.reply_buffer);
         }
         if keys {
             self.keys(&route.keys);
--- a/crates/contract/src/samples.rs
+++ b/crates/contract/src/samples.rs
@@ -1,4 +1,4 @@
-//! Two sample contracts, with demonstration tokens that are no secret.
+//! Two sample contracts, with public demonstration tokens.
 
 use crate::contract::CustomerContract;
 use crate::digest::ContentDigest;
@@ -11,34 +11,35 @@
 const BRANNOCK_JSON: &str = include_str!("samples/brannock.json");
 const HARBOUR_JSON: &str = include_str!("samples/harbour-mesh.json");
 
-/// Brannock Pellet Orders as JSON, as an operator would write it.
+/// Returns the Brannock Pellet Orders contract as JSON, as an operator would write it.
 #[must_use]
 pub fn brannock_json() -> String {
     with_token(BRANNOCK_JSON, BRANNOCK_TOKEN)
 }
 
-/// Harbour Mesh as JSON, as an operator would write it.
+/// Returns the Harbour Mesh contract as JSON, as an operator would write it.
 #[must_use]
 pub fn harbour_mesh_json() -> String {
     with_token(HARBOUR_JSON, HARBOUR_TOKEN)
 }
 
-/// Brannock Pellet Orders: small fleets, where a healthy upstream removed costs more than a sick
-/// one kept for some seconds.
+/// Returns the Brannock Pellet Orders contract, for small fleets in which ejecting a healthy
+/// upstream costs more than keeping a failing one for some seconds.
 ///
 /// # Panics
 ///
-/// Never: the text is part of the program and a test reads it.
+/// Never panics: the text is part of the program and is covered by a test.
 #[must_use]
 pub fn brannock() -> CustomerContract {
     CustomerContract::from_json(&brannock_json()).expect("the sample is valid")
 }
 
-/// Harbour Mesh: slow replies cost more than a healthy upstream removed.
+/// Returns the Harbour Mesh contract, for which slow replies cost more than ejecting a healthy
+/// upstream.
 ///
 /// # Panics
 ///
-/// Never: the text is part of the program and a test reads it.
+/// Never panics: the text is part of the program and is covered by a test.
 #[must_use]
 pub fn harbour_mesh() -> CustomerContract {
     CustomerContract::from_json(&harbour_mesh_json()).expect("the sample is valid")
--- a/crates/contract/src/shape.rs
+++ b/crates/contract/src/schema.rs
@@ -1,5 +1,7 @@
-//! Checks of form: compares a JSON document with the contract's own schema and reports every
-//! unknown key, missing key and wrong type at once, where a deserializer stops at the first.
+//! Schema validation of contracts.
+//!
+//! Compares a JSON document with the contract's schema and reports all unknown keys, missing keys
+//! and wrong types together, whereas a deserializer stops at the first error.
 
 use serde_json::{Map, Value};
 use sycamorelink_core::unit::{
@@ -9,11 +11,11 @@
 
 use crate::digest::ContentDigest;
 
-/// Start of a reference to a shared definition.
-const REFERENCE_START: &str = "#/$defs/";
+/// Prefix of a reference to a shared definition.
+const DEFINITION_PREFIX: &str = "#/$defs/";
 
 pub(crate) fn check(schema: &Value, value: &Value) -> FindingList {
-    let mut checker = ShapeChecker {
+    let mut checker = SchemaChecker {
         root: schema,
         findings: FindingList::default(),
     };
@@ -21,12 +23,12 @@
     checker.findings
 }
 
-struct ShapeChecker<'a> {
+struct SchemaChecker<'a> {
     root: &'a Value,
     findings: FindingList,
 }
 
-impl<'a> ShapeChecker<'a> {
+impl<'a> SchemaChecker<'a> {
     fn check(&mut self, schema: &'a Value, value: &Value, place: &str) {
         let schema = self.resolve(schema);
         if let Some(choices) = choices(schema) {
@@ -52,10 +54,12 @@
 
     fn resolve(&self, schema: &'a Value) -> &'a Value {
         if let Some(reference) = schema["$ref"].as_str() {
-            let name = reference.strip_prefix(REFERENCE_START).unwrap_or_default();
+            let name = reference
+                .strip_prefix(DEFINITION_PREFIX)
+                .unwrap_or_default();
             return self.resolve(&self.root["$defs"][name]);
         }
-        // An optional part is written as "this or null".
+        // The schema of an optional value is `anyOf` the value's schema and null.
         if let Some(parts) = schema["anyOf"].as_array() {
             let part = parts.iter().find(|part| part["type"] != "null");
             return part.map_or(schema, |part| self.resolve(part));
@@ -126,16 +130,16 @@
     }
 
     fn check_format(&mut self, schema: &Value, text: &str, place: &str) {
-        let fault = match schema["format"].as_str() {
-            Some(DURATION_FORMAT) => message_of(parse_duration::<ExactForm>(text)),
-            Some(SIZE_FORMAT) => message_of(parse_size::<ExactForm>(text)),
+        let message = match schema["format"].as_str() {
+            Some(DURATION_FORMAT) => error_message(parse_duration::<ExactForm>(text)),
+            Some(SIZE_FORMAT) => error_message(parse_size::<ExactForm>(text)),
             Some("sha256") if ContentDigest::from_hex(text).is_none() => {
                 Some("must be the 64 hexadecimal digits of a SHA-256 digest".to_owned())
             }
             _ => None,
         };
-        if let Some(fault) = fault {
-            self.add(place, fault);
+        if let Some(message) = message {
+            self.add(place, message);
         }
     }
 
@@ -145,11 +149,11 @@
     }
 }
 
-fn message_of<T>(result: Result<T, UnitError>) -> Option<String> {
+fn error_message<T>(result: Result<T, UnitError>) -> Option<String> {
     result.err().map(|error| error.to_string())
 }
 
-/// The values of an enumeration, in either of the forms a schema writes it.
+/// Returns the values of an enumeration, which a schema contains as `enum` or `oneOf`.
 fn choices(schema: &Value) -> Option<Vec<&str>> {
     if let Some(values) = schema["enum"].as_array() {
         return Some(values.iter().filter_map(Value::as_str).collect());
--- a/crates/contract/src/table/builder.rs
+++ b/crates/contract/src/table/builder.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest table and brings it into line with one contract at a time.
+//! Incremental construction of the table, one contract at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,8 +6,8 @@
 use sycamorelink_core::{CustomerName, FindingList};
 
 use super::RouteTable;
-use super::account::AccountPlace;
-use super::piece::{CompiledCount, CustomerPiece};
+use super::account::AccountLocation;
+use super::compiled::{CompiledContract, CompiledCount};
 use super::rule::{CustomerIndex, ServiceIndex};
 use super::service::ServiceClaims;
 use crate::change::ContractVersion;
@@ -15,14 +15,14 @@
 use crate::digest::ContentDigest;
 use crate::text::ContractText;
 
-/// A contract in force with its place in the log's order.
+/// Contract in force, with its position in the order of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct ContractInForce<'a> {
-    /// The content.
+    /// Content of the contract.
     pub content: &'a ContractText,
-    /// Its version.
+    /// Version in force.
     pub version: ContractVersion,
-    /// Version that created the customer; decides who holds a token that two contracts name.
+    /// Version that created the customer. A token in two contracts belongs to the older customer.
     pub created: ContractVersion,
 }
 
@@ -32,36 +32,36 @@
     created: ContractVersion,
 }
 
-/// Keeps the newest [`RouteTable`].
+/// Builder that maintains the current [`RouteTable`].
 #[derive(Clone, Debug, Default)]
 pub struct TableBuilder {
     table: Arc<RouteTable>,
     placed: BTreeMap<CustomerName, PlacedCustomer>,
-    /// Customers that name a token, where more than one does. Usually empty.
-    contested: BTreeMap<ContentDigest, BTreeSet<CustomerName>>,
+    /// Customers by token, for tokens that several contracts contain. Usually empty.
+    shared_tokens: BTreeMap<ContentDigest, BTreeSet<CustomerName>>,
     claims: ServiceClaims,
-    free: BTreeSet<CustomerIndex>,
+    free_indexes: BTreeSet<CustomerIndex>,
 }
 
 impl TableBuilder {
-    /// The newest table.
+    /// Returns the current table.
     #[must_use]
     pub fn table(&self) -> Arc<RouteTable> {
         self.table.clone()
     }
 
-    /// Puts a contract into force in place of the customer's earlier one. An invalid one is
-    /// passed over.
+    /// Puts a contract into force and replaces the customer's earlier one. Ignores invalid
+    /// contracts.
     pub fn put(&mut self, entry: ContractInForce<'_>) {
         let Some(packed) = entry.content.as_packed() else {
             return;
         };
         let contract = packed.unpack();
-        let index = self.withdraw(&contract.customer);
-        let index = index.unwrap_or_else(|| self.free_index());
+        let index = self.release_claims(&contract.customer);
+        let index = index.unwrap_or_else(|| self.allocate_index());
         let services = self.claim_services(&contract, index);
-        let piece = CustomerPiece::new(&contract, packed.clone(), entry.version, services);
-        Arc::make_mut(&mut self.table).set_piece(index, Some(Arc::new(piece)));
+        let compiled = CompiledContract::new(&contract, packed.clone(), entry.version, services);
+        Arc::make_mut(&mut self.table).set_compiled(index, Some(Arc::new(compiled)));
         let placed = PlacedCustomer {
             index,
             created: entry.created,
@@ -71,54 +71,61 @@
             let hash = &account.sha256;
             let mut claimants = self.claimants(hash);
             if claimants.is_empty() {
-                let place = AccountPlace {
+                let location = AccountLocation {
                     customer: index,
                     number,
                 };
-                Arc::make_mut(&mut self.table).accounts.insert(hash, place);
+                Arc::make_mut(&mut self.table)
+                    .accounts
+                    .insert(hash, location);
             } else {
                 claimants.insert(contract.customer.clone());
-                self.grant(hash, claimants);
+                self.assign_token(hash, claimants);
             }
         }
     }
 
-    /// Takes a customer out of force.
+    /// Removes a customer from the table.
     pub fn remove(&mut self, customer: &CustomerName) {
-        if let Some(index) = self.withdraw(customer) {
-            Arc::make_mut(&mut self.table).set_piece(index, None);
-            self.free.insert(index);
+        if let Some(index) = self.release_claims(customer) {
+            Arc::make_mut(&mut self.table).set_compiled(index, None);
+            self.free_indexes.insert(index);
         }
     }
 
-    /// Gives the compiled routes of all customers back when there are more than `limit`. The next
-    /// request of each customer compiles them again. Tells whether there is a new table.
-    pub fn trim(&mut self, limit: usize) -> bool {
+    /// Drops the compiled routes of all customers when there are more than `limit`.
+    ///
+    /// The next request of each customer compiles them again. Returns whether the table was
+    /// replaced.
+    pub fn drop_compiled_routes(&mut self, limit: usize) -> bool {
         if self.table.compiled_routes() <= limit {
             return false;
         }
         let table = Arc::make_mut(&mut self.table);
         table.compiled = CompiledCount::default();
         for placed in self.placed.values() {
-            let piece = table.piece_arc(placed.index).map(|piece| piece.bare());
-            table.set_piece(placed.index, piece.map(Arc::new));
+            let compiled = table
+                .compiled_arc(placed.index)
+                .map(|compiled| compiled.without_routes());
+            table.set_compiled(placed.index, compiled.map(Arc::new));
         }
         true
     }
 
-    /// Tokens that several contracts name, with the customer that holds each.
+    /// Returns a finding for each token that several contracts contain, with the customer to which
+    /// the token belongs.
     #[must_use]
     pub fn findings(&self) -> FindingList {
         let mut findings = FindingList::default();
-        for (hash, customers) in &self.contested {
-            let holder = self.holder(customers);
+        for (hash, customers) in &self.shared_tokens {
+            let token_owner = self.token_owner(customers);
             let others: Vec<&str> = customers.iter().map(CustomerName::as_str).collect();
             findings.add(
                 format!("tokens[sha256={hash}]"),
                 format!(
                     "named by {}; it belongs to {}, the oldest of them",
                     others.join(", "),
-                    holder.map_or("nobody", |(name, _)| name.as_str()),
+                    token_owner.map_or("nobody", |(name, _)| name.as_str()),
                 ),
             );
         }
@@ -133,7 +140,7 @@
         let table = Arc::make_mut(&mut self.table);
         let mut services = Vec::with_capacity(contract.services.len());
         for terms in &contract.services {
-            let (name, index) = table.services.ensure(&terms.name);
+            let (name, index) = table.services.get_or_insert(&terms.name);
             self.claims.add(index, customer, terms, contract.leaning);
             table.services.set(index, self.claims.merge(index, &name));
             services.push(index);
@@ -141,24 +148,27 @@
         services
     }
 
-    /// Takes the customer's tokens and services away and returns its index. Its piece stays.
-    fn withdraw(&mut self, customer: &CustomerName) -> Option<CustomerIndex> {
+    /// Removes the customer's tokens and services from the table and returns its index. The
+    /// compiled contract stays.
+    fn release_claims(&mut self, customer: &CustomerName) -> Option<CustomerIndex> {
         let placed = self.placed.remove(customer)?;
-        let piece = self.table.piece_arc(placed.index)?.clone();
-        for (number, hash) in piece.account_hashes() {
-            if let Some(mut claimants) = self.contested.get(&hash).cloned() {
+        let compiled = self.table.compiled_arc(placed.index)?.clone();
+        for (number, hash) in compiled.account_hashes() {
+            if let Some(mut claimants) = self.shared_tokens.get(&hash).cloned() {
                 claimants.remove(customer);
-                self.grant(&hash, claimants);
+                self.assign_token(&hash, claimants);
             } else {
-                let place = AccountPlace {
+                let location = AccountLocation {
                     customer: placed.index,
                     number,
                 };
-                Arc::make_mut(&mut self.table).accounts.remove(&hash, place);
+                Arc::make_mut(&mut self.table)
+                    .accounts
+                    .remove(&hash, location);
             }
         }
         let table = Arc::make_mut(&mut self.table);
-        for index in piece.services() {
+        for index in compiled.services() {
             self.claims.remove(*index, placed.index);
             let Some(rule) = table.services.at(*index).cloned() else {
                 continue;
@@ -170,43 +180,43 @@
     }
 
     fn claimants(&self, hash: &ContentDigest) -> BTreeSet<CustomerName> {
-        if let Some(customers) = self.contested.get(hash) {
+        if let Some(customers) = self.shared_tokens.get(hash) {
             return customers.clone();
         }
-        let holder = self.table.place_of(hash);
-        let rule = holder.and_then(|place| self.table.customer(place.customer));
+        let token_owner = self.table.find_location(hash);
+        let rule = token_owner.and_then(|location| self.table.customer(location.customer));
         rule.map(|rule| rule.customer.clone()).into_iter().collect()
     }
 
-    /// Gives a token to the oldest of those that name it.
-    fn grant(&mut self, hash: &ContentDigest, claimants: BTreeSet<CustomerName>) {
-        let place = self.holder(&claimants).and_then(|(_, placed)| {
-            let piece = self.table.piece_arc(placed.index)?;
-            let mut hashes = piece.account_hashes();
+    /// Assigns a token to the oldest customer whose contract contains it.
+    fn assign_token(&mut self, hash: &ContentDigest, claimants: BTreeSet<CustomerName>) {
+        let location = self.token_owner(&claimants).and_then(|(_, placed)| {
+            let compiled = self.table.compiled_arc(placed.index)?;
+            let mut hashes = compiled.account_hashes();
             let (number, _) = hashes.find(|(_, other)| other == hash)?;
-            Some(AccountPlace {
+            Some(AccountLocation {
                 customer: placed.index,
                 number,
             })
         });
-        let held = self.table.place_of(hash);
-        if held != place {
+        let held = self.table.find_location(hash);
+        if held != location {
             let accounts = &mut Arc::make_mut(&mut self.table).accounts;
             if let Some(held) = held {
                 accounts.remove(hash, held);
             }
-            if let Some(place) = place {
-                accounts.insert(hash, place);
+            if let Some(location) = location {
+                accounts.insert(hash, location);
             }
         }
         if claimants.len() > 1 {
-            self.contested.insert(*hash, claimants);
+            self.shared_tokens.insert(*hash, claimants);
         } else {
-            self.contested.remove(hash);
+            self.shared_tokens.remove(hash);
         }
     }
 
-    fn holder<'a>(
+    fn token_owner<'a>(
         &'a self,
         claimants: &'a BTreeSet<CustomerName>,
     ) -> Option<(&'a CustomerName, &'a PlacedCustomer)> {
@@ -216,8 +226,8 @@
             .min_by_key(|(name, placed)| (placed.created, *name))
     }
 
-    fn free_index(&mut self) -> CustomerIndex {
-        self.free.pop_first().unwrap_or_else(|| {
+    fn allocate_index(&mut self) -> CustomerIndex {
+        self.free_indexes.pop_first().unwrap_or_else(|| {
             let used = self.placed.len();
             CustomerIndex(u32::try_from(used).unwrap_or(u32::MAX))
         })
--- a/crates/contract/src/table/piece.rs
+++ b/crates/contract/src/table/compiled.rs
@@ -1,7 +1,7 @@
-//! One customer's contract, compiled. A change of one contract rebuilds only its own piece.
+//! Compiled contract of one customer. A change of a contract rebuilds only its own compiled form.
 //!
-//! The routes are compiled at the customer's first request: a node serves a part of all customers
-//! at a time, and the compact form takes a fifth of the memory.
+//! The routes are compiled at the customer's first request. A node serves only some of the
+//! customers at a time, and the compact form takes a fifth of the memory.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,7 +17,7 @@
 use crate::pack::PackedContract;
 use crate::terms::{RepeatClass, RouteMethod, RouteTerms, ServiceObjective, ServiceTerms};
 
-/// Number of routes that are compiled now, over all customers of a table.
+/// Number of currently compiled routes of all customers in a table.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CompiledCount(Arc<AtomicUsize>);
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// The compiled contract of one customer.
+/// Compiled contract of one customer.
 #[derive(Clone, Debug)]
-pub(super) struct CustomerPiece {
+pub(super) struct CompiledContract {
     pub(super) rule: Arc<CustomerRule>,
     packed: PackedContract,
-    /// Fleet-wide indexes of the contract's services, in its order.
+    /// Fleet-wide indexes of the contract's services, in the order of the contract.
     services: Box<[ServiceIndex]>,
-    /// Routes sorted by prefix, those of one prefix in the order of the contract.
+    /// Routes sorted by prefix; routes with the same prefix are in the order of the contract.
     routes: OnceLock<Box<[RouteRule]>>,
 }
 
-impl CustomerPiece {
+impl CompiledContract {
     pub(super) fn new(
         contract: &CustomerContract,
         packed: PackedContract,
@@ -53,8 +53,10 @@
         }
     }
 
-    /// The route of a request whose path was checked. The longest prefix decides alone: a method
-    /// it does not take finds no route, rather than a shorter prefix with laxer rules.
+    /// Returns the route of a request whose path was checked.
+    ///
+    /// Only the longest matching prefix is considered. If none of its routes accepts the method,
+    /// no route is returned, because a route with a shorter prefix may have laxer rules.
     pub(super) fn find(
         &self,
         method: RouteMethod,
@@ -63,13 +65,13 @@
     ) -> Option<&RouteRule> {
         let routes = self.routes(count);
         path::prefixes(path)
-            .find_map(|prefix| group(routes, prefix))?
+            .find_map(|prefix| routes_with_prefix(routes, prefix))?
             .iter()
-            .find(|rule| rule.methods.has(method))
+            .find(|rule| rule.methods.contains(method))
     }
 
-    /// The same without compiled routes.
-    pub(super) fn bare(&self) -> Self {
+    /// Returns a copy without the compiled routes.
+    pub(super) fn without_routes(&self) -> Self {
         Self {
             routes: OnceLock::new(),
             ..self.clone()
@@ -113,13 +115,13 @@
     fn compile(&self) -> Box<[RouteRule]> {
         let contract = self.packed.unpack();
         let services = contract.services.iter().zip(&self.services);
-        let places: BTreeMap<&str, (&ServiceTerms, ServiceIndex)> = services
+        let services_by_name: BTreeMap<&str, (&ServiceTerms, ServiceIndex)> = services
             .map(|(service, index)| (service.name.as_str(), (service, *index)))
             .collect();
         let mut prefixes: BTreeMap<&str, Arc<str>> = BTreeMap::new();
         let mut routes: Vec<RouteRule> = Vec::with_capacity(contract.routes.len());
         for route in &contract.routes {
-            let Some((service, index)) = places.get(route.service.as_str()) else {
+            let Some((service, index)) = services_by_name.get(route.service.as_str()) else {
                 continue;
             };
             let prefix = path::canonical_prefix(&route.prefix);
@@ -132,8 +134,8 @@
     }
 }
 
-/// The routes of exactly this prefix, when there are any.
-fn group<'a>(routes: &'a [RouteRule], prefix: &str) -> Option<&'a [RouteRule]> {
+/// Returns the routes with exactly this prefix, if there are any.
+fn routes_with_prefix<'a>(routes: &'a [RouteRule], prefix: &str) -> Option<&'a [RouteRule]> {
     let start = routes.partition_point(|rule| &*rule.prefix < prefix);
     let rest = &routes[start..];
     let length = rest.partition_point(|rule| &*rule.prefix == prefix);
--- a/crates/contract/src/table/mod.rs
+++ b/crates/contract/src/table/mod.rs
@@ -1,17 +1,18 @@
-//! The compiled form of all contracts in force: read by the request path without locks.
+//! Compiled form of all contracts in force, read by the request path without locks.
 //!
 //! ```text
-//! token -> SHA-256 -> shard of accounts -> customer index -> piece -> prefix, method -> rule
+//! token -> SHA-256 -> account shard -> customer index -> compiled contract
+//!                                                          -> prefix, method -> rule
 //! ```
 //!
-//! A table never changes once shared. [`TableBuilder`] keeps the newest one and changes it in
-//! place while nobody else holds it; otherwise it copies only the shard, chunk and piece that a
-//! change touches and shares the rest.
+//! A shared table is immutable. [`TableBuilder`] updates its table in place while no other
+//! reference to it exists. Otherwise it copies only the shard, chunk and compiled contract that a
+//! change affects, and shares the rest.
 
 mod account;
 mod builder;
+mod compiled;
 pub mod path;
-mod piece;
 mod rule;
 mod service;
 
@@ -26,57 +27,59 @@
 
 use crate::digest::ContentDigest;
 use crate::terms::{RouteMethod, ServiceObjective};
-use account::{AccountPlace, AccountShards};
-use piece::{CompiledCount, CustomerPiece};
+use account::{AccountLocation, AccountShards};
+use compiled::{CompiledContract, CompiledCount};
 use service::ServiceList;
 
-/// Customers per chunk: a change copies one chunk of pointers.
+/// Number of customers per chunk. A change copies one chunk of pointers.
 const CHUNK_CUSTOMERS: usize = 256;
 
-type PieceChunk = Arc<Vec<Option<Arc<CustomerPiece>>>>;
+type CustomerChunk = Arc<Vec<Option<Arc<CompiledContract>>>>;
 
-/// All contracts in force, compiled. Cheap to share; a clone shares everything.
+/// Compiled form of all contracts in force. A clone shares all data.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     accounts: AccountShards,
-    chunks: Vec<PieceChunk>,
+    chunks: Vec<CustomerChunk>,
     services: ServiceList,
     compiled: CompiledCount,
 }
 
-/// The account that a token belongs to.
+/// Customer and account to which a token belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountMatch {
-    /// The customer.
+    /// Index of the customer in the table.
     pub customer: CustomerIndex,
     /// Name of the account in the customer's contract.
     pub account: Arc<str>,
 }
 
 impl RouteTable {
-    /// The customer a token belongs to.
+    /// Returns the customer to which a token belongs.
     ///
-    /// The token is hashed first, so how long the search takes tells about the hash only, from
-    /// which nobody can go back to a token; the last comparison takes the same time whatever
-    /// bytes differ.
+    /// The token is hashed first, so the duration of the search reveals information only about the
+    /// hash, from which the token cannot be derived. The final comparison is constant-time.
     #[must_use]
     pub fn find_customer(&self, token: &[u8]) -> Option<CustomerIndex> {
         let hash = ContentDigest::of(token);
-        self.place_of(&hash).map(|place| place.customer)
+        self.find_location(&hash).map(|location| location.customer)
     }
 
-    /// The customer and account a token belongs to.
+    /// Returns the customer and account to which a token belongs.
     #[must_use]
     pub fn find_account(&self, token: &[u8]) -> Option<AccountMatch> {
-        let place = self.place_of(&ContentDigest::of(token))?;
+        let location = self.find_location(&ContentDigest::of(token))?;
         Some(AccountMatch {
-            customer: place.customer,
-            account: self.piece(place.customer)?.account_id(place.number)?,
+            customer: location.customer,
+            account: self
+                .compiled(location.customer)?
+                .account_id(location.number)?,
         })
     }
 
-    /// The rule for a request: longest prefix on whole segments, then method. `None` also for a
-    /// path that is not in normal form (see [`path`]).
+    /// Returns the rule for a request: the longest prefix of whole segments, then the method.
+    ///
+    /// Returns `None` if no route matches or the path is not in normal form (see [`path`]).
     #[must_use]
     pub fn find_route(
         &self,
@@ -86,100 +89,105 @@
     ) -> Option<&RouteRule> {
         let method = RouteMethod::from_name(method)?;
         path::check(path).ok()?;
-        self.piece(customer)?.find(method, path, &self.compiled)
+        self.compiled(customer)?.find(method, path, &self.compiled)
     }
 
-    /// Limits of a customer.
+    /// Returns the limits of a customer.
     #[must_use]
     pub fn customer(&self, customer: CustomerIndex) -> Option<&Arc<CustomerRule>> {
-        self.piece(customer).map(|piece| &piece.rule)
+        self.compiled(customer).map(|compiled| &compiled.rule)
     }
 
-    /// Every customer, in order of index.
+    /// Returns all customers in order of index.
     pub fn customers(&self) -> impl Iterator<Item = (CustomerIndex, &Arc<CustomerRule>)> {
-        let pieces = self.chunks.iter().flat_map(|chunk| chunk.iter());
-        pieces.zip(0..).filter_map(|(piece, index)| {
-            let piece = piece.as_ref()?;
-            Some((CustomerIndex(index), &piece.rule))
+        let contracts = self.chunks.iter().flat_map(|chunk| chunk.iter());
+        contracts.zip(0..).filter_map(|(compiled, index)| {
+            let compiled = compiled.as_ref()?;
+            Some((CustomerIndex(index), &compiled.rule))
         })
     }
 
-    /// Every route of a customer, in order of prefix. Compiles them when no request did so far;
-    /// see [`Self::objectives`] for a look at all customers.
+    /// Returns the routes of a customer in order of prefix.
+    ///
+    /// Compiles the routes if no request has done so yet. To iterate over all customers, use
+    /// [`Self::objectives`], which does not compile.
     pub fn routes(&self, customer: CustomerIndex) -> impl Iterator<Item = &RouteRule> {
-        let piece = self.piece(customer).into_iter();
-        piece.flat_map(|piece| piece.routes(&self.compiled))
+        let compiled = self.compiled(customer).into_iter();
+        compiled.flat_map(|compiled| compiled.routes(&self.compiled))
     }
 
-    /// What a customer expects of its services, without compiling its routes.
+    /// Returns the objectives of a customer by service, without compiling its routes.
     #[must_use]
     pub fn objectives(&self, customer: CustomerIndex) -> Vec<(ServiceName, ServiceObjective)> {
-        let piece = self.piece(customer);
-        piece.map(CustomerPiece::objectives).unwrap_or_default()
+        let compiled = self.compiled(customer);
+        compiled
+            .map(CompiledContract::objectives)
+            .unwrap_or_default()
     }
 
-    /// Client accounts of all customers.
+    /// Returns the number of client accounts of all customers.
     #[must_use]
     pub fn account_count(&self) -> usize {
         self.accounts.count()
     }
 
-    /// Routes that are compiled now, about 230 bytes each. A node that serves many customers in
-    /// turn gives them back from time to time with
+    /// Returns the number of compiled routes, which take about 230 bytes each.
+    ///
+    /// A node that serves many customers in turn should regularly drop them with
     /// [`ContractBook::trim_table`](crate::ContractBook::trim_table).
     #[must_use]
     pub fn compiled_routes(&self) -> usize {
         self.compiled.get()
     }
 
-    /// What holds for a service.
+    /// Returns the rule of a service by name; `None` if no customer uses the service.
     #[must_use]
     pub fn service_rule(&self, service: &str) -> Option<&Arc<ServiceRule>> {
         self.services.find(service)
     }
 
-    /// What holds for the service with an index.
+    /// Returns the rule of a service by index; `None` if no customer uses the service.
     #[must_use]
     pub fn service_at(&self, index: ServiceIndex) -> Option<&Arc<ServiceRule>> {
         self.services.at(index)
     }
 
-    /// Every service that some customer uses, in order of index.
+    /// Returns the rules of all services in use, in order of index.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceRule>> {
         self.services.used()
     }
 
-    /// The index of a service, also of one that nobody uses any more.
+    /// Returns the index of a service, even if no customer uses it any more.
     #[must_use]
     pub fn service_index(&self, service: &ServiceName) -> Option<ServiceIndex> {
         self.services.index(service.as_str())
     }
 
-    fn piece(&self, customer: CustomerIndex) -> Option<&CustomerPiece> {
-        self.piece_arc(customer).map(|piece| &**piece)
+    fn compiled(&self, customer: CustomerIndex) -> Option<&CompiledContract> {
+        self.compiled_arc(customer).map(|compiled| &**compiled)
     }
 
-    fn piece_arc(&self, customer: CustomerIndex) -> Option<&Arc<CustomerPiece>> {
+    fn compiled_arc(&self, customer: CustomerIndex) -> Option<&Arc<CompiledContract>> {
         let index = customer.0 as usize;
         let chunk = self.chunks.get(index / CHUNK_CUSTOMERS)?;
         chunk.get(index % CHUNK_CUSTOMERS)?.as_ref()
     }
 
-    fn place_of(&self, hash: &ContentDigest) -> Option<AccountPlace> {
-        self.accounts.candidates(hash).find(|place| {
-            let piece = self.piece(place.customer);
-            let held = piece.and_then(|piece| piece.account_hash(place.number));
+    fn find_location(&self, hash: &ContentDigest) -> Option<AccountLocation> {
+        self.accounts.candidates(hash).find(|location| {
+            let compiled = self.compiled(location.customer);
+            let held = compiled.and_then(|compiled| compiled.account_hash(location.number));
             held.is_some_and(|held| held.ct_eq(hash))
         })
     }
 
-    fn set_piece(&mut self, customer: CustomerIndex, piece: Option<Arc<CustomerPiece>>) {
+    fn set_compiled(&mut self, customer: CustomerIndex, compiled: Option<Arc<CompiledContract>>) {
         let index = customer.0 as usize;
         let number = index / CHUNK_CUSTOMERS;
         if self.chunks.len() <= number {
             let empty = || Arc::new(vec![None; CHUNK_CUSTOMERS]);
             self.chunks.resize_with(number + 1, empty);
         }
-        Arc::make_mut(&mut self.chunks[number])[index % CHUNK_CUSTOMERS] = piece;
+        Arc::make_mut(&mut self.chunks[number])[index % CHUNK_CUSTOMERS] = compiled;
     }
 }
--- a/crates/contract/src/table/rule.rs
+++ b/crates/contract/src/table/rule.rs
@@ -1,4 +1,4 @@
-//! Rules in the form the request path reads: nothing left to default, names shared.
+//! Rules in the form read by the request path, with all defaults resolved and shared names.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,21 +11,21 @@
     ServiceObjective,
 };
 
-/// Place of a customer in one [`RouteTable`](super::RouteTable). It means nothing in another.
+/// Index of a customer, valid only in one [`RouteTable`](super::RouteTable).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerIndex(pub u32);
 
-/// Place of a service in the fleet-wide list. A service keeps its index as long as the process
-/// lives, also while nobody routes to it.
+/// Index of a service in the fleet-wide list. A service keeps its index for the lifetime of the
+/// process, even while no customer uses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceIndex(pub u32);
 
-/// Methods a route takes.
+/// Set of HTTP methods.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MethodSet(u8);
 
 impl MethodSet {
-    /// The set of some methods.
+    /// Creates a set of methods.
     pub fn of<'a, I>(methods: I) -> Self
     where
         I: IntoIterator<Item = &'a RouteMethod>,
@@ -34,9 +34,9 @@
         Self(bits.fold(0, |set, bit: u8| set | bit))
     }
 
-    /// Whether the set has a method.
+    /// Returns whether the set contains a method.
     #[must_use]
-    pub const fn has(self, method: RouteMethod) -> bool {
+    pub const fn contains(self, method: RouteMethod) -> bool {
         self.0 & (1 << method as u8) != 0
     }
 }
@@ -44,23 +44,23 @@
 /// Limits of one customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerRule {
-    /// The customer.
+    /// Name of the customer.
     pub customer: CustomerName,
-    /// The team that may amend its contract.
+    /// Team that may amend the contract.
     pub team: Arc<str>,
     /// Version of the contract in force.
     pub version: ContractVersion,
     /// Requests per second in the whole fleet.
     pub rate: f64,
-    /// Requests that may come at once after a pause.
+    /// Size of a burst after an idle period, in requests.
     pub burst: f64,
-    /// Requests at a time in the whole fleet.
+    /// Maximum number of concurrent requests in the whole fleet.
     pub concurrency: u32,
-    /// How many requests may be retried.
+    /// Limit of retries, as a share of the requests.
     pub retry_budget: RetryBudget,
-    /// How many requests may be hedged.
+    /// Limit of hedged requests, as a share of the requests.
     pub hedge_budget: HedgeBudget,
-    /// Which error of detection costs the customer more.
+    /// Preference between missed and false ejections of upstreams.
     pub leaning: DetectionLeaning,
     /// Header in which backend servers echo the request's id.
     pub reply_id_header: Option<Arc<str>>,
@@ -71,70 +71,70 @@
 pub struct KeyRule {
     /// Whether a request without a key is refused.
     pub required: bool,
-    /// What becomes of a key without a time in it.
+    /// Handling of keys that contain no timestamp.
     pub opaque: OpaqueKeys,
-    /// How long a key is remembered.
+    /// Time for which a key is retained.
     pub memory: Duration,
 }
 
-/// Everything the request path needs to know about a route.
+/// Rules of a route, as needed by the request path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
     /// Limits of the customer.
     pub terms: Arc<CustomerRule>,
-    /// The service.
+    /// Service to which requests are forwarded.
     pub service: ServiceName,
-    /// The service's place in the fleet-wide list.
+    /// Index of the service in the fleet-wide list.
     pub service_index: ServiceIndex,
-    /// Path prefix without a slash at its end; empty for `/`.
+    /// Path prefix without a trailing slash; empty for `/`.
     pub prefix: Arc<str>,
-    /// Methods the route takes.
+    /// Methods that the route accepts.
     pub methods: MethodSet,
     /// Whether a request may be run more than once.
     pub repeat: RepeatClass,
-    /// Longest time a request may take in all.
+    /// Maximum total duration of a request.
     pub deadline: Duration,
-    /// Most upstreams that may run one request; none leaves it to the retry plan.
+    /// Maximum number of upstreams that may run one request; `None` leaves it to the retry plan.
     pub attempts: Option<u16>,
     /// 0 (low, shed first) to 9 (high, shed last).
     pub priority: u8,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// Largest reply in bytes that is held back until it is whole.
+    /// Maximum size of a reply that is buffered completely before it is forwarded, in bytes.
     pub reply_buffer: u64,
     /// Whether a slow request may be sent to a second upstream.
     pub hedge: bool,
     /// Rules for the `Idempotency-Key`.
     pub keys: KeyRule,
-    /// What the customer expects of the service.
+    /// Objective of the customer for the service, if any.
     pub objective: Option<ServiceObjective>,
 }
 
 impl RouteRule {
-    /// Which kind of work the route's requests are, for what is learned of them: the same on every
-    /// node.
+    /// Returns an identifier under which measurements of the route's requests are grouped. The
+    /// identifier is the same on every node.
     #[must_use]
     pub fn work_kind(&self) -> u64 {
         name_hash(&self.prefix)
     }
 }
 
-/// What holds for a service, merged over all customers that use it.
+/// Rules of a service, merged over all customers that use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its place in the fleet-wide list.
+    /// Index of the service in the fleet-wide list.
     pub index: ServiceIndex,
-    /// Share of the announced upstreams that ejection must leave: the greatest of all.
+    /// Share of the announced upstreams that ejection must leave: the maximum over all customers.
     pub floor: f64,
-    /// Number of upstreams that ejection must leave: the greatest of all.
+    /// Number of upstreams that ejection must leave: the maximum over all customers.
     pub floor_count: u32,
-    /// The customers' leaning where all agree, else balanced.
+    /// Leaning of the customers if all agree, otherwise balanced.
     pub leaning: DetectionLeaning,
-    /// Requests that one upstream runs at a time: the least hint of all.
+    /// Concurrent requests per upstream: the minimum hint of all customers.
     pub slots: Option<u32>,
-    /// Least latency that any customer expects.
+    /// Latency objective: the minimum over all customers.
     pub latency: Option<Duration>,
     /// Number of customers that use the service.
     pub customers: u32,
