--- a/crates/contract/src/table/service.rs
+++ b/crates/contract/src/table/service.rs
@@ -1,9 +1,9 @@
 //! Services of the fleet, merged over the customers that use them.
 //!
-//! The strictest floor holds: a customer was promised that ejection leaves it so much capacity,
-//! and a laxer promise to another customer takes nothing away from that. The leaning is no promise
-//! but a preference, and an ejection is felt by every customer of the service, so a customer
-//! cannot choose it for the others: where they differ, the service is balanced.
+//! The strictest floor applies: each customer is guaranteed that ejection leaves a certain
+//! capacity, regardless of weaker guarantees to other customers. The leaning is only a preference.
+//! Because an ejection affects all customers of a service, no customer may choose the leaning for
+//! the others: if they differ, the service uses `Balanced`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::rule::{CustomerIndex, ServiceIndex, ServiceRule};
 use crate::terms::{DetectionLeaning, ServiceTerms};
 
-/// Services in order of index. Part of the shared table.
+/// List of services in order of index. Part of the shared table.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceList {
     names: Arc<BTreeMap<ServiceName, ServiceIndex>>,
@@ -38,8 +38,8 @@
         self.rules.iter().flatten()
     }
 
-    /// The name and index of a service, a new index when it has none.
-    pub(super) fn ensure(&mut self, service: &ServiceName) -> (ServiceName, ServiceIndex) {
+    /// Returns the shared name and the index of a service. Assigns a new index if necessary.
+    pub(super) fn get_or_insert(&mut self, service: &ServiceName) -> (ServiceName, ServiceIndex) {
         if let Some((name, index)) = self.names.get_key_value(service.as_str()) {
             return (name.clone(), *index);
         }
@@ -59,7 +59,7 @@
     }
 }
 
-/// What one customer asks of one service.
+/// Requirements of one customer for one service.
 #[derive(Clone, Copy, Debug)]
 struct ServiceClaim {
     floor: f64,
@@ -69,7 +69,7 @@
     leaning: DetectionLeaning,
 }
 
-/// What all customers ask of the services.
+/// Requirements of all customers for all services.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceClaims {
     claims: BTreeMap<(ServiceIndex, CustomerIndex), ServiceClaim>,
@@ -97,7 +97,7 @@
         self.claims.remove(&(index, customer));
     }
 
-    /// What holds for a service; `None` when nobody uses it.
+    /// Returns the merged rule of a service; `None` if no customer uses it.
     pub(super) fn merge(&self, index: ServiceIndex, service: &ServiceName) -> Option<ServiceRule> {
         let range = (index, CustomerIndex(0))..=(index, CustomerIndex(u32::MAX));
         let claims = self.claims.range(range);
@@ -129,15 +129,15 @@
         } else {
             DetectionLeaning::Balanced
         },
-        slots: least(left.slots, right.slots),
-        latency: least(left.latency, right.latency),
+        slots: min_option(left.slots, right.slots),
+        latency: min_option(left.latency, right.latency),
         customers: left.customers + right.customers,
         service: left.service,
         index: left.index,
     }
 }
 
-fn least<T>(left: Option<T>, right: Option<T>) -> Option<T>
+fn min_option<T>(left: Option<T>, right: Option<T>) -> Option<T>
 where
     T: Ord,
 {
--- a/crates/contract/src/terms/defaults.rs
+++ b/crates/contract/src/terms/defaults.rs
@@ -1,5 +1,6 @@
-//! Defaults of the parts of a contract. They belong to the record format: a change of one would
-//! change contracts that are in force.
+//! Default values of contract fields.
+//!
+//! The defaults are part of the record format: changing one would change contracts in force.
 
 use std::time::Duration;
 
@@ -11,39 +12,39 @@
 pub const DEFAULT_FLOOR_COUNT: u32 = 1;
 /// Default deadline of a request.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(2);
-/// Longest deadline a route may ask for when its service names none.
+/// Default maximum deadline of a service's routes.
 pub const DEFAULT_MAX_DEADLINE: Duration = Duration::from_secs(30);
 /// Default priority of a route, in the middle of 0 (low) to 9 (high).
 pub const DEFAULT_PRIORITY: u8 = 5;
-/// Greatest priority of a route.
+/// Maximum priority of a route.
 pub const MAX_PRIORITY: u8 = 9;
-/// Default largest body of a request in bytes.
+/// Default maximum size of a request body, in bytes.
 pub const DEFAULT_MAX_BODY: u64 = 1 << 20;
-/// Default largest reply in bytes that is held back until it is whole.
+/// Default maximum size of a reply that is buffered completely before it is forwarded, in bytes.
 pub const DEFAULT_REPLY_BUFFER: u64 = 1 << 20;
-/// Default time for which a key is remembered.
+/// Default time for which a key is retained.
 pub const DEFAULT_KEY_MEMORY: Duration = Duration::from_hours(1);
 /// Default share of requests that may be retried.
 pub const DEFAULT_RETRY_SHARE: f64 = 0.10;
-/// Default retries per second that are allowed whatever the share.
+/// Default number of retries per second that are allowed regardless of the share.
 pub const DEFAULT_RETRY_MIN: f64 = 1.0;
 /// Default share of requests that may be hedged.
 pub const DEFAULT_HEDGE_SHARE: f64 = 0.02;
 /// Default share of requests that must succeed.
 pub const DEFAULT_SUCCESS: f64 = 0.999;
-/// Default window over which an objective is judged.
+/// Default window over which an objective is evaluated.
 pub const DEFAULT_WINDOW: Duration = Duration::from_hours(720);
 
-/// Makes for each default the function that gives it and the one that knows it, so that what is
-/// left at its default is not written out.
+/// Generates two functions for each default: one that returns it, and one that detects it so that
+/// fields with their default value are not serialized.
 macro_rules! defaults {
-    ($($make:ident, $is:ident, $kind:ty, $value:expr;)+) => {
+    ($($default_fn:ident, $is_default_fn:ident, $kind:ty, $value:expr;)+) => {
         $(
-            pub(super) const fn $make() -> $kind {
+            pub(super) const fn $default_fn() -> $kind {
                 $value
             }
 
-            pub(super) fn $is(value: &$kind) -> bool {
+            pub(super) fn $is_default_fn(value: &$kind) -> bool {
                 *value == $value
             }
         )+
--- a/crates/contract/src/terms/mod.rs
+++ b/crates/contract/src/terms/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of a customer contract and their defaults.
+//! Parts of a customer contract and their defaults.
 
 mod defaults;
 mod route;
@@ -31,7 +31,7 @@
 pub struct ClientAccount {
     /// Name of the account, unique in the contract.
     pub id: Arc<str>,
-    /// SHA-256 of the token, 64 hexadecimal digits. The token itself is written nowhere.
+    /// SHA-256 of the token, 64 hexadecimal digits. The token itself is never stored.
     #[schemars(with = "String", extend("format" = "sha256"))]
     pub sha256: ContentDigest,
     /// What the account is for, shown in reports.
@@ -39,19 +39,19 @@
     pub role: Option<Arc<str>>,
 }
 
-/// Requests of the customer in the whole fleet.
+/// Rate limit of the customer's requests in the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RateLimit {
     /// Requests per second.
     pub per_second: f64,
-    /// Requests that may come at once after a pause. Defaults to one second's worth.
+    /// Size of a burst after an idle period, in requests. Defaults to one second's worth.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
 }
 
 impl RateLimit {
-    /// Requests that may come at once after a pause, at least one.
+    /// Returns the size of a burst after an idle period, in requests, at least one.
     #[must_use]
     pub fn burst(&self) -> f64 {
         self.burst
@@ -65,7 +65,7 @@
 pub struct RetryBudget {
     /// Share of the requests, 0 to 0.5.
     pub share: f64,
-    /// Retries per second that are allowed whatever the share.
+    /// Retries per second that are allowed regardless of the share.
     pub min_per_second: f64,
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Which error of detection costs the customer more.
+/// Preference between missed and false ejections of upstreams.
 #[derive(
     Clone,
     Copy,
@@ -111,16 +111,16 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum DetectionLeaning {
-    /// A healthy upstream removed costs more than a sick one kept for some seconds.
+    /// Ejecting a healthy upstream costs more than keeping a failing one for some seconds.
     FewFalseEjections,
-    /// Both cost the same.
+    /// Both errors cost the same.
     #[default]
     Balanced,
-    /// A sick upstream kept for some seconds costs more than a healthy one removed.
+    /// Keeping a failing upstream for some seconds costs more than ejecting a healthy one.
     FastDetection,
 }
 
-/// What the customer expects of a service.
+/// Service-level objective of the customer for a service.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -135,7 +135,7 @@
         skip_serializing_if = "is_default_success"
     )]
     pub success: f64,
-    /// Time over which the share is judged.
+    /// Time over which the share is evaluated.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     #[serde(default = "default_window", skip_serializing_if = "is_default_window")]
@@ -143,7 +143,7 @@
 }
 
 /// A service that the customer uses, with the floor it needs. The name is fleet-wide: several
-/// customers may use one service, and then the strictest floor holds.
+/// customers may use one service, and then the strictest floor applies.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -153,13 +153,13 @@
     /// Share of the announced upstreams that ejection must leave, 0 to 1.
     #[serde(default = "default_floor", skip_serializing_if = "is_default_floor")]
     pub floor: f64,
-    /// Number of upstreams that ejection must leave, where so many are announced.
+    /// Number of upstreams that ejection must leave, if that many are announced.
     #[serde(
         default = "default_floor_count",
         skip_serializing_if = "is_default_floor_count"
     )]
     pub floor_count: u32,
-    /// Deadline of the routes that name none.
+    /// Deadline of the service's routes that set none.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     #[serde(
@@ -172,16 +172,16 @@
     #[schemars(with = "Option<DurationText>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_deadline: Option<Duration>,
-    /// Requests that one upstream runs at a time, where the upstream itself does not say.
+    /// Concurrent requests per upstream, for upstreams that do not announce a number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// What the customer expects.
+    /// Service-level objective of the customer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub objective: Option<ServiceObjective>,
 }
 
 impl ServiceTerms {
-    /// Longest deadline a route may ask for.
+    /// Returns the longest deadline that a route may ask for.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
         self.max_deadline
--- a/crates/contract/src/terms/route.rs
+++ b/crates/contract/src/terms/route.rs
@@ -19,13 +19,13 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatClass {
-    /// Running it again does no harm: it may be retried and hedged.
+    /// Running the request again does no harm: it may be retried and hedged.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     NonIdempotent,
 }
 
-/// What becomes of a key without a time in it.
+/// Handling of keys that contain no timestamp.
 #[derive(
     Clone,
     Copy,
@@ -42,10 +42,10 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum OpaqueKeys {
-    /// Only keys with a time in them (`UUIDv7`) are taken.
+    /// Only keys that contain a timestamp (`UUIDv7`) are accepted.
     #[default]
     Refuse,
-    /// Any key is taken, and is protected for the time of `memory` after its first send.
+    /// Any key is accepted, and is protected for the time of `memory` after its first send.
     Window,
 }
 
@@ -57,9 +57,9 @@
     /// Whether a request without a key is refused. Defaults to true on non-idempotent routes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub required: Option<bool>,
-    /// What becomes of a key without a time in it.
+    /// Handling of keys that contain no timestamp.
     pub opaque: OpaqueKeys,
-    /// How long a key is remembered.
+    /// Time for which a key is retained.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub memory: Duration,
@@ -75,7 +75,7 @@
     }
 }
 
-/// A method of HTTP that a route may take.
+/// An HTTP method that a route may accept.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -98,7 +98,7 @@
 }
 
 impl RouteMethod {
-    /// Every method, in order.
+    /// All methods. The compact form of a contract stores the index of a method in this list.
     pub const ALL: &'static [Self] = &[
         Self::Get,
         Self::Head,
@@ -109,7 +109,7 @@
         Self::Options,
     ];
 
-    /// The method as text.
+    /// Returns the method as text.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The method with this name, which is case-sensitive as in HTTP.
+    /// Returns the method with this name, which is case-sensitive as in HTTP.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL
@@ -133,20 +133,20 @@
     }
 }
 
-/// Requests under one path prefix that are treated alike.
+/// Route of the requests under one path prefix.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTerms {
-    /// Path prefix, matched on whole segments: `/orders` takes `/orders/7` but not `/ordersets`.
+    /// Path prefix, matched on whole segments: `/orders` matches `/orders/7` but not `/ordersets`.
     pub prefix: Arc<str>,
-    /// Methods the route takes.
+    /// Methods that the route accepts.
     pub methods: Vec<RouteMethod>,
     /// Name of the service, one of `services`.
     pub service: ServiceName,
     /// Whether a request may be run more than once.
     pub repeat: RepeatClass,
-    /// Deadline of a request, the caller's own when that is shorter. Defaults to the service's.
+    /// Deadline of a request, unless the caller sets a shorter one. Defaults to the service's.
     #[serde_as(as = "Option<DurationText>")]
     #[schemars(with = "Option<DurationText>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -165,7 +165,7 @@
         skip_serializing_if = "is_default_max_body"
     )]
     pub max_body: u64,
-    /// Largest reply that is held back until it is whole.
+    /// Largest reply that is buffered completely before it is forwarded.
     #[serde_as(as = "SizeText")]
     #[schemars(with = "SizeText")]
     #[serde(
--- a/crates/contract/src/text.rs
+++ b/crates/contract/src/text.rs
@@ -1,4 +1,4 @@
-//! The content of a change: a contract as it stands in records and entries.
+//! Content of changes and entries: a contract, valid or not.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, OnceLock};
@@ -11,25 +11,27 @@
 use crate::digest::ContentDigest;
 use crate::pack::PackedContract;
 
-/// A contract as content of a record or entry, valid or not. A valid one is kept in a compact
-/// form; its digest is the same on every node, however the JSON was written.
+/// Contract as the content of a record or entry, valid or not.
+///
+/// A valid contract is kept in compact form. Its digest is the same on every node, regardless of
+/// the formatting of the JSON.
 #[derive(Clone, Debug)]
 pub struct ContractText {
     form: TextForm,
-    /// The JSON text of a compact form, made when somebody asks for it.
+    /// JSON text of a contract in compact form, created on first use.
     text: OnceLock<Arc<str>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum TextForm {
-    /// Valid.
+    /// Valid contract.
     Packed(PackedContract),
-    /// Invalid: JSON text with sorted keys.
+    /// Invalid contract, as JSON text with sorted keys.
     Raw(Arc<str>),
 }
 
 impl ContractText {
-    /// The content for a contract.
+    /// Creates the content from a contract.
     #[must_use]
     pub fn of(contract: &CustomerContract) -> Self {
         if contract.validate().0.is_empty() {
@@ -39,7 +41,7 @@
         Self::raw(&value)
     }
 
-    /// The content for a contract in JSON, valid or not.
+    /// Creates the content from a JSON value, which may be an invalid contract.
     #[must_use]
     pub fn of_value(value: &Value) -> Self {
         CustomerContract::from_value(value)
@@ -54,14 +56,14 @@
     }
 
     fn raw(value: &Value) -> Self {
-        let text = sorted(value).to_string();
+        let text = with_sorted_keys(value).to_string();
         Self {
             form: TextForm::Raw(Arc::from(text)),
             text: OnceLock::new(),
         }
     }
 
-    /// The contract as compact JSON. The first call makes the text and keeps it with this value.
+    /// Returns the contract as compact JSON. The first call creates the text and caches it.
     #[must_use]
     pub fn as_str(&self) -> &str {
         match &self.form {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The digest of the content.
+    /// Returns the digest of the content.
     #[must_use]
     pub fn digest(&self) -> ContentDigest {
         match &self.form {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Bytes the content takes here.
+    /// Returns the size of the content in memory, in bytes, without cached text.
     #[must_use]
     pub fn size(&self) -> usize {
         match &self.form {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Bytes the content takes as compact JSON.
+    /// Returns the size of the content as compact JSON, in bytes.
     pub(crate) fn json_size(&self) -> usize {
         match &self.form {
             TextForm::Packed(packed) => {
@@ -102,11 +104,11 @@
         }
     }
 
-    /// The contract.
+    /// Returns the contract.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// Returns all problems of an invalid contract.
     pub fn parse(&self) -> Result<CustomerContract, FindingList> {
         match &self.form {
             TextForm::Packed(packed) => Ok(packed.unpack()),
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The compact form of a valid contract.
+    /// Returns the compact form, or `None` if the contract is invalid.
     pub(crate) const fn as_packed(&self) -> Option<&PackedContract> {
         match &self.form {
             TextForm::Packed(packed) => Some(packed),
@@ -131,17 +133,17 @@
 
 impl Eq for ContractText {}
 
-/// The same value with the keys of every object in order, whatever order the parser keeps.
-fn sorted(value: &Value) -> Value {
+/// Returns the value with the keys of every object sorted, regardless of the parser's key order.
+fn with_sorted_keys(value: &Value) -> Value {
     match value {
         Value::Object(map) => {
             let ordered: BTreeMap<&String, &Value> = map.iter().collect();
             let pairs = ordered.into_iter();
             pairs
-                .map(|(key, value)| (key.clone(), sorted(value)))
+                .map(|(key, value)| (key.clone(), with_sorted_keys(value)))
                 .collect()
         }
-        Value::Array(items) => items.iter().map(sorted).collect(),
+        Value::Array(items) => items.iter().map(with_sorted_keys).collect(),
         other => other.clone(),
     }
 }
--- a/crates/contract/src/validate.rs
+++ b/crates/contract/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of meaning: what a contract may not say, all reported at once.
+//! Semantic validation of contracts, which reports all errors at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use crate::table::path;
 use crate::terms::{MAX_PRIORITY, RepeatClass, RouteTerms, ServiceTerms};
 
-/// Greatest share of requests that may be retried or hedged.
+/// Maximum share of requests that may be retried or hedged.
 const MAX_BUDGET_SHARE: f64 = 0.5;
 
 pub(crate) fn check(contract: &CustomerContract) -> FindingList {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Longest name of a customer, team, account or service in bytes.
+/// Maximum length of the name of a customer, team, account, service or header, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 fn check_name(name: &str, place: &str, findings: &mut FindingList) {
@@ -185,8 +185,8 @@
 }
 
 fn check_route_form(route: &RouteTerms, place: &str, findings: &mut FindingList) {
-    if let Err(fault) = path::check(&route.prefix) {
-        findings.add(format!("{place}.prefix"), fault.to_string());
+    if let Err(error) = path::check(&route.prefix) {
+        findings.add(format!("{place}.prefix"), error.to_string());
     }
     findings.expect(
         !route.prefix.contains('?'),
@@ -212,9 +212,9 @@
 }
 
 fn check_route_class(route: &RouteTerms, place: &str, findings: &mut FindingList) {
-    let once = route.repeat == RepeatClass::NonIdempotent;
+    let non_idempotent = route.repeat == RepeatClass::NonIdempotent;
     findings.expect(
-        !(once && route.hedge == Some(true)),
+        !(non_idempotent && route.hedge == Some(true)),
         &format!("{place}.hedge"),
         "a non-idempotent route cannot be hedged: both sends could run",
     );
@@ -245,9 +245,9 @@
         );
         return;
     };
-    let longest = route.deadline.unwrap_or(service.deadline);
+    let deadline_limit = route.deadline.unwrap_or(service.deadline);
     findings.expect(
-        route.repeat == RepeatClass::Idempotent || route.keys.memory >= longest,
+        route.repeat == RepeatClass::Idempotent || route.keys.memory >= deadline_limit,
         &format!("{place}.keys.memory"),
         "is shorter than the deadline: a key could be forgotten while its request runs",
     );
--- a/crates/contract/tests/testsuite/access.rs
+++ b/crates/contract/tests/testsuite/access.rs
@@ -1,4 +1,4 @@
-//! Who may make which call.
+//! Authorization and change quotas of operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,10 +22,10 @@
     TeamScope::Team(Arc::from("red"))
 }
 
-/// One row per call: for each account, whether it may make the call about its own team, about
-/// another team, and about no team.
+/// The snapshot has one row per call. For each account, it shows whether the call is allowed for
+/// the account's own team, for another team, and without a team. A `*` marks grants for all teams.
 #[test]
-fn the_whole_table_of_role_by_call() {
+fn every_role_may_make_only_the_listed_calls() {
     let mut accounts = vec![AccessAccount {
         grants: Vec::new(),
         ..account("nobody", red(), AccessRole::Viewer)
@@ -40,20 +40,20 @@
         "", "nobody", "viewer", "operator", "admin", "viewer*", "operator*", "admin*"
     )];
     for call in AccessCall::ALL {
-        let may = accounts.iter().map(|account| {
+        let cells = accounts.iter().map(|account| {
             let teams = [Some("red"), Some("blue"), None];
-            let answers = teams.map(|team| authorize(account, *call, team));
-            let marks = answers.map(|answer| if answer.is_ok() { 'y' } else { '-' });
+            let results = teams.map(|team| authorize(account, *call, team));
+            let marks = results.map(|result| if result.is_ok() { 'y' } else { '-' });
             format!("{:>10}", marks.iter().collect::<String>())
         });
         let name = format!("{call:?}");
-        rows.push(format!("{name:<18}{}", may.collect::<String>()));
+        rows.push(format!("{name:<18}{}", cells.collect::<String>()));
     }
     assert_snapshot!(rows.join("\n"));
 }
 
 #[test]
-fn nobody_without_a_known_token_gets_in() {
+fn unknown_tokens_are_refused() {
     let admin = account("ann", TeamScope::All, AccessRole::Admin);
     let table = AccessTable::new(vec![admin]).unwrap();
     assert_eq!(table.find(b"ann").unwrap().name, Arc::from("ann"));
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_contract_cannot_be_taken_from_another_team() {
-    // An operator of one team publishes another team's customer under the own team's name. Were
-    // only the new contract's team asked, the customer would change hands.
+fn changing_a_contract_needs_a_grant_for_both_teams() {
+    // An operator publishes another team's customer under the operator's own team. If only the
+    // team of the new contract were checked, the operator could take over the customer.
     let operator = account("rob", red(), AccessRole::Operator);
     let call = AccessCall::PutContract;
     assert_eq!(
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn doubtful_accounts_are_all_reported() {
+fn all_invalid_accounts_are_reported() {
     let twin = |name: &str| AccessAccount {
         sha256: ContentDigest::of(b"same"),
         ..account(name, red(), AccessRole::Viewer)
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_team_that_used_up_its_changes_waits() {
+fn team_over_quota_must_wait() {
     let quota = ChangeQuota {
         per_day: 86_400,
         burst: 3,
@@ -113,7 +113,7 @@
     let at = Duration::from_secs;
     for _ in 0..3 {
         assert_eq!(ledger.check(&red, at(10)), Ok(()));
-        ledger.note(&red, at(10));
+        ledger.record(&red, at(10));
     }
     assert_snapshot!(ledger.check(&red, at(10)).unwrap_err());
     assert_eq!(ledger.check(&Arc::from("blue"), at(10)), Ok(()));
--- a/crates/contract/tests/testsuite/carrying.rs
+++ b/crates/contract/tests/testsuite/carry.rs
@@ -1,4 +1,4 @@
-//! State outlives the records that made it.
+//! Carry records, which preserve state after its original records have left the log.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     CarryWindow::new(NodeId::of("one"), oldest, wall, RETENTION)
 }
 
-/// A log whose first records concern ash and birch, and whose last carry them.
+/// Returns a log whose first records change ash and birch and whose last record carries both.
 fn carried_log() -> TestLog {
     let mut log = TestLog::default();
     log.put("ash", 1);
@@ -32,23 +32,23 @@
 }
 
 #[test]
-fn a_reader_of_a_trimmed_log_gets_everything_from_carried_state() {
-    // The records that made the contracts have left the log. A new daemon must have the same
-    // contracts and versions all the same, and judge later changes like everybody else.
+fn reader_of_truncated_log_restores_state_from_carry_record() {
+    // The records of the changes have left the log. A new reader must still derive the same
+    // contracts and versions and evaluate later changes like all other readers.
     let mut log = carried_log();
     log.put("ash", 3);
     for oldest in 0..=8 {
         let book = log.reader_from(oldest);
-        assert!(book.is_whole());
+        assert!(book.is_complete());
         assert_eq!(in_force(&book), ["ash v10 live", "birch v4 removed"]);
         assert_eq!(book.version_digest(), log.book.version_digest());
     }
 }
 
 #[test]
-fn a_change_before_the_carried_state_waits_for_it() {
-    // A reader that starts in between sees an amendment of a version it does not know. Taken at
-    // once it might lose later to a change that the reader did not see.
+fn change_of_unproven_customer_is_deferred() {
+    // The reader starts after the base of an amendment. If it accepted the amendment at once, a
+    // change that it did not read could turn out to be the one in force.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("ash", 2);
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn a_flood_of_changes_of_one_customer_is_bounded() {
-    // Somebody makes more changes than a reader holds back. A state from before those it gave up
-    // proves nothing any more; taken all the same, an old version would stay in force for good.
+fn deferred_changes_are_bounded() {
+    // There are more changes of one customer than a reader defers. A carry record or snapshot from
+    // before the discarded changes must not be adopted, or an old version would stay in force.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let old = carry(&log.book, &["ash"]);
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn stale_carried_state_reverts_nothing() {
-    // A node falls behind, and its append arrives after a later change. Were the record taken for
-    // news, the contract would go back to an older version.
+fn stale_carry_record_reverts_nothing() {
+    // The carry record of a slow node is appended after a later change. It must not revert the
+    // contract to the older version.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let stale = carry(&log.book, &["ash"]);
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn carried_state_that_contradicts_the_log_is_refused() {
-    // A faulty node carries a content that no change had, or a version of the future. Readers
-    // that saw the records know better, and say so.
+fn carry_record_that_contradicts_the_log_is_refused() {
+    // A faulty node carries content that no change had, or claims a later `as_of` than its record.
+    // Readers that read the original records refuse and report both.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut other = TestLog::default();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn one_bad_entry_does_not_spoil_a_carrying_record() {
+fn bad_entry_does_not_invalidate_carry_record() {
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("birch", 1);
@@ -155,10 +155,10 @@
 }
 
 #[test]
-fn a_change_from_before_the_carried_state_gets_no_wrong_result() {
-    // A reader holds two changes back, then learns the state after both. The first was accepted
-    // in its time; judged against the later state it would be reported as rejected, and its
-    // author would make it again.
+fn change_covered_by_carry_record_has_no_outcome() {
+    // A reader defers two changes and then restores the state after both. The first change was
+    // accepted. If it were evaluated against the later state, it would be reported as rejected and
+    // its author would repeat it.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let first = log.draft("ash", 2);
@@ -178,9 +178,9 @@
 }
 
 #[test]
-fn a_slow_reader_that_loses_its_place_says_so() {
-    // The log drops records before a slow reader came to them. Reading on as if nothing were
-    // missing would leave out changes for good.
+fn missing_records_are_reported_as_gap() {
+    // The log drops records before a slow reader has read them. If the reader continued without
+    // noticing, it would miss changes permanently.
     let log = carried_log();
     let mut book = ContractBook::new();
     book.apply(0, log.record(0));
@@ -192,7 +192,7 @@
     assert_eq!(book.next_offset(), 1);
     book.restart_at(6, log.head());
     assert!(book.needs_snapshot());
-    // What was in force stays so until the log or a peer tells more.
+    // Contracts stay in force until the log or a peer provides newer state.
     assert_eq!(in_force(&book), ["ash v1 live"]);
     log.read(&mut book);
     assert!(!book.needs_snapshot());
@@ -200,25 +200,25 @@
 }
 
 #[test]
-fn contracts_that_nobody_could_carry_are_kept() {
-    // The log took no appends for its whole retention, and everything left it. A daemon that
-    // still knows the contracts must not drop them for want of records; it brings them back.
+fn contracts_survive_a_gap_without_carry_records() {
+    // No node could append for the whole retention, so all records have left the log. A node that
+    // still has the contracts must keep them and carry them forward again.
     let mut log = TestLog::default();
     log.put("ash", 1);
-    let mut keeper = log.book.clone();
+    let mut survivor = log.book.clone();
     log.fill(5);
-    // The gap is reported without the log's head, which the next answer tells.
-    keeper.restart_at(4, 4);
-    assert!(!keeper.is_whole());
-    keeper.check_head(6);
-    log.read(&mut keeper);
-    assert!(keeper.is_whole());
-    assert_eq!(in_force(&keeper), ["ash v1 live"]);
-    assert!(!keeper.take_findings().is_empty());
+    // The gap is reported without the log's next offset, which arrives with the next reply.
+    survivor.restart_at(4, 4);
+    assert!(!survivor.is_complete());
+    survivor.check_head(6);
+    log.read(&mut survivor);
+    assert!(survivor.is_complete());
+    assert_eq!(in_force(&survivor), ["ash v1 live"]);
+    assert!(!survivor.take_findings().is_empty());
 
     let mut fresh = log.reader_from(4);
     assert_eq!(in_force(&fresh), Vec::<String>::new());
-    let due = keeper.due_carries(&window(4, Duration::ZERO));
+    let due = survivor.due_carries(&window(4, Duration::ZERO));
     assert_eq!((due.records.len(), due.late), (1, 1));
     log.append(due.records[0].encode());
     log.read(&mut fresh);
@@ -226,9 +226,9 @@
 }
 
 #[test]
-fn silence_that_was_wrong_gives_way_to_the_log() {
-    // A reader misses the amendment of a contract, and the record that carries it comes only after
-    // everything the reader took for the whole log. It must not hold to what it assumed.
+fn late_carry_record_replaces_assumed_state() {
+    // A reader misses an amendment, and the record that carries it lies after the head at which the
+    // reader considered its state complete. The carry record must replace the assumed state.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut slow = log.book.clone();
@@ -245,21 +245,21 @@
 }
 
 #[test]
-fn a_removal_is_forgotten_only_when_no_copy_can_undo_it() {
-    // Removals are remembered for a span of records. A creation that is older than the span is
-    // refused by its age alone, so a reader that forgot the removal judges like one that did not.
+fn dropped_tombstone_does_not_allow_late_creation() {
+    // Removals are retained for a fixed number of records, and older creations are always refused.
+    // Readers with and without the tombstone must therefore agree on a late copy of a creation.
     let mut log = TestLog::default();
     let creation = log.draft("ash", 1);
     log.append(creation.encode());
     log.remove("ash");
     let entries = log.book.snapshot().entries;
     let late = 2 + TOMBSTONE_SPAN;
-    let mut remembers = ContractBook::new();
-    remembers.adopt(&BookSnapshot::seal(late - 1, true, entries));
-    assert_eq!(in_force(&remembers), ["ash v2 removed"]);
-    let mut forgot = ContractBook::new();
-    forgot.adopt(&BookSnapshot::seal(late - 1, true, Vec::new()));
-    for book in [&mut remembers, &mut forgot] {
+    let mut with_tombstone = ContractBook::new();
+    with_tombstone.adopt(&BookSnapshot::seal(late - 1, true, entries));
+    assert_eq!(in_force(&with_tombstone), ["ash v2 removed"]);
+    let mut without_tombstone = ContractBook::new();
+    without_tombstone.adopt(&BookSnapshot::seal(late - 1, true, Vec::new()));
+    for book in [&mut with_tombstone, &mut without_tombstone] {
         book.apply(late - 1, b"{}");
         let outcome = book.apply(late, &creation.encode());
         assert!(matches!(
@@ -271,9 +271,9 @@
 }
 
 #[test]
-fn state_is_carried_in_good_time_by_few_of_many_nodes() {
-    // 200 nodes see the same log. Were all to carry at once, they would use up the log's appends;
-    // were they to wait for each other, nobody would.
+fn few_of_many_nodes_carry_state_in_time() {
+    // 200 nodes read the same log. They must not all append carry records at once, which would
+    // exhaust the log's append rate, nor all wait for each other.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.fill(99);
@@ -289,13 +289,14 @@
             }
         }
     }
-    // The proof is renewed soon after a third of the retention, each time by one node.
+    // One node renews the proof each time, soon after a third of the retention.
     insta::assert_debug_snapshot!(appended);
 }
 
 #[test]
-fn state_near_the_oldest_record_is_carried_whatever_the_clocks_say() {
-    // A clock far ahead made a proof look new for ever; records leave the log all the same.
+fn state_near_oldest_record_is_carried_despite_clock_skew() {
+    // A stamp far in the future would make a proof look new forever, but its record still leaves
+    // the log.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.fill(99);
@@ -304,19 +305,19 @@
     let due = log.book.due_carries(&window(1, Duration::ZERO));
     assert_eq!(due.records.len(), 1);
     assert_eq!(due.records[0].as_of, 100);
-    let lying = draft(&log.book, "birch", 1);
+    let skewed = draft(&log.book, "birch", 1);
     let mut log = TestLog::default();
-    let mut lying = lying;
-    lying.stamp = RETENTION * 1000;
-    lying.seen = 0;
-    log.append(lying.encode());
+    let mut skewed = skewed;
+    skewed.stamp = RETENTION * 1000;
+    skewed.seen = 0;
+    log.append(skewed.encode());
     log.fill(99);
     let due = log.book.due_carries(&window(0, Duration::ZERO));
     assert_eq!(due.records.len(), 1);
 }
 
 #[test]
-fn many_entries_share_few_records() {
+fn entries_are_batched_into_records() {
     let mut log = TestLog::default();
     let names: Vec<String> = (0..100)
         .map(|number| format!("customer-{number}"))
@@ -348,7 +349,7 @@
 }
 
 #[test]
-fn records_that_carry_stay_below_the_largest() {
+fn carry_records_stay_below_maximum_size() {
     let mut log = TestLog::default();
     for customer in 0_u32..10 {
         let name = format!("customer-{customer}");
--- a/crates/contract/tests/testsuite/changes.rs
+++ b/crates/contract/tests/testsuite/changes.rs
@@ -1,4 +1,4 @@
-//! Changes: which are accepted, and what becomes of the others.
+//! Acceptance and rejection of changes.
 
 use insta::assert_snapshot;
 use sycamorelink_contract::book::RejectedChange;
@@ -19,10 +19,9 @@
 }
 
 #[test]
-fn of_two_operators_at_once_the_first_in_the_log_wins() {
-    // Two operators amend the same version at the same moment; each sees its own content until
-    // the log has an order. The second change must lose for every reader, whatever its start, and
-    // its author must be told who won.
+fn first_of_concurrent_changes_wins() {
+    // Two operators amend the same version concurrently. Every reader must reject the second
+    // change in the log, and the outcome must name the first one as the conflicting version.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let first = log.draft("ash", 10);
@@ -44,13 +43,16 @@
     assert_eq!(other.entry("ash"), log.book.entry("ash"));
 }
 
-fn rejection(it: &RejectedChange) -> String {
-    let (place, base) = (it.place, it.base);
-    format!("{place} on {base} by {}: {}", it.author, it.reason)
+fn rejection_line(rejected: &RejectedChange) -> String {
+    let (place, base) = (rejected.place, rejected.base);
+    format!(
+        "{place} on {base} by {}: {}",
+        rejected.author, rejected.reason
+    )
 }
 
 #[test]
-fn the_history_names_bases_and_rejections() {
+fn history_contains_bases_and_rejections() {
     let mut log = TestLog::default();
     log.put("ash", 1);
     let late = ContractChange {
@@ -63,7 +65,7 @@
     log.remove("ash");
     let bases: Vec<_> = log.book.history("ash").map(|item| item.base).collect();
     assert_eq!(bases, [0, 1, 2].map(|base| Some(ContractVersion(base))));
-    let rejected: Vec<String> = log.book.rejected("ash").map(rejection).collect();
+    let rejected: Vec<String> = log.book.rejected("ash").map(rejection_line).collect();
     insta::assert_debug_snapshot!(rejected, @r#"
     [
         "v3 on v1 by bob: amends another version than v2 by ann, which is in force",
@@ -73,9 +75,9 @@
 }
 
 #[test]
-fn a_lost_reply_is_settled_by_the_id_of_the_change() {
-    // The append took effect but its reply was lost. The author asks for the id; an author that
-    // appends again all the same gets the result of the first copy, and nothing changes.
+fn outcome_of_lost_append_reply_is_found_by_change_id() {
+    // The append succeeded but its reply was lost. The author queries the outcome by id. If the
+    // author appends the change again, the outcome is that of the first copy.
     let mut log = TestLog::default();
     let change = log.draft("ash", 1);
     assert_eq!(log.book.change_outcome(change.id), None);
@@ -94,36 +96,35 @@
 }
 
 #[test]
-fn a_late_copy_of_a_creation_does_not_bring_a_customer_back() {
-    // A customer is created and removed; then a copy of the creation arrives, appended by a
-    // client that never saw its reply. Judged by "no contract is in force" alone it would bring
-    // the customer back with everything it could do.
+fn late_copy_of_creation_does_not_restore_customer() {
+    // A client that never received the reply appends its creation again after the customer was
+    // removed. A check that only requires that no contract is in force would restore the customer.
     let mut log = TestLog::default();
     let creation = log.draft("ash", 1);
     log.append(creation.encode());
     log.remove("ash");
     log.append(creation.encode());
     assert_eq!(in_force(&log.book), ["ash v2 removed"]);
-    // The same under a new id, so that no memory of ids helps.
-    let disguised = ContractChange {
+    // A copy with another id must be rejected too, independently of the retained outcomes.
+    let copy_with_new_id = ContractChange {
         id: ChangeId(77),
         ..creation
     };
-    let outcome = log.append(disguised.encode());
+    let outcome = log.append(copy_with_new_id.encode());
     assert_snapshot!(
         reason(&outcome),
         @"the customer was removed by ann at v2, after this creation was made"
     );
-    // Whoever saw the removal may create again.
+    // An author that has seen the removal may create the customer again.
     log.put("ash", 3);
     assert_eq!(in_force(&log.book), ["ash v5 live"]);
 }
 
 #[test]
-fn one_bad_record_stops_nothing() {
-    // Somebody appends garbage, a foreign record, a record of a later build, a huge one, a
-    // contract that contradicts itself. Were one of them to stop the replay, no later change of
-    // any customer would come into force.
+fn invalid_records_do_not_stop_the_replay() {
+    // The log contains garbage, foreign records, a newer format, a huge record and invalid
+    // contracts. If one of them stopped the replay, no later change of any customer would come
+    // into force.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let broken = |text: &str| {
@@ -180,7 +181,7 @@
     ];
     let mut lines = Vec::new();
     for (number, record) in records.into_iter().enumerate() {
-        // Each change has an id of its own, or it would count as a copy of the one before.
+        // Each change needs its own id, or it would count as a copy of the previous one.
         let own = format!("{:032x}", 1000 + number);
         let same = format!("{:032x}", 5);
         let record = match String::from_utf8(record) {
@@ -196,9 +197,9 @@
 }
 
 #[test]
-fn a_node_that_met_a_later_format_does_not_speak_for_the_log() {
-    // A later build writes a format that this one cannot read. What this node holds may be
-    // outdated; were it to carry that forward, or hand it out as whole, readers would take it.
+fn snapshot_after_unsupported_format_is_incomplete() {
+    // After a record in an unsupported format, this node's state may be outdated. Its snapshot must
+    // not be marked as complete, or other nodes would adopt it as their base.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.append(b"{\"format\": 2, \"kind\": \"change\"}".to_vec());
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn a_roll_back_is_a_new_version_with_its_own_content() {
+fn rollback_creates_new_version_with_own_content() {
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("ash", 2);
@@ -238,8 +239,8 @@
 }
 
 #[test]
-fn clocks_decide_nothing() {
-    // One author's clock is years ahead, another's stands at zero. The order is the log's alone.
+fn clock_skew_does_not_affect_the_order() {
+    // One author's clock is years ahead and another's is at zero. Only the log order may count.
     let mut log = TestLog::default();
     let ahead = ContractChange {
         stamp: std::time::Duration::from_secs(1 << 40),
@@ -256,9 +257,9 @@
 }
 
 #[test]
-fn what_is_kept_of_a_bad_contract_is_bounded() {
-    // Results of rejected changes are remembered, so somebody could fill the memory of every node
-    // with contracts that have thousands of faults.
+fn findings_of_rejected_contract_are_bounded() {
+    // Outcomes of rejected changes are retained. Contracts with thousands of errors could otherwise
+    // exhaust the memory of every node.
     let mut log = TestLog::default();
     let mut value = serde_json::to_value(contract("ash", 1)).expect("JSON");
     for number in 0..100 {
@@ -285,9 +286,9 @@
 }
 
 #[test]
-fn a_contract_that_could_not_be_carried_is_not_accepted() {
-    // A contract of nearly the size of a record fits into its own, but not into one that carries
-    // it; it would be lost when its record leaves the log.
+fn contract_too_large_for_carry_record_is_rejected() {
+    // A contract of nearly the maximum record size fits into a change record but not into a carry
+    // record. It would be lost when the change record leaves the log.
     let mut log = TestLog::default();
     let mut large = contract("ash", 1);
     for number in 0_u32..8_500 {
--- a/crates/contract/tests/testsuite/common.rs
+++ b/crates/contract/tests/testsuite/common.rs
@@ -1,4 +1,4 @@
-//! Small contracts, a log in memory and readers of it.
+//! Test fixtures: small contracts, an in-memory log and its readers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use sycamorelink_core::{CustomerName, NodeId};
 
-/// A small valid contract. Different rates make different contents.
+/// Returns a small valid contract. Different rates produce different contents.
 pub fn contract(customer: &str, rate: u32) -> CustomerContract {
     let text = format!(
         r#"{{"customer": "{customer}", "team": "red", "tokens": [],
@@ -20,7 +20,7 @@
     CustomerContract::from_json(&text).expect("valid contract")
 }
 
-/// A log in memory with the book of a reader that read all of it.
+/// In-memory log with the book of a reader that has read all records.
 #[derive(Clone, Default)]
 pub struct TestLog {
     pub records: Vec<Vec<u8>>,
@@ -28,7 +28,7 @@
 }
 
 impl TestLog {
-    /// Appends bytes and reads them.
+    /// Appends a record and applies it to the book.
     pub fn append(&mut self, bytes: Vec<u8>) -> ApplyOutcome {
         let offset = self.head();
         let outcome = self.book.apply(offset, &bytes);
@@ -36,12 +36,12 @@
         outcome
     }
 
-    /// The next offset of the log.
+    /// Returns the next offset of the log.
     pub fn head(&self) -> u64 {
         self.records.len() as u64
     }
 
-    /// Creates or amends on what is in force.
+    /// Creates or amends a contract, based on the version in force.
     pub fn put(&mut self, customer: &str, rate: u32) -> ApplyOutcome {
         let change = self.draft(customer, rate);
         self.append(change.encode())
@@ -58,19 +58,20 @@
         self.append(change.encode())
     }
 
-    /// A change made on what is in force now. Its id is made of the head and the rate.
+    /// Returns a change based on the version in force. Its id is derived from the head and the
+    /// rate.
     pub fn draft(&self, customer: &str, rate: u32) -> ContractChange {
         draft(&self.book, customer, rate)
     }
 
-    /// Fills the log with records that concern nobody.
+    /// Appends invalid records, which have no effect.
     pub fn fill(&mut self, count: usize) {
         for _ in 0..count {
             self.append(b"{}".to_vec());
         }
     }
 
-    /// Lets a reader read on to the head.
+    /// Applies all remaining records to a reader's book.
     pub fn read(&self, book: &mut ContractBook) -> Vec<ApplyOutcome> {
         let from = book.next_offset();
         let offsets = from..self.head();
@@ -79,7 +80,7 @@
             .collect()
     }
 
-    /// A reader that starts at an offset and reads to the head.
+    /// Returns the book of a reader that starts at an offset and reads to the head.
     pub fn reader_from(&self, oldest: u64) -> ContractBook {
         let mut book = ContractBook::starting_at(oldest, self.head());
         book.check_head(self.head());
@@ -87,13 +88,13 @@
         book
     }
 
-    /// One record.
+    /// Returns the record at an offset.
     pub fn record(&self, offset: u64) -> &[u8] {
         &self.records[usize::try_from(offset).expect("small offset")]
     }
 }
 
-/// A change made by an author who looks at a book.
+/// Returns a change based on the version in force in a book.
 pub fn draft(book: &ContractBook, customer: &str, rate: u32) -> ContractChange {
     let id = ChangeId(u128::from(book.next_offset()) << 32 | u128::from(rate));
     let action = ChangeAction::put(&contract(customer, rate));
@@ -102,7 +103,7 @@
         .build()
 }
 
-/// The record by which a node with this book carries some customers forward.
+/// Returns the record by which a node with this book carries some customers forward.
 pub fn carry(book: &ContractBook, customers: &[&str]) -> CarryRecord {
     let settled = book.snapshot().entries.into_iter();
     let wanted = |entry: &BookEntry| customers.contains(&entry.customer.as_str());
@@ -115,7 +116,7 @@
     }
 }
 
-/// What is in force, in short.
+/// Returns a short description of each entry in force.
 pub fn in_force(book: &ContractBook) -> Vec<String> {
     let entries = book.entries();
     entries
@@ -126,7 +127,7 @@
         .collect()
 }
 
-/// The version in force for a customer.
+/// Returns the version in force for a customer.
 pub fn version(book: &ContractBook, customer: &str) -> ContractVersion {
     book.entry(customer)
         .map(|entry| entry.version)
--- a/crates/contract/tests/testsuite/content.rs
+++ b/crates/contract/tests/testsuite/content.rs
@@ -1,8 +1,8 @@
-//! Contents of records: what is kept of a contract, and its digest.
+//! Compact form and digest of contracts.
 
 use sycamorelink_contract::{ContractText, CustomerContract, samples};
 
-/// Uses every field, none at its default.
+/// Contract that sets every field, none to its default value.
 const FULL: &str = r#"{
     "customer": "full", "team": "red",
     "tokens": [{"id": "a", "sha256": "0000000000000000000000000000000000000000000000000000000000000001"},
@@ -27,7 +27,7 @@
 }"#;
 
 #[test]
-fn contents_come_back_as_they_were() {
+fn content_round_trips() {
     let full = CustomerContract::from_json(FULL).expect("valid");
     for contract in [full, samples::brannock(), samples::harbour_mesh()] {
         let content = ContractText::of(&contract);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_digest_does_not_depend_on_how_the_json_is_written() {
+fn digest_does_not_depend_on_json_formatting() {
     let contract = samples::brannock();
     let written = ContractText::of(&contract);
     let mut value: serde_json::Value = serde_json::from_str(&samples::brannock_json()).unwrap();
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn digests_are_the_same_for_every_build() {
-    // Nodes of two builds compare digests while one replaces the other. Were the same contract to
-    // have two digests, each would take the other for a liar.
+fn digests_are_stable_across_builds() {
+    // Nodes of two builds compare digests during a rolling upgrade. If the same contract had two
+    // digests, they would reject each other's entries.
     let digests = [
         ContractText::of(&samples::brannock()).digest(),
         ContractText::of(&samples::harbour_mesh()).digest(),
--- a/crates/contract/tests/testsuite/diffs.rs
+++ b/crates/contract/tests/testsuite/diffs.rs
@@ -1,9 +1,9 @@
-//! Differences of contracts, as operators see them.
+//! Differences between contracts in the form shown to operators.
 
 use sycamorelink_contract::{diff, samples};
 
 #[test]
-fn a_difference_names_what_changed_and_not_what_moved() {
+fn diff_reports_changes_but_not_reordering() {
     let old = samples::brannock();
     let mut new = old.clone();
     assert_eq!(diff(&old, &new), []);
--- a/crates/contract/tests/testsuite/findings.rs
+++ b/crates/contract/tests/testsuite/findings.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a contract is reported all at once, each with its place.
+//! Validation of contracts, which reports all errors at once with their JSON paths.
 
 use insta::{assert_json_snapshot, assert_snapshot};
 use sycamorelink_contract::{CustomerContract, contract_schema, samples};
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn faults_of_form_are_reported_together() {
-    // An operator's slips must show in one go: unknown and missing keys, wrong types, wrong units
-    // and misspelt choices, each with a hint where a known word is near.
+fn all_schema_errors_are_reported() {
+    // Unknown and missing keys, wrong types, wrong units and misspelt values must be reported
+    // together, with a suggestion if a known word is similar.
     let text = r#"{
         "customer": "brannock", "taem": "red", "concurrency": "many",
         "tokens": [{"id": "dealer", "sha256": "abc"}],
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn faults_of_meaning_are_reported_together() {
-    // Every contradiction must show in one go, or an operator amends a contract again and again.
+fn all_semantic_errors_are_reported() {
+    // All semantic errors must be reported together, so that one correction is enough.
     let hash = "0".repeat(64);
     let text = format!(
         r#"{{
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn text_that_is_no_json_is_one_finding() {
+fn invalid_json_is_a_single_finding() {
     assert_snapshot!(findings("{\"customer\": "));
     assert_snapshot!(findings("[]"));
 }
 
 #[test]
-fn samples_read_back_as_written() {
+fn samples_round_trip() {
     for contract in [samples::brannock(), samples::harbour_mesh()] {
         assert_eq!(contract.validate().0, []);
         let again = CustomerContract::from_json(&contract.to_json());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_schema_is_stable() {
-    // Editors and the command line check files against it.
+fn schema_is_stable() {
+    // Editors and the command line validate files against the schema.
     assert_json_snapshot!("schema", contract_schema());
 }
--- a/crates/contract/tests/testsuite/main.rs
+++ b/crates/contract/tests/testsuite/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the contract package.
+//! Integration tests of the contract package.
 
 mod access;
-mod carrying;
+mod carry;
 mod changes;
 mod common;
 mod content;
--- a/crates/contract/tests/testsuite/peers.rs
+++ b/crates/contract/tests/testsuite/peers.rs
@@ -1,4 +1,4 @@
-//! Contracts from peers, while the log is away and when it comes back.
+//! Contracts from peers, while the log is unavailable and after it becomes available again.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::common::{TestLog, carry, contract, in_force, version};
 
-/// The book's snapshot with one entry changed and sealed again, as a faulty peer would send it.
-fn forged<F>(book: &ContractBook, change: F) -> BookSnapshot
+/// Returns the book's snapshot with changed entries and valid digests, as from a faulty peer.
+fn forge_snapshot<F>(book: &ContractBook, change: F) -> BookSnapshot
 where
     F: Fn(&mut BookEntry),
 {
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn a_daemon_that_starts_in_an_outage_gets_the_newest_from_peers() {
-    // The log is down. The new daemon asks two peers, one behind the other; whichever comes
-    // first, it must end with the newest of each customer.
+fn new_node_gets_newest_versions_from_peers_without_log() {
+    // The log is unavailable. A new node adopts the snapshots of two peers, one of which is behind.
+    // In either order, it must end with the newest version of each customer.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("birch", 1);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_older_version_is_never_adopted() {
+fn older_version_is_never_adopted() {
     let mut log = TestLog::default();
     log.put("ash", 1);
     let old = log.book.snapshot();
@@ -61,16 +61,16 @@
     let outcome = log.book.adopt(&old);
     assert_eq!((outcome.taken.len(), outcome.kept), (0, 1));
     assert_eq!(in_force(&log.book), ["ash v2 live"]);
-    // Nor a removal made undone by a peer that missed it.
+    // A peer that missed a removal must not undo it.
     log.remove("ash");
     log.book.adopt(&old);
     assert_eq!(in_force(&log.book), ["ash v3 removed"]);
 }
 
 #[test]
-fn a_reader_over_a_gap_keeps_what_it_had_against_an_older_snapshot() {
-    // A reader loses its place in the log and asks a peer for its state. The peer claims to be
-    // further but has an older version of one customer and nothing of another.
+fn older_snapshot_does_not_replace_state_after_gap() {
+    // After a gap, a reader adopts the snapshot of a peer. The snapshot has a later offset but an
+    // older version of one customer and no entry of another.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("birch", 1);
@@ -89,22 +89,22 @@
 }
 
 #[test]
-fn a_version_from_where_the_log_was_read_already_is_refused() {
-    // The reader knows what stands at that offset: something else.
+fn version_at_an_offset_already_read_is_refused() {
+    // The reader has already read another record at that offset.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.fill(3);
-    let false_one = forged(&log.book, |entry| entry.version = ContractVersion(3));
-    let outcome = log.book.adopt(&false_one);
+    let forged_snapshot = forge_snapshot(&log.book, |entry| entry.version = ContractVersion(3));
+    let outcome = log.book.adopt(&forged_snapshot);
     assert_eq!(in_force(&log.book), ["ash v1 live"]);
     assert_snapshot!(outcome.findings, @"ash: v3 was never taken by the log as read here");
 }
 
 #[test]
-fn carried_state_from_between_two_snapshots_is_no_contradiction() {
-    // While the log is away a node takes one snapshot and later another, and misses a version in
-    // between. Then it reads a record that carries just that version. Compared with a history
-    // that has a hole it would look like a contradiction, and the older version come into force.
+fn carry_record_between_two_snapshots_is_not_a_contradiction() {
+    // While the log is unavailable, a node adopts two snapshots and misses a version in between.
+    // Then it reads a record that carries that version. Compared with the incomplete history, the
+    // record would look like a contradiction, and the older version would come into force.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut reader = ContractBook::new();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_change_known_from_a_peer_has_a_result() {
+fn change_adopted_from_a_peer_has_an_outcome() {
     let mut log = TestLog::default();
     let change = log.draft("ash", 1);
     log.append(change.encode());
@@ -133,17 +133,18 @@
 }
 
 #[test]
-fn a_version_that_the_log_never_took_gives_way_to_the_log() {
-    // A faulty peer spreads a version that no reader of the log has. It is in force while the log
-    // is down, because nobody can tell; when the log is back, the log wins, and it is reported.
+fn version_missing_in_the_log_is_dropped() {
+    // A faulty peer spreads a version that is not in the log. It is in force while the log is
+    // unavailable, because it cannot be verified. Afterwards the log's version replaces it, and
+    // the peer's version is reported.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut reader = log.book.clone();
-    let false_one = forged(&log.book, |entry| {
+    let forged_snapshot = forge_snapshot(&log.book, |entry| {
         entry.version = ContractVersion(3);
         entry.contract = Some(ContractText::of(&contract("ash", 99)));
     });
-    reader.adopt(&false_one);
+    reader.adopt(&forged_snapshot);
     assert_eq!(in_force(&reader), ["ash v3 live"]);
     log.fill(1);
     log.put("birch", 1);
@@ -156,13 +157,13 @@
 }
 
 #[test]
-fn a_version_beyond_the_log_is_dropped_once_the_log_answers() {
-    // A false version far ahead would never be reached by reading. The log's own next offset
-    // shows it; but an answer that was under way when the entry came shows nothing.
+fn version_beyond_the_log_is_dropped_after_log_reply() {
+    // A forged version far ahead would never be reached by reading. The log's next offset reveals
+    // the forgery, but not in a reply that was in flight when the entry arrived.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut reader = log.book.clone();
-    reader.adopt(&forged(&log.book, |entry| {
+    reader.adopt(&forge_snapshot(&log.book, |entry| {
         entry.version = ContractVersion(900);
     }));
     reader.check_head(1);
@@ -173,13 +174,13 @@
 }
 
 #[test]
-fn a_snapshot_that_was_the_base_gives_way_to_carried_state() {
-    // The whole base came from a faulty peer, so its records are never read. The carrying record
-    // of an honest node disagrees: the log wins, and the book asks to be built anew.
+fn carry_record_overrides_snapshot_base() {
+    // The base came from a faulty peer, and its records are never read. When a correct carry record
+    // contradicts the base, the log's state replaces it and the book requests a rebuild.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let mut reader = ContractBook::new();
-    reader.adopt(&forged(&log.book, |entry| {
+    reader.adopt(&forge_snapshot(&log.book, |entry| {
         entry.contract = Some(ContractText::of(&contract("ash", 99)));
     }));
     let record = carry(&log.book, &["ash"]);
@@ -190,20 +191,20 @@
 }
 
 #[test]
-fn a_book_that_was_misled_reads_the_log_again() {
-    // A faulty peer's base has a false content for one customer, misses another, and makes up a
-    // third. The node reads the log again; until it has, what is in force stays in force, and the
-    // faulty peer cannot become the base again.
+fn contradicted_book_rebuilds_from_the_log() {
+    // The base from a faulty peer has wrong content for one customer, lacks another and invents a
+    // third. While the node reads the log again, the contracts in force stay in force, and the
+    // faulty peer's snapshot cannot become the base again.
     let mut log = TestLog::default();
     log.put("ash", 1);
     log.put("birch", 1);
     log.put("ash", 2);
-    let mut liar = TestLog::default();
-    liar.put("cedar", 1);
-    liar.put("ash", 99);
-    liar.fill(2);
+    let mut faulty_peer = TestLog::default();
+    faulty_peer.put("cedar", 1);
+    faulty_peer.put("ash", 99);
+    faulty_peer.fill(2);
     let mut reader = ContractBook::new();
-    reader.adopt(&liar.book.snapshot());
+    reader.adopt(&faulty_peer.book.snapshot());
     let record = carry(&log.book, &["ash", "birch"]);
     log.fill(1);
     log.append(record.encode());
@@ -213,17 +214,17 @@
     let held = in_force(&reader);
     reader.rebuild_at(0, log.head());
     assert_eq!(in_force(&reader), held);
-    assert!(!reader.adopt(&liar.book.snapshot()).moved);
+    assert!(!reader.adopt(&faulty_peer.book.snapshot()).moved);
     log.read(&mut reader);
     assert_eq!(in_force(&reader), in_force(&log.book));
-    assert!(reader.is_whole() && !reader.needs_rebuild());
+    assert!(reader.is_complete() && !reader.needs_rebuild());
     assert_eq!(reader.version_digest(), log.book.version_digest());
 }
 
 #[test]
-fn a_base_from_beyond_the_log_is_noticed() {
+fn snapshot_base_beyond_the_log_is_detected() {
     // A faulty peer claims to have read a million records of a log that has two. The node would
-    // pass over everything the log takes until then.
+    // skip all records appended before the log reaches that offset.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let entries = log.book.snapshot().entries;
@@ -241,48 +242,48 @@
 }
 
 #[test]
-fn what_came_from_a_peer_is_read_back_before_it_is_carried() {
-    // A node must not write into the log what a faulty peer told it: readers that start later
-    // would have nothing else.
+fn peer_state_is_verified_before_it_is_carried() {
+    // A node must not write forged state from a faulty peer into the log, because readers that
+    // start later could not detect the forgery.
     let mut log = TestLog::default();
     log.put("ash", 1);
     let retention = Duration::from_hours(168);
     let due = retention / 2;
     let window = CarryWindow::new(NodeId::of("one"), 0, due, retention);
-    let mut honest = ContractBook::new();
-    honest.adopt(&log.book.snapshot());
-    let carries = honest.due_carries(&window);
+    let mut reader = ContractBook::new();
+    reader.adopt(&log.book.snapshot());
+    let carries = reader.due_carries(&window);
     assert_eq!((carries.records.len(), &carries.checks[..]), (0, &[0][..]));
-    honest.confirm(0, log.record(0));
-    assert_eq!(honest.due_carries(&window).records.len(), 1);
+    reader.confirm(0, log.record(0));
+    assert_eq!(reader.due_carries(&window).records.len(), 1);
 
-    // When nobody could read back for long, losing the contract would be worse.
-    let mut cut_off = ContractBook::new();
-    cut_off.adopt(&log.book.snapshot());
+    // If reading back has failed for a long time, losing the contract would be worse.
+    let mut disconnected = ContractBook::new();
+    disconnected.adopt(&log.book.snapshot());
     let late = CarryWindow::new(NodeId::of("one"), 0, retention, retention);
-    assert_eq!(cut_off.due_carries(&late).records.len(), 1);
+    assert_eq!(disconnected.due_carries(&late).records.len(), 1);
 
-    // Once the original record has left the log, the newest that carries it will do.
+    // Once the original record has left the log, the newest carry record is read back instead.
     let record = carry(&log.book, &["ash"]);
     log.append(record.encode());
-    let mut honest = ContractBook::new();
-    honest.adopt(&log.book.snapshot());
+    let mut reader = ContractBook::new();
+    reader.adopt(&log.book.snapshot());
     let window = CarryWindow::new(NodeId::of("one"), 1, due, retention);
-    assert_eq!(honest.due_carries(&window).checks, [1]);
-    honest.confirm(1, log.record(1));
-    assert_eq!(honest.due_carries(&window).records.len(), 1);
+    assert_eq!(reader.due_carries(&window).checks, [1]);
+    reader.confirm(1, log.record(1));
+    assert_eq!(reader.due_carries(&window).records.len(), 1);
 
-    let mut misled = ContractBook::new();
-    misled.adopt(&forged(&log.book, |entry| {
+    let mut misled_reader = ContractBook::new();
+    misled_reader.adopt(&forge_snapshot(&log.book, |entry| {
         entry.contract = Some(ContractText::of(&contract("ash", 99)));
     }));
-    misled.confirm(0, log.record(0));
-    assert!(misled.needs_rebuild());
-    assert_eq!(misled.due_carries(&window).records.len(), 0);
+    misled_reader.confirm(0, log.record(0));
+    assert!(misled_reader.needs_rebuild());
+    assert_eq!(misled_reader.due_carries(&window).records.len(), 0);
 }
 
 #[test]
-fn damaged_snapshots_are_refused_whole() {
+fn damaged_snapshots_are_refused() {
     let mut log = TestLog::default();
     log.put("ash", 1);
     let whole = log.book.snapshot();
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn peers_pull_only_what_changed() {
+fn peers_fetch_only_newer_entries() {
     let mut log = TestLog::default();
     for name in ["ash", "birch", "cedar"] {
         log.put(name, 1);
@@ -338,10 +339,10 @@
 }
 
 #[test]
-fn a_book_in_pages_is_the_same_book() {
-    // A starting node pulls a large book page by page from peers that go on reading. Pages of
-    // different moments, taken for one state, would miss what changed in between: an amendment of
-    // a customer already paged, a removal, a new customer that sorts before.
+fn paged_snapshot_equals_the_book() {
+    // A starting node fetches a large book page by page while its peers continue to read. Without
+    // the final reply, the pages would miss changes made in between: an amendment of a customer on
+    // an earlier page, a removal, and a new customer that sorts before that page.
     let mut log = TestLog::default();
     for number in 0..20 {
         log.put(&format!("customer-{number:02}"), 1);
--- a/crates/contract/tests/testsuite/reference.rs
+++ b/crates/contract/tests/testsuite/reference.rs
@@ -1,11 +1,11 @@
-//! The reference page and the code say the same.
+//! Consistency of the reference documentation with the code.
 
 use serde_json::Value;
 use sycamorelink_contract::{CustomerContract, contract_schema};
 
 const REFERENCE: &str = include_str!("../../../../docs/contract-reference.md");
 
-/// Names of all fields, whatever part of the contract they belong to.
+/// Returns the names of the fields of all parts of a contract.
 fn fields(schema: &Value) -> Vec<&str> {
     let parts = schema["$defs"].as_object().into_iter().flatten();
     let schemas = parts.map(|(_, part)| part).chain([schema]);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_reference_has_every_field() {
+fn reference_documents_every_field() {
     let schema = contract_schema();
     let names = fields(&schema);
     assert!(names.len() > 35, "{names:?}");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_example_of_the_reference_is_valid() {
+fn reference_example_is_valid() {
     let example = REFERENCE.split("```json").nth(1).expect("an example");
     let example = example.split("```").next().expect("its end");
     let contract = CustomerContract::from_json(example);
--- a/crates/contract/tests/testsuite/replay_agreement.rs
+++ b/crates/contract/tests/testsuite/replay_agreement.rs
@@ -1,4 +1,4 @@
-//! Every way to read the log leads to the same contracts.
+//! Property test: every way to read the log leads to the same contracts.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -9,7 +9,7 @@
 
 const CUSTOMERS: [&str; 3] = ["ash", "birch", "cedar"];
 
-/// One append. `lag` says how many records ago its author looked.
+/// One append. `lag` is the number of records that the author's book is behind.
 #[derive(Clone, Debug)]
 enum LogStep {
     Put { customer: usize, lag: usize },
@@ -31,8 +31,8 @@
     ]
 }
 
-/// A log, and the book of the full reader before each record and at the end.
-fn build(steps: &[LogStep]) -> (TestLog, Vec<ContractBook>) {
+/// Builds a log. Returns it with the book of the full reader before each record and at the end.
+fn build_log(steps: &[LogStep]) -> (TestLog, Vec<ContractBook>) {
     let mut log = TestLog::default();
     let mut books = vec![log.book.clone()];
     for (number, step) in steps.iter().enumerate() {
@@ -64,8 +64,8 @@
     (log, books)
 }
 
-/// The latest offset from which the log still proves everything: what carrying has to keep above
-/// the oldest record.
+/// Returns the latest offset from which the log still proves the whole state. Carry records must
+/// keep this offset at or above the oldest record.
 fn provable_from(book: &ContractBook) -> u64 {
     let snapshot = book.snapshot();
     let proofs = snapshot.entries.iter().map(|part| part.proof.as_of);
@@ -75,12 +75,12 @@
 fn assert_same(book: &mut ContractBook, full: &ContractBook, path: &str) {
     assert_eq!(in_force(book), in_force(full), "{path}");
     assert_eq!(book.version_digest(), full.version_digest(), "{path}");
-    assert!(book.is_whole(), "{path}");
+    assert!(book.is_complete(), "{path}");
     assert!(!book.needs_rebuild(), "{path}");
     assert_eq!(book.take_findings(), [], "{path}");
 }
 
-/// Reads on to the head and checks on the way that no version goes back.
+/// Reads to the head and checks after each record that no version decreases.
 fn read_forward(log: &TestLog, book: &mut ContractBook, path: &str) {
     let mut before = versions(book);
     while book.next_offset() < log.head() {
@@ -117,7 +117,7 @@
     }
 }
 
-/// A reader that is cut off and finds its place in the log gone.
+/// Checks readers whose next record has left the log.
 fn check_gaps(log: &TestLog, books: &[ContractBook], full: &ContractBook) {
     let oldest = provable_from(full);
     for (offset, before) in books.iter().enumerate() {
@@ -130,7 +130,7 @@
     }
 }
 
-/// A reader that hears from peers while the log is away, old news and new.
+/// Checks readers that adopt older and newer snapshots of peers while the log is unavailable.
 fn check_peers(log: &TestLog, books: &[ContractBook], full: &ContractBook) {
     for (offset, before) in books.iter().enumerate() {
         let path = format!("peers at {offset}");
@@ -146,7 +146,7 @@
     }
 }
 
-/// A reader that reads the log again from the oldest record it still proves.
+/// Checks readers that rebuild from the oldest offset that still proves the whole state.
 fn check_rebuilds(log: &TestLog, books: &[ContractBook], full: &ContractBook) {
     let oldest = provable_from(full);
     for (offset, before) in books.iter().enumerate() {
@@ -160,11 +160,11 @@
 }
 
 #[test]
-fn every_reader_agrees() {
-    // The caller sees the limits of one contract at one daemon and of another at the next.
-    // Two operators publish at once, a copy of an old record comes late, state is carried by a
-    // node that lags; then one daemon reads from the start, one from the middle, one from a
-    // peer's snapshot, one over a gap. All must come to the same entries, and none go back.
+fn all_readers_reach_the_same_state() {
+    // Daemons with different contracts would apply different limits to the same caller. The log
+    // contains concurrent changes, late copies and carry records of nodes that lag. Readers from
+    // the start, from the middle, from a snapshot and across a gap must reach the same entries,
+    // and no version may decrease on the way.
     let config = Config {
         cases: 64,
         failure_persistence: None,
@@ -174,7 +174,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = proptest::collection::vec(step(), 1..20);
     let result = runner.run(&steps, |steps| {
-        let (log, books) = build(&steps);
+        let (log, books) = build_log(&steps);
         let full = log.book.clone();
         assert_eq!(full.clone().take_findings(), [], "full reader");
         check_late_starts(&log, &full);
--- a/crates/contract/tests/testsuite/samples.rs
+++ b/crates/contract/tests/testsuite/samples.rs
@@ -1,4 +1,4 @@
-//! The sample contracts, and what the request path finds through them.
+//! Publication of the sample contracts and lookup of their routes.
 
 use sycamorelink_contract::{
     ApplyOutcome, ChangeAction, ChangeId, ContractBook, ContractVersion, CustomerContract,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_published_contract_routes_requests() {
+fn published_contract_routes_requests() {
     let mut book = ContractBook::new();
     let outcome = put(&mut book, &samples::brannock(), 1);
     let accepted = ApplyOutcome::Accepted {
--- a/crates/contract/tests/testsuite/table.rs
+++ b/crates/contract/tests/testsuite/table.rs
@@ -1,8 +1,8 @@
-//! What the request path finds in the compiled form.
+//! Lookups of the request path in the compiled form.
 
 use std::sync::Arc;
 
-use sycamorelink_contract::table::path::{self, PathFault};
+use sycamorelink_contract::table::path::{self, PathError};
 use sycamorelink_contract::table::{ContractInForce, TableBuilder};
 use sycamorelink_contract::{
     ChangeAction, ChangeId, ClientAccount, ContentDigest, ContractText, ContractVersion,
@@ -30,44 +30,44 @@
     contract
 }
 
-fn holder(table: &RouteTable, token: &str) -> Option<String> {
+fn token_owner(table: &RouteTable, token: &str) -> Option<String> {
     let index = table.find_customer(token.as_bytes())?;
     Some(table.customer(index)?.customer.to_string())
 }
 
 #[test]
-fn paths_that_readers_may_understand_differently_are_refused() {
-    // A caller asks for /prices/../bookings. This fleet would route it as an idempotent price
-    // check and may send it twice; the back end resolves the dots and books twice. So a path is
-    // taken in its one normal form only, and every other spelling is refused.
+fn ambiguous_paths_are_refused() {
+    // The path /prices/../bookings would be routed as an idempotent price request and might be
+    // sent twice, while the backend server resolves the dots and books twice. Therefore only paths
+    // in normal form are accepted.
     let refused = [
-        ("", PathFault::NotAbsolute),
-        ("bookings", PathFault::NotAbsolute),
-        ("*", PathFault::NotAbsolute),
-        ("//bookings", PathFault::EmptySegment),
-        ("/prices//bookings", PathFault::EmptySegment),
-        ("/prices/../bookings", PathFault::DotSegment),
-        ("/prices/./bookings", PathFault::DotSegment),
-        ("/prices/..", PathFault::DotSegment),
-        ("/prices/..;x=1/bookings", PathFault::DotSegment),
-        ("/prices/;/bookings", PathFault::EmptySegment),
-        ("/prices/%2e%2e/bookings", PathFault::NeedlessEscape),
-        ("/prices/%2E./bookings", PathFault::NeedlessEscape),
-        ("/%62ookings", PathFault::NeedlessEscape),
-        ("/prices%2fbookings", PathFault::NeedlessEscape),
-        ("/prices%5Cbookings", PathFault::NeedlessEscape),
-        ("/prices%252e", PathFault::NeedlessEscape),
-        ("/prices%00", PathFault::NeedlessEscape),
-        ("/prices%0a", PathFault::NeedlessEscape),
-        ("/prices%2", PathFault::BrokenEscape),
-        ("/prices%zz", PathFault::BrokenEscape),
-        ("/prices\\bookings", PathFault::BadCharacter),
-        ("/pri ces", PathFault::BadCharacter),
-        ("/prices\t", PathFault::BadCharacter),
-        ("/pr\u{ef}ces", PathFault::BadCharacter),
+        ("", PathError::NotAbsolute),
+        ("bookings", PathError::NotAbsolute),
+        ("*", PathError::NotAbsolute),
+        ("//bookings", PathError::EmptySegment),
+        ("/prices//bookings", PathError::EmptySegment),
+        ("/prices/../bookings", PathError::DotSegment),
+        ("/prices/./bookings", PathError::DotSegment),
+        ("/prices/..", PathError::DotSegment),
+        ("/prices/..;x=1/bookings", PathError::DotSegment),
+        ("/prices/;/bookings", PathError::EmptySegment),
+        ("/prices/%2e%2e/bookings", PathError::NeedlessEscape),
+        ("/prices/%2E./bookings", PathError::NeedlessEscape),
+        ("/%62ookings", PathError::NeedlessEscape),
+        ("/prices%2fbookings", PathError::NeedlessEscape),
+        ("/prices%5Cbookings", PathError::NeedlessEscape),
+        ("/prices%252e", PathError::NeedlessEscape),
+        ("/prices%00", PathError::NeedlessEscape),
+        ("/prices%0a", PathError::NeedlessEscape),
+        ("/prices%2", PathError::BrokenEscape),
+        ("/prices%zz", PathError::BrokenEscape),
+        ("/prices\\bookings", PathError::BadCharacter),
+        ("/pri ces", PathError::BadCharacter),
+        ("/prices\t", PathError::BadCharacter),
+        ("/pr\u{ef}ces", PathError::BadCharacter),
     ];
-    for (text, fault) in refused {
-        assert_eq!(path::check(text), Err(fault), "{text:?}");
+    for (text, error) in refused {
+        assert_eq!(path::check(text), Err(error), "{text:?}");
     }
     for text in [
         "/",
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_longest_prefix_on_whole_segments_decides_alone() {
+fn only_the_longest_prefix_is_considered() {
     let text = samples::brannock_json().replace(
         r#""routes": ["#,
         r#""routes": [
@@ -107,7 +107,7 @@
     assert_eq!(prefix("GET", "/prices/"), found("/prices"));
     assert_eq!(prefix("GET", "/prices/7/now?at=1"), found("/prices"));
     assert_eq!(prefix("POST", "/bookings"), found("/bookings"));
-    // The laxer route of "/" takes POST, but /prices is not asked there.
+    // The route of "/" accepts POST, but /prices is the longest matching prefix.
     assert_eq!(prefix("POST", "/prices"), None);
     assert_eq!(prefix("PATCH", "/bookings/1"), None);
     assert_eq!(prefix("get", "/prices"), None);
@@ -115,38 +115,41 @@
 }
 
 #[test]
-fn a_token_of_two_contracts_belongs_to_the_older() {
-    // A later contract names the hash of another customer's token. Were the later one to get it,
-    // the callers of the first would be served under limits and routes of the second.
+fn shared_token_belongs_to_the_oldest_customer() {
+    // A later contract contains the hash of another customer's token. If the token moved to the
+    // later customer, its callers would be served under that customer's limits and routes.
     let mut builder = TableBuilder::default();
     put(&mut builder, &with_token("younger", "secret"), 9);
     assert_eq!(
-        holder(&builder.table(), "secret").as_deref(),
+        token_owner(&builder.table(), "secret").as_deref(),
         Some("younger")
     );
     put(&mut builder, &with_token("older", "secret"), 4);
     put(&mut builder, &with_token("youngest", "secret"), 12);
-    assert_eq!(holder(&builder.table(), "secret").as_deref(), Some("older"));
+    assert_eq!(
+        token_owner(&builder.table(), "secret").as_deref(),
+        Some("older")
+    );
     let findings = builder.findings().to_string();
     assert!(findings.contains("older, the oldest of them"), "{findings}");
 
     builder.remove(&CustomerName::new("older"));
     assert_eq!(
-        holder(&builder.table(), "secret").as_deref(),
+        token_owner(&builder.table(), "secret").as_deref(),
         Some("younger")
     );
     put(&mut builder, &contract("younger", 1), 9);
     assert_eq!(
-        holder(&builder.table(), "secret").as_deref(),
+        token_owner(&builder.table(), "secret").as_deref(),
         Some("youngest")
     );
     assert_eq!(builder.findings().0, []);
     builder.remove(&CustomerName::new("youngest"));
-    assert_eq!(holder(&builder.table(), "secret"), None);
+    assert_eq!(token_owner(&builder.table(), "secret"), None);
 }
 
 #[test]
-fn the_book_tells_of_tokens_that_two_contracts_name() {
+fn book_reports_shared_tokens() {
     let mut log = TestLog::default();
     for (customer, id) in [("ash", 1), ("birch", 2)] {
         let action = ChangeAction::put(&with_token(customer, "secret"));
@@ -156,49 +159,58 @@
         log.append(draft.author("ann", "red").build().encode());
     }
     assert_eq!(log.book.token_findings().0.len(), 1);
-    assert_eq!(holder(&log.book.table(), "secret").as_deref(), Some("ash"));
+    assert_eq!(
+        token_owner(&log.book.table(), "secret").as_deref(),
+        Some("ash")
+    );
 }
 
 #[test]
-fn a_token_is_known_by_its_whole_hash() {
-    // Accounts are found by the first bytes of a hash. Somebody makes a token whose hash starts
-    // like another customer's; it must open nothing.
+fn token_lookup_compares_the_full_hash() {
+    // Accounts are indexed by the first bytes of the hash. A token whose hash only shares these
+    // bytes with an account must not match the account.
     let mut builder = TableBuilder::default();
     let mut near = with_token("near", "secret");
     near.tokens[0].sha256.0[31] ^= 1;
     put(&mut builder, &near, 1);
-    assert_eq!(holder(&builder.table(), "secret"), None);
+    assert_eq!(token_owner(&builder.table(), "secret"), None);
     put(&mut builder, &with_token("own", "secret"), 2);
-    assert_eq!(holder(&builder.table(), "secret").as_deref(), Some("own"));
+    assert_eq!(
+        token_owner(&builder.table(), "secret").as_deref(),
+        Some("own")
+    );
     builder.remove(&CustomerName::new("near"));
-    assert_eq!(holder(&builder.table(), "secret").as_deref(), Some("own"));
+    assert_eq!(
+        token_owner(&builder.table(), "secret").as_deref(),
+        Some("own")
+    );
 }
 
 #[test]
-fn a_table_in_use_does_not_change() {
+fn shared_table_is_immutable() {
     let mut builder = TableBuilder::default();
     put(&mut builder, &with_token("ash", "ash token"), 1);
     put(&mut builder, &with_token("birch", "birch token"), 2);
     let before = builder.table();
     builder.remove(&CustomerName::new("ash"));
     put(&mut builder, &with_token("cedar", "cedar token"), 3);
-    assert_eq!(holder(&before, "ash token").as_deref(), Some("ash"));
-    assert_eq!(holder(&before, "cedar token"), None);
+    assert_eq!(token_owner(&before, "ash token").as_deref(), Some("ash"));
+    assert_eq!(token_owner(&before, "cedar token"), None);
     let after = builder.table();
-    assert_eq!(holder(&after, "ash token"), None);
-    assert_eq!(holder(&after, "birch token").as_deref(), Some("birch"));
-    assert_eq!(holder(&after, "cedar token").as_deref(), Some("cedar"));
+    assert_eq!(token_owner(&after, "ash token"), None);
+    assert_eq!(token_owner(&after, "birch token").as_deref(), Some("birch"));
+    assert_eq!(token_owner(&after, "cedar token").as_deref(), Some("cedar"));
     assert_eq!(after.customers().count(), 2);
     assert_eq!(after.account_count(), 2);
     put(&mut builder, &with_token("birch", "new token"), 4);
-    assert_eq!(holder(&builder.table(), "birch token"), None);
+    assert_eq!(token_owner(&builder.table(), "birch token"), None);
     assert_eq!(builder.table().account_count(), 2);
 }
 
 #[test]
-fn the_strictest_floor_of_a_shared_service_holds() {
-    // Two customers use one service. The one was promised 8 upstreams; were the laxer floor of
-    // the other to hold, an ejection for the other's sake would break the promise.
+fn strictest_floor_of_a_shared_service_applies() {
+    // Two customers use one service, and one of them is guaranteed 8 upstreams. If the weaker floor
+    // of the other customer applied, ejections could violate that guarantee.
     let claim = |customer: &str, floor: f64, count: u32, leaning: DetectionLeaning| {
         let mut contract = contract(customer, 1);
         contract.leaning = leaning;
@@ -234,7 +246,7 @@
 }
 
 #[test]
-fn compiled_routes_are_given_back() {
+fn compiled_routes_are_dropped() {
     let mut builder = TableBuilder::default();
     put(&mut builder, &with_token("ash", "ash token"), 1);
     let before = builder.table();
@@ -243,8 +255,8 @@
     assert!(before.find_route(customer, "GET", "/orders").is_some());
     assert!(before.find_route(customer, "GET", "/orders").is_some());
     assert_eq!(before.compiled_routes(), 1);
-    assert!(!builder.trim(1));
-    assert!(builder.trim(0));
+    assert!(!builder.drop_compiled_routes(1));
+    assert!(builder.drop_compiled_routes(0));
     let after = builder.table();
     assert_eq!((before.compiled_routes(), after.compiled_routes()), (1, 0));
     assert_eq!(
