--- a/crates/daemon/src/border/announcement.rs
+++ b/crates/daemon/src/border/announcement.rs
@@ -1,4 +1,4 @@
-//! How backend servers announce themselves.
+//! Adapter for the announcements of backend servers.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -7,30 +7,30 @@
 use http::{Method, Response};
 use sycamorelink_engine::NodeEvent;
 
-/// One call to the port that takes announcements.
+/// One HTTP request to the port that accepts announcements.
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncementCall<'a> {
     /// HTTP method.
     pub method: &'a Method,
-    /// Path, escapes and all.
+    /// Path, with percent-encoding.
     pub path: &'a str,
     /// Body.
     pub body: &'a Bytes,
 }
 
-/// What an announcement says, and its answer.
+/// Content of an announcement and the response to it.
 #[derive(Debug)]
 pub struct AnnouncementAnswer {
-    /// Number and address of the backend server, where the call tells them.
+    /// Slot and address of the backend server; `None` when the request does not give them.
     pub address: Option<(u16, SocketAddr)>,
-    /// What the decisions are told.
+    /// Event for the engine, if the announcement causes one.
     pub event: Option<NodeEvent>,
-    /// The answer.
+    /// HTTP response.
     pub reply: Response<Bytes>,
 }
 
-/// Another form in which backend servers announce themselves.
+/// Protocol in which backend servers announce themselves, besides the native one.
 pub trait AnnouncementBorder: Debug + Send + Sync {
-    /// Reads a call; none when it is no announcement.
+    /// Parses a request. Returns `None` when the request is no announcement.
     fn read(&self, call: AnnouncementCall<'_>) -> Option<AnnouncementAnswer>;
 }
--- a/crates/daemon/src/border/backend.rs
+++ b/crates/daemon/src/border/backend.rs
@@ -1,4 +1,4 @@
-//! How a backend server is spoken to.
+//! Adapter for the protocol of backend servers.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -9,68 +9,70 @@
 
 use crate::callers::{REQUEST_ID_HEADER, TIMEOUT_HEADER};
 
-/// What one request to a backend server is made of.
+/// Contents of one request to a backend server.
 #[derive(Debug)]
 pub struct BackendAsk {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers that the caller's node handed on.
+    /// Headers that the caller's node forwarded.
     pub headers: Vec<(String, Vec<u8>)>,
     /// Id of the request within the fleet.
     pub request_id: String,
-    /// Header in which the backend server must repeat the id, where the contract names one.
+    /// Reply header that must repeat the request id; `None` when the contract names none.
     pub reply_id_header: Option<String>,
-    /// The life of the backend server that is meant, where it named itself.
+    /// Process incarnation of the backend server that the request is meant for; `None` when the
+    /// server did not announce one.
     pub life: Option<Arc<str>>,
     /// Time left to the caller's deadline.
     pub time_left: Duration,
-    /// Length of the body, where known.
+    /// Length of the body in bytes; `None` when unknown.
     pub body_length: Option<u64>,
 }
 
-/// The head of a request, and what its reply is held against.
+/// Head of a request and the conditions for its reply.
 #[derive(Debug)]
 pub struct BackendRequest {
-    /// The head.
+    /// HTTP head of the request.
     pub head: Request<()>,
-    /// What the reply must agree with.
+    /// Conditions that the reply must meet.
     pub expectation: ReplyExpectation,
 }
 
-/// What a reply must agree with.
+/// Conditions that a reply must meet to belong to its request.
 #[derive(Clone, Debug)]
 pub struct ReplyExpectation {
     /// Method of the request.
     pub method: Method,
-    /// Value that the reply repeats, if the request had one.
+    /// Request id that the reply repeats; `None` when the request has none.
     pub request_id: Option<HeaderValue>,
-    /// Header in which the reply must repeat it, where the contract names one.
+    /// Header that must repeat the request id; `None` when the contract names none.
     pub reply_id_header: Option<String>,
 }
 
-/// What a reply's head says.
+/// Classification of a reply by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyVerdict {
-    /// It answers the request.
+    /// The reply belongs to the request.
     Own,
     /// The backend server did not run the request and will not.
     Declined,
-    /// Another life or another server is at the address. It did not run the request.
+    /// Another process incarnation or another server listens at the address and did not run the
+    /// request.
     Replaced,
-    /// It belongs to another request.
+    /// The reply belongs to another request.
     Foreign,
-    /// Nothing would tell where its body ends.
+    /// The head does not delimit the body, so that a truncated body would look complete.
     Endless,
 }
 
-/// One form of the protocol towards backend servers.
+/// Protocol for requests to backend servers.
 pub trait BackendBorder: Debug + Send + Sync {
-    /// Builds a request's head; none when a part of it is malformed.
-    fn request(&self, ask: BackendAsk) -> Option<BackendRequest>;
+    /// Builds the head of a request. Returns `None` when a part of it is malformed.
+    fn request(&self, spec: BackendAsk) -> Option<BackendRequest>;
 
-    /// Judges the head of a reply.
+    /// Classifies a reply by its head.
     fn judge(
         &self,
         expectation: &ReplyExpectation,
@@ -79,60 +81,58 @@
     ) -> ReplyVerdict;
 }
 
-/// A request's head with the headers that were handed on, and the time left in milliseconds in the
-/// header named; none when a part of it is malformed.
+/// Builds a request's head with the forwarded headers and, in the header `time_header`, the time
+/// left in milliseconds. Returns `None` when a part of it is malformed.
 #[must_use]
-pub fn begin_request(ask: &BackendAsk, time_header: HeaderName) -> Option<Request<()>> {
+pub fn begin_request(spec: &BackendAsk, time_header: HeaderName) -> Option<Request<()>> {
     let mut head = Request::builder()
-        .method(ask.method.clone())
-        .uri(ask.target.as_str())
+        .method(spec.method.clone())
+        .uri(spec.target.as_str())
         .body(())
         .ok()?;
     let headers = head.headers_mut();
-    for (name, value) in &ask.headers {
+    for (name, value) in &spec.headers {
         let name = HeaderName::try_from(name.as_str()).ok()?;
         headers.append(name, HeaderValue::from_bytes(value).ok()?);
     }
-    let millis = u64::try_from(ask.time_left.as_millis()).unwrap_or(u64::MAX);
+    let millis = u64::try_from(spec.time_left.as_millis()).unwrap_or(u64::MAX);
     headers.insert(time_header, HeaderValue::from(millis));
     Some(head)
 }
 
-/// Whether the end of a reply's body can be told.
-///
-/// Failure: a reply that ends with its connection looks whole wherever it is cut. Only replies that
-/// tell their length or mark their end can be known to be whole.
-fn has_end(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
+/// Returns whether a reply's head delimits its body. A body that ends with its connection looks
+/// complete wherever the connection is cut.
+fn is_delimited(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let bodyless = *method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     bodyless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// The product's own form: the request id in `x-request-id`, the time left in a header of its own.
+/// Native protocol: the request id in `x-request-id`, the time left in `x-request-timeout-ms`.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnBackendBorder;
 
 impl BackendBorder for OwnBackendBorder {
-    fn request(&self, ask: BackendAsk) -> Option<BackendRequest> {
-        let mut head = begin_request(&ask, HeaderName::from_static(TIMEOUT_HEADER))?;
+    fn request(&self, spec: BackendAsk) -> Option<BackendRequest> {
+        let mut head = begin_request(&spec, HeaderName::from_static(TIMEOUT_HEADER))?;
         let headers = head.headers_mut();
-        let id = HeaderValue::try_from(ask.request_id).ok()?;
+        let id = HeaderValue::try_from(spec.request_id).ok()?;
         headers.insert(HeaderName::from_static(REQUEST_ID_HEADER), id.clone());
-        if let Some(length) = ask.body_length {
+        if let Some(length) = spec.body_length {
             headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
         }
         let expectation = ReplyExpectation {
-            method: ask.method,
+            method: spec.method,
             request_id: Some(id),
-            reply_id_header: ask.reply_id_header,
+            reply_id_header: spec.reply_id_header,
         };
         Some(BackendRequest { head, expectation })
     }
 
-    /// Failure: a backend server answers late or out of order, and a caller would get the answer to
-    /// somebody else's request. A reply that names another request is rejected; where the contract
-    /// names the header, one that names none is rejected too.
+    /// Rejects a reply with the id of another request, so that a late or reordered reply never
+    /// reaches the wrong caller. When the contract names the header, a reply without it is rejected
+    /// too.
     fn judge(
         &self,
         expectation: &ReplyExpectation,
@@ -140,14 +140,14 @@
         headers: &HeaderMap,
     ) -> ReplyVerdict {
         let name = expectation.reply_id_header.as_deref();
-        let belongs = match headers.get(name.unwrap_or(REQUEST_ID_HEADER)) {
+        let matches = match headers.get(name.unwrap_or(REQUEST_ID_HEADER)) {
             Some(value) => Some(value) == expectation.request_id.as_ref(),
             None => name.is_none(),
         };
-        if !belongs {
+        if !matches {
             return ReplyVerdict::Foreign;
         }
-        if has_end(&expectation.method, status, headers) {
+        if is_delimited(&expectation.method, status, headers) {
             ReplyVerdict::Own
         } else {
             ReplyVerdict::Endless
--- a/crates/daemon/src/border/caller.rs
+++ b/crates/daemon/src/border/caller.rs
@@ -1,4 +1,4 @@
-//! How a caller's request is read and answered.
+//! Adapter for the protocol of callers.
 
 use std::fmt::Debug;
 
@@ -10,14 +10,14 @@
 use crate::callers::{forwarded_headers, read_head, refusal_answer, reply_head_answer};
 use crate::part::ReplyHead;
 
-/// One form of the callers' protocol.
+/// Protocol in which callers send requests and receive responses.
 pub trait CallerBorder: Debug + Send + Sync {
-    /// Reads what the decisions need from a request's head. Bodies of up to `replay_limit` bytes
-    /// can be sent again.
+    /// Parses the head of a request for the engine. The request counts as replayable when its body
+    /// has at most `replay_limit` bytes.
     ///
     /// # Errors
     ///
-    /// The code of the refusal, when the head breaks a rule.
+    /// Returns the code of the refusal when the head is invalid.
     fn read_head(
         &self,
         id: RequestId,
@@ -25,22 +25,22 @@
         replay_limit: u64,
     ) -> Result<CallerRequest, RefusalCode>;
 
-    /// Headers to hand on to the backend server; `account` is the client account whose key the request
-    /// brought.
+    /// Returns the headers to forward to the backend server. `account` is the client account whose
+    /// key authenticated the request.
     fn forwarded(
         &self,
         headers: &HeaderMap,
         account: Option<&CustomerName>,
     ) -> Vec<(String, Vec<u8>)>;
 
-    /// The answer to a refused request.
+    /// Builds the response to a refused request.
     fn refusal(&self, request: RequestId, refusal: &RequestRefusal) -> Response<Bytes>;
 
-    /// Status and headers of the answer that hands on a backend server's reply.
+    /// Builds the status and headers of the response that forwards a backend server's reply.
     fn reply(&self, request: RequestId, head: &ReplyHead) -> Response<()>;
 }
 
-/// The product's own form: tokens, `x-request-id`, `application/problem+json`.
+/// Native protocol: bearer tokens, `x-request-id`, `application/problem+json`.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnCallerBorder;
 
--- a/crates/daemon/src/border/mod.rs
+++ b/crates/daemon/src/border/mod.rs
@@ -1,4 +1,4 @@
-//! Where the daemon meets what is not its own, each as an interface.
+//! Adapter traits between the daemon and the systems around it.
 //!
 //! ```text
 //!  callers ──── CallerBorder ───────┐          ┌── BackendBorder ──── backend servers
@@ -6,8 +6,8 @@
 //!  operators ── ContractSource ─────┘          └── MemberDirectory ── other nodes' addresses
 //! ```
 //!
-//! The product's own forms are the defaults. Another form translates only: it reads and writes, and
-//! leaves every decision, all state that must be recovered and every retry to the daemon.
+//! The native protocols are the defaults. Other implementations only translate between protocols:
+//! every decision, all state that must be recovered and every retry stay in the daemon.
 
 mod announcement;
 mod backend;
@@ -28,24 +28,24 @@
 pub use caller::{CallerBorder, OwnCallerBorder};
 pub use source::{BorderFuture, ContractSource, MemberDirectory, MemberEntry, SourceNews};
 
-/// All borders of one daemon.
+/// The adapters of one daemon.
 pub struct DaemonBorders {
-    /// Callers.
+    /// Protocol of callers.
     pub caller: Arc<dyn CallerBorder>,
-    /// Backend servers, as they are sent requests.
+    /// Protocol for requests to backend servers.
     pub backend: Arc<dyn BackendBorder>,
-    /// Backend servers, as they announce themselves; the product's own form is always understood.
+    /// Additional protocol for announcements of backend servers; the native one is always accepted.
     pub announcement: Option<Arc<dyn AnnouncementBorder>>,
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
-    /// Where a fleet contract comes from; none when contracts are chains in the log.
+    /// Source of the fleet contract; `None` when contracts are chains of records in the log.
     pub contracts: Option<Box<dyn ContractSource>>,
-    /// Where nodes find each other besides the settings.
+    /// Directory in which nodes find each other; `None` when only the settings list seeds.
     pub members: Option<Arc<dyn MemberDirectory>>,
 }
 
 impl DaemonBorders {
-    /// The product's own forms.
+    /// Returns the adapters for the native protocols.
     #[must_use]
     pub fn own(settings: &DaemonSettings) -> Self {
         let log = HttpLogClient::new(settings.log.address, HttpLogSettings::default());
--- a/crates/daemon/src/border/source.rs
+++ b/crates/daemon/src/border/source.rs
@@ -1,4 +1,4 @@
-//! Where contracts come from, and where nodes find each other.
+//! Adapters for the source of contracts and the member directory.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,44 +8,44 @@
 use sycamorelink_contract::FleetContract;
 use sycamorelink_log::LogError;
 
-/// What a call to a border resolves to.
+/// Future that an adapter's asynchronous method returns.
 pub type BorderFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LogError>> + Send + 'a>>;
 
-/// What one look at the source brought.
+/// Result of one read of the source.
 #[derive(Clone, Debug)]
 pub enum SourceNews {
     /// The newest contract.
     Contract(Arc<FleetContract>),
-    /// A contract that cannot be read. The one in force stays.
+    /// A contract that cannot be decoded. The contract in force stays in force.
     Unreadable {
-        /// Why.
+        /// Description of the error.
         reason: String,
     },
-    /// The source answered and has nothing new.
+    /// No change since the last read.
     Unchanged,
 }
 
-/// Where a fleet contract comes from.
+/// Source of the fleet contract.
 pub trait ContractSource: Send {
-    /// Waits for news: at once the first time, then until there is something new or the source's
-    /// own longest wait is over. After an error the next call begins anew.
+    /// Returns the current contract on the first call, and on later calls waits for a change or for
+    /// the source's own timeout. The first call after an error behaves like the first call.
     fn next(&mut self) -> BorderFuture<'_, SourceNews>;
 }
 
-/// How one node can be found by others.
+/// Directory entry by which other nodes find a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEntry {
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Where it gossips.
+    /// Gossip address of the instance.
     pub gossip: SocketAddr,
-    /// Incarnation of the life that wrote the entry.
+    /// Incarnation of the instance when it wrote the entry.
     pub incarnation: u64,
 }
 
-/// Where nodes leave their addresses for each other.
+/// Directory in which nodes publish their addresses for each other.
 pub trait MemberDirectory: Send + Sync {
-    /// Leaves this node's entry, in place of an earlier one of the same name.
+    /// Writes this node's entry, replacing an earlier one of the same name.
     fn announce<'a>(&'a self, entry: &'a MemberEntry) -> BorderFuture<'a, ()>;
 
     /// Resolves when the directory was restored from an older copy, so that entries may be lost.
@@ -53,9 +53,9 @@
         Box::pin(std::future::pending())
     }
 
-    /// All entries, also of nodes that have ended.
+    /// Returns all entries, including those of nodes that have stopped.
     fn list(&self) -> BorderFuture<'_, Vec<MemberEntry>>;
 
-    /// Takes an entry away, when its node leaves for good.
+    /// Removes the entry of a node that leaves permanently.
     fn withdraw<'a>(&'a self, name: &'a str) -> BorderFuture<'a, ()>;
 }
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the daemon itself writes: refusals as `application/problem+json`, kept replies.
+//! Responses that the daemon builds itself: refusals as `application/problem+json`, stored replies.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
 
 use crate::part::ReplyHead;
 
-/// Header of every answer that names the request.
+/// Header of every response with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header of every answer that says whether the request ran.
+/// Header of every response that states whether the request ran.
 pub const RUN_HEADER: &str = "sycamorelink-run";
-/// Header that marks a reply kept from an earlier send of the same key.
+/// Header that marks a reply stored for an earlier send of the same idempotency key.
 pub const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// A whole reply as the executor's daemon keeps it for a resend.
+/// Complete reply, as the executor's daemon stores it for a resend.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct KeptReply {
+pub struct StoredReply {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Headers, without hop-by-hop ones and `Content-Length`.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-impl KeptReply {
-    /// Encodes the reply.
+impl StoredReply {
+    /// Encodes the reply. Returns `None` when the encoding fails.
     #[must_use]
     pub fn encode(&self) -> Option<Vec<u8>> {
         bincode::serde::encode_to_vec(self, bincode::config::standard()).ok()
     }
 
-    /// Decodes a reply.
+    /// Decodes a reply. Returns `None` when the bytes are malformed.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         bincode::serde::decode_from_slice(bytes, bincode::config::standard())
@@ -45,7 +45,7 @@
     }
 }
 
-/// The answer to a refused request.
+/// Builds the response to a refused request.
 #[must_use]
 pub fn refusal_answer(request: RequestId, refusal: &RequestRefusal) -> Response<Bytes> {
     let code = refusal.code;
@@ -68,13 +68,13 @@
     if let Some(wait) = refusal.retry_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(wait)));
     }
-    stamp(&mut answer, request, refusal.run);
+    insert_run_headers(&mut answer, request, refusal.run);
     answer
 }
 
-/// The answer to a resend whose reply is no longer kept.
+/// Builds the response to a resend whose reply is not stored.
 #[must_use]
-pub fn gone_answer(request: RequestId) -> Response<Bytes> {
+pub fn unavailable_reply_answer(request: RequestId) -> Response<Bytes> {
     let body = json!({
         "type": "urn:sycamorelink:reply-gone",
         "title": "An earlier send of this key ran to its end; its reply is no longer kept",
@@ -88,20 +88,20 @@
         CONTENT_TYPE,
         HeaderValue::from_static("application/problem+json"),
     );
-    stamp(&mut answer, request, RunState::Ran);
+    insert_run_headers(&mut answer, request, RunState::Ran);
     answer
 }
 
-/// The answer to a resend whose reply was kept.
+/// Builds the response to a resend from the stored reply.
 #[must_use]
-pub fn kept_answer(request: RequestId, bytes: &[u8]) -> Response<Bytes> {
-    let Some(kept) = KeptReply::decode(bytes) else {
-        return gone_answer(request);
+pub fn replay_answer(request: RequestId, bytes: &[u8]) -> Response<Bytes> {
+    let Some(reply) = StoredReply::decode(bytes) else {
+        return unavailable_reply_answer(request);
     };
-    let body = Bytes::from(kept.body);
+    let body = Bytes::from(reply.body);
     let head = ReplyHead {
-        status: kept.status,
-        headers: kept.headers,
+        status: reply.status,
+        headers: reply.headers,
         body_length: Some(body.len() as u64),
     };
     let mut answer = reply_answer(request, &head, body);
@@ -112,21 +112,21 @@
     answer
 }
 
-/// The answer that hands on a backend server's reply.
+/// Builds the response that forwards a backend server's reply.
 #[must_use]
 pub fn reply_answer<B>(request: RequestId, head: &ReplyHead, body: B) -> Response<B> {
     reply_head_answer(request, head, RunState::Ran).map(|()| body)
 }
 
-/// The same without a body, marked with the request's id and run state.
+/// Builds the head of such a response, with the request's id and run state.
 #[must_use]
 pub fn reply_head_answer(request: RequestId, head: &ReplyHead, run: RunState) -> Response<()> {
     let mut answer = plain_head_answer(head);
-    stamp(&mut answer, request, run);
+    insert_run_headers(&mut answer, request, run);
     answer
 }
 
-/// Status and headers of a backend server's reply, and nothing besides.
+/// Builds a response head with only the status and headers of a backend server's reply.
 #[must_use]
 pub fn plain_head_answer(head: &ReplyHead) -> Response<()> {
     let mut answer = Response::new(());
@@ -141,7 +141,7 @@
     answer
 }
 
-fn stamp<B>(answer: &mut Response<B>, request: RequestId, run: RunState) {
+fn insert_run_headers<B>(answer: &mut Response<B>, request: RequestId, run: RunState) {
     let headers = answer.headers_mut();
     if let Ok(value) = HeaderValue::try_from(request.to_string()) {
         headers.insert(HeaderName::from_static(REQUEST_ID_HEADER), value);
@@ -159,7 +159,8 @@
     u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// `Retry-After` has whole seconds: rounded up, so that nobody comes back too early.
+/// Converts a delay to the whole seconds of `Retry-After`, rounded up so that callers do not retry
+/// too early.
 fn whole_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
--- a/crates/daemon/src/callers/exchange.rs
+++ b/crates/daemon/src/callers/exchange.rs
@@ -1,9 +1,10 @@
-//! One request and its answer.
+//! One request and its response.
 //!
-//! The exchange waits for the decision thread's commands and for parts of replies, whichever comes
-//! first. A reply that fits the reply buffer is held until it is whole, so a reply that breaks off
-//! never reaches the caller and the request may still be tried elsewhere. A longer one is streamed;
-//! when it breaks off, the connection is broken off too, so a short answer never looks whole.
+//! The exchange handles commands from the decision thread and parts of replies as they arrive. A
+//! reply that fits into the reply buffer is buffered until it is complete, so a truncated reply
+//! never reaches the caller and the request can be retried. A larger reply is streamed; when it is
+//! truncated, the exchange aborts the connection, so the caller does not take the response for a
+//! complete one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,27 +20,27 @@
 use tokio::sync::{mpsc, oneshot};
 use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 
-use super::answer::{gone_answer, kept_answer};
+use super::answer::{replay_answer, unavailable_reply_answer};
 use super::head::target_of;
-use super::socket::{CallerSocket, gone_caller};
+use super::socket::{CallerSocket, wait_for_disconnect};
 use super::stream::{StreamedReply, stream_body};
 use super::{COMMAND_DEPTH, CallerCommand, CallerContext};
 use crate::inbox::ShellInput;
 use crate::part::{
-    BODY_DEPTH, BodyBroken, BodyReceiver, BodySender, REPLY_DEPTH, ReplyEnd, ReplyHead, ReplyPart,
-    whole_body,
+    BODY_DEPTH, BodyReceiver, BodySender, BodyTruncated, REPLY_DEPTH, ReplyEnd, ReplyHead,
+    ReplyPart, buffered_body,
 };
 use crate::work::{AttemptTask, ReplySink};
 
-/// When a caller refused for a full ring should come back.
-const RING_FULL_WAIT: Duration = Duration::from_millis(250);
-/// First status that counts as a server's error.
-const SERVER_ERROR: u16 = 500;
+/// Retry delay sent to a caller whose request was refused because the ring is full.
+const RING_FULL_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Lowest HTTP status that counts as a server error.
+const SERVER_ERROR_STATUS: u16 = 500;
 
-/// A part of a reply with the number of its attempt.
+/// Part of a reply with the number of its attempt.
 pub type NumberedPart = (u16, ReplyPart);
 
-/// Answers one request.
+/// Handles one request and returns its response.
 pub async fn answer_request(
     context: Arc<CallerContext>,
     request: Request<RequestBody>,
@@ -49,7 +50,7 @@
     let (head, body) = request.into_parts();
     let request = Request::from_parts(head, ());
     let caller = match context
-        .border
+        .adapter
         .read_head(id, &request, context.replay_limit())
     {
         Ok(caller) => caller,
@@ -63,10 +64,11 @@
         .try_send(ShellInput::Request(caller, port))
         .is_err()
     {
-        let refusal = RequestRefusal::not_run(RefusalCode::Overloaded).retry_after(RING_FULL_WAIT);
+        let refusal =
+            RequestRefusal::not_run(RefusalCode::Overloaded).retry_after(RING_FULL_RETRY_DELAY);
         return refuse(&context, id, &refusal);
     }
-    let (parts_in, parts) = mpsc::channel(REPLY_DEPTH);
+    let (part_sender, parts) = mpsc::channel(REPLY_DEPTH);
     let exchange = CallerExchange {
         socket: context.sockets.get(peer),
         context,
@@ -77,12 +79,12 @@
         body: Some(body),
         replayable,
         declared,
-        held: None,
+        buffered_body: None,
         commands,
-        parts_in,
+        part_sender,
         parts,
         attempts: BTreeMap::new(),
-        settled: false,
+        answered: false,
     };
     exchange.run().await
 }
@@ -92,25 +94,28 @@
     id: RequestId,
     refusal: &RequestRefusal,
 ) -> Response<ResponseBody> {
-    context.border.refusal(id, refusal).map(ResponseBody::bytes)
+    context
+        .adapter
+        .refusal(id, refusal)
+        .map(ResponseBody::bytes)
 }
 
-/// One attempt as its parts arrive.
+/// State of one attempt whose reply is being received.
 struct AttemptProgress {
     started: Instant,
     order: Box<AttemptOrder>,
     head: Option<ReplyHead>,
     buffer: BytesMut,
     end: Option<ReplyEnd>,
-    /// Dropping it stops the attempt.
+    /// Cancels the attempt when dropped.
     cancel: oneshot::Sender<()>,
 }
 
-/// Why a body was not held.
-enum HoldEnd {
-    /// The decision thread refused the request meanwhile.
+/// Reason why a body could not be buffered.
+enum BufferError {
+    /// The decision thread refused the request while the body was being read.
     Refused(RequestRefusal),
-    /// The body cannot be had.
+    /// The body is too large or incomplete.
     Broken(RefusalCode),
 }
 
@@ -124,25 +129,26 @@
     body: Option<RequestBody>,
     replayable: bool,
     declared: Option<u64>,
-    held: Option<Bytes>,
+    buffered_body: Option<Bytes>,
     commands: mpsc::Receiver<CallerCommand>,
-    parts_in: mpsc::Sender<NumberedPart>,
+    part_sender: mpsc::Sender<NumberedPart>,
     parts: mpsc::Receiver<NumberedPart>,
     attempts: BTreeMap<u16, AttemptProgress>,
-    settled: bool,
+    answered: bool,
 }
 
 impl CallerExchange {
     async fn run(mut self) -> Response<ResponseBody> {
-        let gone = gone_caller(self.socket.clone());
-        tokio::pin!(gone);
+        let disconnected = wait_for_disconnect(self.socket.clone());
+        tokio::pin!(disconnected);
         loop {
-            let body_read = self.held.is_some() || self.declared == Some(0);
+            let body_read = self.buffered_body.is_some() || self.declared == Some(0);
             tokio::select! {
-                () = &mut gone, if body_read => return self.give_up(RefusalCode::CallerGone).await,
+                () = &mut disconnected, if body_read =>
+                    return self.abort(RefusalCode::CallerGone).await,
                 command = self.commands.recv() => {
                     let Some(command) = command else {
-                        return self.answer_refusal(&RequestRefusal::unknown(RefusalCode::Draining));
+                        return self.refuse_request(&RequestRefusal::unknown(RefusalCode::Draining));
                     };
                     if let Some(answer) = self.on_command(command).await {
                         return answer;
@@ -159,39 +165,39 @@
 
     async fn on_command(&mut self, command: CallerCommand) -> Option<Response<ResponseBody>> {
         match command {
-            CallerCommand::Refuse(refusal) => Some(self.answer_refusal(&refusal)),
-            CallerCommand::ReadBody(limit) => self.read_whole(limit).await,
+            CallerCommand::Refuse(refusal) => Some(self.refuse_request(&refusal)),
+            CallerCommand::ReadBody(limit) => self.read_body(limit).await,
             CallerCommand::Dispatch(order) => self.start_attempt(order).await,
             CallerCommand::Cancel(number) => {
                 self.attempts.remove(&number);
                 None
             }
             CallerCommand::Deliver(number) => self.deliver(number),
-            CallerCommand::Kept(reply) => {
-                self.settled = true;
-                Some(kept_answer(self.id, &reply).map(ResponseBody::bytes))
+            CallerCommand::Replay(reply) => {
+                self.answered = true;
+                Some(replay_answer(self.id, &reply).map(ResponseBody::bytes))
             }
-            CallerCommand::Gone => {
-                self.settled = true;
-                Some(gone_answer(self.id).map(ResponseBody::bytes))
+            CallerCommand::ReplyUnavailable => {
+                self.answered = true;
+                Some(unavailable_reply_answer(self.id).map(ResponseBody::bytes))
             }
         }
     }
 
-    fn answer_refusal(&mut self, refusal: &RequestRefusal) -> Response<ResponseBody> {
-        self.settled = true;
+    fn refuse_request(&mut self, refusal: &RequestRefusal) -> Response<ResponseBody> {
+        self.answered = true;
         refuse(&self.context, self.id, refusal)
     }
 
-    /// Reads the body whole and tells its fingerprint.
-    async fn read_whole(&mut self, limit: u64) -> Option<Response<ResponseBody>> {
-        if let Some(answer) = self.hold_body(limit).await {
+    /// Buffers the body and sends its fingerprint to the decision thread.
+    async fn read_body(&mut self, limit: u64) -> Option<Response<ResponseBody>> {
+        if let Some(answer) = self.buffer_body(limit).await {
             return Some(answer);
         }
-        let bytes = self.held.clone().unwrap_or_default();
+        let bytes = self.buffered_body.clone().unwrap_or_default();
         let fingerprint = KeyFingerprint::of(&self.method, &self.target, &bytes);
         let request = self.id;
-        self.tell(NodeEvent::BodyRead {
+        self.send_event(NodeEvent::BodyRead {
             request,
             fingerprint,
         })
@@ -199,21 +205,22 @@
         None
     }
 
-    /// The request cannot go on for a reason that the decision thread does not know yet.
-    async fn give_up(&mut self, code: RefusalCode) -> Response<ResponseBody> {
-        self.tell(NodeEvent::CallerGone { request: self.id }).await;
-        self.answer_refusal(&RequestRefusal::not_run(code))
+    /// Aborts the request for a reason that the exchange detected and notifies the decision thread.
+    async fn abort(&mut self, code: RefusalCode) -> Response<ResponseBody> {
+        self.send_event(NodeEvent::CallerGone { request: self.id })
+            .await;
+        self.refuse_request(&RequestRefusal::not_run(code))
     }
 
     async fn start_attempt(&mut self, order: Box<AttemptOrder>) -> Option<Response<ResponseBody>> {
-        if self.held.is_none() && self.replayable {
+        if self.buffered_body.is_none() && self.replayable {
             let limit = order.max_body.min(self.context.replay_limit());
-            if let Some(answer) = self.hold_body(limit).await {
+            if let Some(answer) = self.buffer_body(limit).await {
                 return Some(answer);
             }
         }
-        let (body, length) = match &self.held {
-            Some(bytes) => (whole_body(bytes.clone()), Some(bytes.len() as u64)),
+        let (body, length) = match &self.buffered_body {
+            Some(bytes) => (buffered_body(bytes.clone()), Some(bytes.len() as u64)),
             None => (self.stream_request(order.max_body), None),
         };
         let (cancel, cancelled) = oneshot::channel();
@@ -224,12 +231,12 @@
             target: self.target.clone(),
             headers: self
                 .context
-                .border
+                .adapter
                 .forwarded(&self.headers, order.account.as_ref()),
             body,
             body_length: length,
             signature: self.signature(order.signature),
-            reply: ReplySink::new(number, self.parts_in.clone()),
+            reply: ReplySink::new(number, self.part_sender.clone()),
             cancelled,
         };
         let progress = AttemptProgress {
@@ -245,20 +252,20 @@
         None
     }
 
-    /// Failure: a request that crashes backend servers is stopped, and another with the same path
-    /// and another body with it. The body's hash goes into the signature; where the body was not
-    /// seen whole there is no signature, and nobody is stopped for it.
+    /// Returns the request's signature for the crash-request registry. The signature includes the
+    /// body's hash, so that blocking a request that crashes backend servers does not block others
+    /// with the same path. Without a buffered body the signature is zero, which is never blocked.
     fn signature(&self, head: u64) -> u64 {
-        let body = self.held.as_ref();
+        let body = self.buffered_body.as_ref();
         body.map_or(0, |bytes| stable_hash(&[&head.to_be_bytes(), bytes]))
     }
 
-    /// Reads the body whole and holds it. Answers early when it is too large, broken off, or the
-    /// decision thread refuses meanwhile: a caller that sends slowly is not waited for beyond its
-    /// deadline.
-    async fn hold_body(&mut self, limit: u64) -> Option<Response<ResponseBody>> {
+    /// Reads and buffers the whole body. Returns a response early when the body is too large or
+    /// incomplete, or when the decision thread refuses the request, which bounds the wait for a
+    /// slow caller by its deadline.
+    async fn buffer_body(&mut self, limit: u64) -> Option<Response<ResponseBody>> {
         let Some(mut body) = self.body.take() else {
-            self.held.get_or_insert_default();
+            self.buffered_body.get_or_insert_default();
             return None;
         };
         let read = {
@@ -266,29 +273,30 @@
             tokio::pin!(read);
             loop {
                 tokio::select! {
-                    bytes = &mut read => break bytes.map_err(HoldEnd::Broken),
+                    bytes = &mut read => break bytes.map_err(BufferError::Broken),
                     command = self.commands.recv() => match command {
-                        Some(CallerCommand::Refuse(refusal)) => break Err(HoldEnd::Refused(refusal)),
+                        Some(CallerCommand::Refuse(refusal)) =>
+                            break Err(BufferError::Refused(refusal)),
                         Some(_) => {}
-                        None => break Err(HoldEnd::Broken(RefusalCode::Draining)),
+                        None => break Err(BufferError::Broken(RefusalCode::Draining)),
                     },
                 }
             }
         };
         match read {
             Ok(bytes) => {
-                self.held = Some(bytes);
+                self.buffered_body = Some(bytes);
                 None
             }
-            Err(HoldEnd::Refused(refusal)) => Some(self.answer_refusal(&refusal)),
-            Err(HoldEnd::Broken(code)) => Some(self.give_up(code).await),
+            Err(BufferError::Refused(refusal)) => Some(self.refuse_request(&refusal)),
+            Err(BufferError::Broken(code)) => Some(self.abort(code).await),
         }
     }
 
     fn stream_request(&mut self, limit: u64) -> BodyReceiver {
         let (sender, receiver) = mpsc::channel(BODY_DEPTH);
         if let Some(body) = self.body.take() {
-            tokio::task::spawn_local(pump_body(body, sender, limit, self.declared));
+            tokio::task::spawn_local(stream_request_body(body, sender, limit, self.declared));
         }
         receiver
     }
@@ -302,8 +310,8 @@
             }
             ReplyPart::Chunk(chunk) => {
                 progress.buffer.extend_from_slice(&chunk);
-                let most = self.context.reply_buffer.min(progress.order.reply_buffer);
-                let full = progress.buffer.len() > most;
+                let limit = self.context.reply_buffer.min(progress.order.reply_buffer);
+                let full = progress.buffer.len() > limit;
                 if full {
                     self.stream_reply(number)
                 } else {
@@ -313,58 +321,58 @@
             ReplyPart::End(end) => self.on_end(number, end).await,
             ReplyPart::Failed(failure) => {
                 let progress = self.attempts.remove(&number)?;
-                let mut report = report_of(&progress, failure.kind, failure.run);
+                let mut report = attempt_report(&progress, failure.kind, failure.run);
                 report.code = failure.code;
                 report.load = failure.load;
                 report.retry_after = failure.retry_after;
-                self.tell(NodeEvent::AttemptEnded(report)).await;
+                self.send_event(NodeEvent::AttemptEnded(report)).await;
                 None
             }
         }
     }
 
-    /// A whole reply. A server's error is held until the decision thread says whether to try
-    /// elsewhere; any other is the answer.
+    /// Handles the end of a complete reply. A server error is buffered until the decision thread
+    /// decides whether to retry; any other reply is delivered.
     async fn on_end(&mut self, number: u16, end: ReplyEnd) -> Option<Response<ResponseBody>> {
         let progress = self.attempts.get_mut(&number)?;
         progress.end = Some(end);
         let status = progress.head.as_ref()?.status;
-        let kind = kind_of(status);
+        let kind = sample_kind(status);
         let failed = kind == SampleKind::Failed;
-        let mut report = report_of(progress, kind, RunState::Ran);
+        let mut report = attempt_report(progress, kind, RunState::Ran);
         report.service_time = Some(end.service_time);
         report.load = end.load;
         report.status = Some(status);
-        self.tell(NodeEvent::AttemptEnded(report)).await;
+        self.send_event(NodeEvent::AttemptEnded(report)).await;
         if failed { None } else { self.deliver(number) }
     }
 
     fn deliver(&mut self, number: u16) -> Option<Response<ResponseBody>> {
         let progress = self.attempts.remove(&number)?;
         let head = progress.head?;
-        self.settled = true;
+        self.answered = true;
         let body = ResponseBody::bytes(progress.buffer.freeze());
         Some(self.reply(&head, body))
     }
 
     fn reply(&self, head: &ReplyHead, body: ResponseBody) -> Response<ResponseBody> {
-        self.context.border.reply(self.id, head).map(|()| body)
+        self.context.adapter.reply(self.id, head).map(|()| body)
     }
 
-    /// The reply outgrew the buffer: it goes to the caller as it comes, and no other attempt can
-    /// take its place any more.
+    /// Streams a reply that exceeds the buffer to the caller. The other attempts are cancelled,
+    /// because none can replace this reply from now on.
     fn stream_reply(&mut self, number: u16) -> Option<Response<ResponseBody>> {
         let progress = self.attempts.remove(&number)?;
         let head = progress.head.clone()?;
         self.attempts.clear();
-        self.settled = true;
+        self.answered = true;
         let (_, empty) = mpsc::channel(1);
         let streamed = StreamedReply {
             number,
-            report: report_of(&progress, kind_of(head.status), RunState::Ran),
+            report: attempt_report(&progress, sample_kind(head.status), RunState::Ran),
             started: progress.started,
             status: head.status,
-            first: Some(progress.buffer.freeze()),
+            buffered: Some(progress.buffer.freeze()),
             parts: std::mem::replace(&mut self.parts, empty),
             inbox: self.context.inbox.clone(),
             cancel: progress.cancel,
@@ -374,32 +382,32 @@
         Some(self.reply(&head, body))
     }
 
-    async fn tell(&self, event: NodeEvent) {
+    async fn send_event(&self, event: NodeEvent) {
         self.context.inbox.send(ShellInput::Event(event)).await;
     }
 }
 
 impl Drop for CallerExchange {
-    /// Failure: a caller goes away while its request runs; without a word the slot at the backend
-    /// server stays taken until the deadline. The exchange is dropped with its connection, so one
-    /// event from here is enough for the decision thread to cancel.
+    /// Notifies the decision thread when the caller disconnects, so that the request does not
+    /// occupy its slot at the backend server until the deadline. The exchange is dropped with its
+    /// connection.
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.answered {
             let event = NodeEvent::CallerGone { request: self.id };
             let _ = self.context.inbox.try_send(ShellInput::Event(event));
         }
     }
 }
 
-fn kind_of(status: u16) -> SampleKind {
-    if status >= SERVER_ERROR {
+fn sample_kind(status: u16) -> SampleKind {
+    if status >= SERVER_ERROR_STATUS {
         SampleKind::Failed
     } else {
         SampleKind::Served
     }
 }
 
-fn report_of(progress: &AttemptProgress, kind: SampleKind, run: RunState) -> AttemptReport {
+fn attempt_report(progress: &AttemptProgress, kind: SampleKind, run: RunState) -> AttemptReport {
     let attempt: AttemptId = progress.order.attempt;
     AttemptReport {
         attempt,
@@ -415,9 +423,8 @@
     }
 }
 
-/// Failure: a caller breaks off in the middle of its body, and the HTTP library ends the body there
-/// as if it were whole; the backend server would run half a request. A body is whole only when it
-/// has the length that its head declared.
+/// Reads a body and checks it against the declared length. The HTTP library reports a body that the
+/// caller cut off as complete, and without the check the backend server would run half a request.
 async fn collect_body(
     body: &mut RequestBody,
     limit: u64,
@@ -437,19 +444,28 @@
     Ok(bytes.freeze())
 }
 
-/// The same for a body that is sent on as it comes.
-async fn pump_body(mut body: RequestBody, sender: BodySender, limit: u64, declared: Option<u64>) {
+/// Streams a body to the attempt and checks it against the declared length like [`collect_body`].
+async fn stream_request_body(
+    mut body: RequestBody,
+    sender: BodySender,
+    limit: u64,
+    declared: Option<u64>,
+) {
     let mut sent = 0;
     while let Some(chunk) = body.data().await {
-        let chunk = chunk.map_err(|_| BodyBroken);
+        let chunk = chunk.map_err(|_| BodyTruncated);
         sent += chunk.as_ref().map_or(0, |bytes| bytes.len() as u64);
-        let chunk = if sent > limit { Err(BodyBroken) } else { chunk };
+        let chunk = if sent > limit {
+            Err(BodyTruncated)
+        } else {
+            chunk
+        };
         let broken = chunk.is_err();
         if sender.send(chunk).await.is_err() || broken {
             return;
         }
     }
     if declared.is_some_and(|length| length != sent) {
-        let _ = sender.send(Err(BodyBroken)).await;
+        let _ = sender.send(Err(BodyTruncated)).await;
     }
 }
--- a/crates/daemon/src/callers/head.rs
+++ b/crates/daemon/src/callers/head.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a caller's request.
+//! Parses the head of a caller's request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 use sycamorelink_core::{RefusalCode, RequestId};
 use sycamorelink_engine::CallerRequest;
 
-/// Header in which a caller tells how long it will wait, in milliseconds.
+/// Header with the longest time that a caller waits for the response, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
-/// Header that names an idempotent operation.
+/// Header with the idempotency key of a request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Greatest length of an `Idempotency-Key`, in bytes.
+/// Largest length of an `Idempotency-Key`, in bytes.
 const KEY_LIMIT: usize = 255;
-/// Scheme of the token.
+/// Authorization scheme of the token.
 const BEARER: &str = "Bearer ";
 
-/// Headers that concern one connection only and are not handed on (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 const HOP_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-/// The same, without a constant of their own.
+/// Further hop-by-hop headers, for which the `http` crate has no constant.
 const HOP_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// Reads what the decisions need from a request's head.
+/// Parses the head of a request for the engine.
 ///
 /// # Errors
 ///
-/// The code of the refusal, when the head breaks a rule.
+/// Returns the code of the refusal when the head is invalid.
 pub fn read_head<B>(
     id: RequestId,
     request: &http::Request<B>,
@@ -52,11 +52,11 @@
     })
 }
 
-/// Length of a request's body; none for one that comes in chunks.
+/// Returns the declared length of a request's body, or `None` for a chunked body.
 ///
 /// # Errors
 ///
-/// `bad-request` when the length cannot be told for certain.
+/// Returns `bad-request` when the length is ambiguous or invalid.
 pub fn declared_body(headers: &HeaderMap) -> Result<Option<u64>, RefusalCode> {
     let length = declared_length(headers)?;
     let chunked = headers.contains_key(TRANSFER_ENCODING);
@@ -67,15 +67,16 @@
     })
 }
 
-/// Path and query of a request.
+/// Returns the path and query of a request.
 pub fn target_of<B>(request: &http::Request<B>) -> &str {
     let uri = request.uri();
     uri.path_and_query()
         .map_or_else(|| uri.path(), |target| target.as_str())
 }
 
-/// Failure: with both lengths present, two parties on the way may see two different requests in the
-/// same bytes (request smuggling). Refusing the request leaves only one reading: none.
+/// Parses `Content-Length`. Rejects several lengths, and a length together with
+/// `Transfer-Encoding`: two parties may disagree on where such a request ends, which allows request
+/// smuggling.
 fn declared_length(headers: &HeaderMap) -> Result<Option<u64>, RefusalCode> {
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
@@ -129,7 +130,8 @@
         .ok_or(RefusalCode::BadRequest)
 }
 
-/// Headers to hand on to the backend server: without those of one connection and the token.
+/// Returns the headers to forward to the backend server: all but hop-by-hop headers, the token and
+/// the body length.
 #[must_use]
 pub fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     headers
@@ -140,7 +142,7 @@
         .collect()
 }
 
-/// Whether a header concerns one connection only.
+/// Returns whether a header is hop-by-hop.
 #[must_use]
 pub fn is_hop_header(name: &HeaderName) -> bool {
     HOP_HEADERS.contains(name) || HOP_NAMES.contains(&name.as_str())
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The port for callers: HTTP/1.1 by `xitca-web`.
+//! The callers' port: HTTP/1.1, built on `xitca-web`.
 //!
 //! ```text
 //!  caller ──HTTP──▶ exchange ──RequestArrived──▶ decision thread
@@ -7,8 +7,8 @@
 //!                   work thread ◀──attempt── exchange
 //! ```
 //!
-//! An exchange is one request and its answer. It decides nothing: it reads, forwards and answers as
-//! the decision thread says.
+//! An exchange is one request and its response. The exchange only reads, forwards and responds; the
+//! decision thread makes every decision.
 
 mod answer;
 mod exchange;
@@ -18,7 +18,7 @@
 mod stream;
 
 pub use answer::{
-    KeptReply, REQUEST_ID_HEADER, plain_head_answer, refusal_answer, reply_head_answer,
+    REQUEST_ID_HEADER, StoredReply, plain_head_answer, refusal_answer, reply_head_answer,
 };
 pub use head::{
     TIMEOUT_HEADER, declared_body, forwarded_headers, is_hop_header, read_head, target_of,
@@ -31,24 +31,24 @@
 use sycamorelink_core::RequestRefusal;
 use sycamorelink_engine::AttemptOrder;
 
-/// What the decision thread tells one exchange.
+/// Command from the decision thread to one exchange.
 #[derive(Debug)]
 pub enum CallerCommand {
-    /// Answer with this refusal.
+    /// Responds with a refusal.
     Refuse(RequestRefusal),
-    /// Read the whole body, up to this many bytes.
+    /// Reads the whole body, up to this many bytes.
     ReadBody(u64),
-    /// Carry out an attempt.
+    /// Runs an attempt.
     Dispatch(Box<AttemptOrder>),
-    /// Stop an attempt.
+    /// Cancels the attempt with this number.
     Cancel(u16),
-    /// Answer with the whole error reply of this attempt.
+    /// Responds with the complete error reply of the attempt with this number.
     Deliver(u16),
-    /// Answer with a reply kept from an earlier send.
-    Kept(Arc<[u8]>),
-    /// Answer that an earlier send ran and its reply is no longer kept.
-    Gone,
+    /// Responds with the encoded reply stored for an earlier send of the same idempotency key.
+    Replay(Arc<[u8]>),
+    /// Responds that an earlier send ran and its reply is not stored.
+    ReplyUnavailable,
 }
 
-/// Commands that may wait for one exchange.
+/// Capacity of the command channel of one exchange.
 pub const COMMAND_DEPTH: usize = 16;
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -1,4 +1,4 @@
-//! The listening side of the callers' port.
+//! Server of the callers' port.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -17,46 +17,47 @@
 use crate::ring::RingSender;
 use crate::work::AttemptTask;
 
-/// What every exchange needs.
+/// State shared by all exchanges.
 #[derive(Debug)]
 pub struct CallerContext {
-    /// This node's life; its incarnation makes request ids unique.
+    /// Instance and incarnation of this node; the incarnation makes request ids unique.
     pub instance: InstanceId,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Where attempts are carried out.
+    /// Channel to the work thread, which runs the attempts.
     pub attempts: mpsc::Sender<AttemptTask>,
-    /// Bytes of a reply held until it is whole.
+    /// Largest reply that is buffered until it is complete, in bytes.
     pub reply_buffer: usize,
-    /// Greatest body that is held so that it can be sent again.
+    /// Largest request body that is buffered so that it can be resent, in bytes.
     pub body_buffer: usize,
-    /// Counts requests.
+    /// Number of the next request.
     pub counter: AtomicU64,
-    /// Connections of callers, to see them go away.
+    /// Connections of callers, used to detect disconnects.
     pub sockets: CallerSockets,
-    /// How requests are read and answered.
-    pub border: Arc<dyn CallerBorder>,
-    /// Set while the daemon leaves: answers then tell callers to come back on another connection.
+    /// Protocol in which callers send requests and receive responses.
+    pub adapter: Arc<dyn CallerBorder>,
+    /// Set while the daemon drains; responses then carry `Connection: close`, so that callers open a
+    /// new connection.
     pub leaving: Arc<AtomicBool>,
 }
 
 impl CallerContext {
-    /// The next request's id: this node's life and a count, so that no two are equal.
+    /// Returns a unique request id made of this node's incarnation and a counter.
     #[must_use]
     pub fn next_request(&self) -> RequestId {
         let count = self.counter.fetch_add(1, Ordering::Relaxed);
-        let life = self.instance.node.0 ^ self.instance.incarnation.0.rotate_left(20);
-        RequestId((u128::from(life) << 64) | u128::from(count))
+        let prefix = self.instance.node.0 ^ self.instance.incarnation.0.rotate_left(20);
+        RequestId((u128::from(prefix) << 64) | u128::from(count))
     }
 
-    /// Greatest body that can be sent again, in bytes.
+    /// Returns the size of the largest request body that can be resent, in bytes.
     #[must_use]
     pub fn replay_limit(&self) -> u64 {
         self.body_buffer as u64
     }
 }
 
-/// Serves the callers' port.
+/// Adds the callers' port to a server.
 pub fn serve_callers(
     server: PortServer,
     listener: TcpListener,
--- a/crates/daemon/src/callers/socket.rs
+++ b/crates/daemon/src/callers/socket.rs
@@ -1,8 +1,8 @@
-//! Sees callers go away.
+//! Detects callers that disconnect while their request is in progress.
 //!
-//! The HTTP library does not read a connection while a request of it is being answered, so it
-//! notices a caller that hung up only when it writes the answer. A second handle to each
-//! connection lets the exchange look for the end of the stream meanwhile.
+//! The HTTP library does not read a connection while it handles one of its requests, so it detects
+//! a disconnect only when it writes the response. A second handle to each connection lets the
+//! exchange detect the end of the stream earlier.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -14,23 +14,23 @@
 use xitca_io::net::Stream;
 use xitca_server::net::{IntoListener, Listen};
 
-/// Requests answered sooner are not watched, which saves most of them the system calls.
+/// Delay before an exchange watches its connection, which saves short requests the system calls.
 const WATCH_DELAY: Duration = Duration::from_millis(20);
-/// Connections accepted between two sweeps of those that ended.
+/// Number of accepted connections between two sweeps that remove closed ones from the table.
 const SWEEP_EVERY: usize = 32;
 
-/// Second handle to one caller's connection.
+/// Second handle to a caller's connection.
 #[derive(Clone, Debug)]
 pub struct CallerSocket(Arc<TcpStream>);
 
 impl CallerSocket {
-    /// Breaks the connection off in both directions.
+    /// Shuts the connection down in both directions.
     pub fn shut_down(&self) {
         let _ = self.0.shutdown(Shutdown::Both);
     }
 
-    /// Whether the caller or the server closed the connection.
-    fn has_ended(&self) -> bool {
+    /// Returns whether the caller or the server closed the connection.
+    fn is_closed(&self) -> bool {
         let mut byte = [0];
         match self.0.peek(&mut byte) {
             Ok(count) => count == 0,
@@ -45,14 +45,14 @@
     accepted: usize,
 }
 
-/// Connections of callers by the address of the caller.
+/// Open connections of callers, by the caller's address.
 #[derive(Clone, Debug, Default)]
 pub struct CallerSockets {
     table: Arc<Mutex<SocketTable>>,
 }
 
 impl CallerSockets {
-    /// The connection from an address.
+    /// Returns the connection from an address, or `None` when there is none.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Option<CallerSocket> {
         self.table.lock().ok()?.open.get(&peer).cloned()
@@ -65,12 +65,12 @@
         table.open.insert(peer, CallerSocket(Arc::new(stream)));
         table.accepted += 1;
         if table.accepted.is_multiple_of(SWEEP_EVERY) {
-            table.open.retain(|_, socket| !socket.has_ended());
+            table.open.retain(|_, socket| !socket.is_closed());
         }
     }
 }
 
-/// Listener that notes each connection it accepts.
+/// Listener that registers each accepted connection in [`CallerSockets`].
 #[derive(Debug)]
 pub struct TrackedListener {
     listener: std::net::TcpListener,
@@ -86,39 +86,39 @@
 }
 
 impl IntoListener for TrackedListener {
-    type Listener = TrackedAccept;
+    type Listener = TrackedAcceptor;
 
-    fn into_listener(self) -> io::Result<TrackedAccept> {
+    fn into_listener(self) -> io::Result<TrackedAcceptor> {
         self.listener.set_nonblocking(true)?;
         let listener = tokio::net::TcpListener::from_std(self.listener)?;
-        Ok(TrackedAccept {
+        Ok(TrackedAcceptor {
             listener,
             sockets: self.sockets,
         })
     }
 }
 
-/// The same inside the server's runtime.
+/// [`TrackedListener`] once it runs inside the server's runtime.
 #[derive(Debug)]
-pub struct TrackedAccept {
+pub struct TrackedAcceptor {
     listener: tokio::net::TcpListener,
     sockets: CallerSockets,
 }
 
-impl Listen for TrackedAccept {
+impl Listen for TrackedAcceptor {
     async fn accept(&self) -> io::Result<Stream> {
         let (stream, peer) = self.listener.accept().await?;
         let _ = stream.set_nodelay(true);
         let stream = stream.into_std()?;
-        if let Ok(second) = stream.try_clone() {
-            self.sockets.insert(peer, second);
+        if let Ok(handle) = stream.try_clone() {
+            self.sockets.insert(peer, handle);
         }
         Ok(Stream::Tcp(stream, peer))
     }
 }
 
-/// Resolves when the caller has gone; never when that cannot be told.
-pub async fn gone_caller(socket: Option<CallerSocket>) {
+/// Resolves when the caller disconnects. Never resolves when a disconnect cannot be detected.
+pub async fn wait_for_disconnect(socket: Option<CallerSocket>) {
     let Some(socket) = socket else {
         return pending().await;
     };
--- a/crates/daemon/src/callers/stream.rs
+++ b/crates/daemon/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! A reply that goes to the caller as it comes.
+//! Replies that are streamed to the caller.
 
 use std::time::Instant;
 
@@ -13,49 +13,49 @@
 use super::exchange::NumberedPart;
 use super::socket::CallerSocket;
 use crate::inbox::ShellInput;
-use crate::part::{BodyBroken, ReplyPart};
+use crate::part::{BodyTruncated, ReplyPart};
 use crate::ring::RingSender;
 
-/// What a streamed reply needs to go on after its exchange has answered.
+/// A streamed reply, which outlives its exchange.
 pub struct StreamedReply {
-    /// Number of the attempt; parts of others are passed over.
+    /// Number of the attempt; parts of other attempts are ignored.
     pub number: u16,
-    /// What will be reported at its end.
+    /// Report of the attempt, completed and sent at the end of the reply.
     pub report: AttemptReport,
-    /// When the attempt began.
+    /// Start of the attempt.
     pub started: Instant,
     /// Status of the reply.
     pub status: u16,
-    /// What was held back so far.
-    pub first: Option<Bytes>,
-    /// The rest.
+    /// Bytes that were buffered before streaming started.
+    pub buffered: Option<Bytes>,
+    /// Channel for the remaining parts.
     pub parts: mpsc::Receiver<NumberedPart>,
-    /// Where the end is reported.
+    /// Ring of the decision thread, for the report.
     pub inbox: RingSender<ShellInput>,
-    /// Dropped with the stream: a caller that goes away stops the attempt.
+    /// Cancels the attempt when dropped, for example because the caller disconnected.
     pub cancel: oneshot::Sender<()>,
-    /// The caller's connection, to be broken off when the reply breaks off.
+    /// The caller's connection, which is aborted when the reply is truncated.
     pub socket: Option<CallerSocket>,
 }
 
 impl StreamedReply {
-    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyBroken>> {
-        if let Some(first) = self.first.take() {
-            return Some(Ok(first));
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyTruncated>> {
+        if let Some(buffered) = self.buffered.take() {
+            return Some(Ok(buffered));
         }
         loop {
             match self.parts.recv().await {
                 Some((number, part)) if number == self.number => return self.on_part(part).await,
                 Some(_) => {}
                 None => {
-                    self.break_off();
-                    return Some(Err(BodyBroken));
+                    self.abort_connection();
+                    return Some(Err(BodyTruncated));
                 }
             }
         }
     }
 
-    async fn on_part(&mut self, part: ReplyPart) -> Option<Result<Bytes, BodyBroken>> {
+    async fn on_part(&mut self, part: ReplyPart) -> Option<Result<Bytes, BodyTruncated>> {
         match part {
             ReplyPart::Chunk(chunk) => Some(Ok(chunk)),
             ReplyPart::End(end) => {
@@ -65,22 +65,22 @@
                 None
             }
             ReplyPart::Head(_) => {
-                self.break_off();
-                Some(Err(BodyBroken))
+                self.abort_connection();
+                Some(Err(BodyTruncated))
             }
             ReplyPart::Failed(failure) => {
                 self.report.kind = failure.kind;
                 self.report.run = RunState::Unknown;
                 self.report_end().await;
-                self.break_off();
-                Some(Err(BodyBroken))
+                self.abort_connection();
+                Some(Err(BodyTruncated))
             }
         }
     }
 
-    /// Failure: the rest of a reply will never come, and the caller waits for it or takes what it
-    /// has for the whole. Breaking the connection off tells it at once.
-    fn break_off(&self) {
+    /// Aborts the caller's connection, so that the caller neither waits for the rest of a truncated
+    /// reply nor takes the reply for a complete one.
+    fn abort_connection(&self) {
         if let Some(socket) = &self.socket {
             socket.shut_down();
         }
@@ -107,11 +107,11 @@
     }
 }
 
-/// The reply as a response body, with its length where it is known.
+/// Returns a reply as a response body, with its length if known.
 pub fn stream_body(
     reply: StreamedReply,
     length: Option<u64>,
-) -> SizedBody<StreamDataBody<impl Stream<Item = Result<Bytes, BodyBroken>>>> {
+) -> SizedBody<StreamDataBody<impl Stream<Item = Result<Bytes, BodyTruncated>>>> {
     let stream = unfold(Some(reply), |reply| async move {
         let mut reply = reply?;
         let chunk = reply.next_chunk().await?;
@@ -124,8 +124,8 @@
     }
 }
 
-/// A body with a known length, so that the answer has a `Content-Length` and a short answer can be
-/// told from a whole one.
+/// Body with an optional known length. With a length the response has a `Content-Length`, by which
+/// the caller detects truncation.
 pub struct SizedBody<B> {
     inner: std::pin::Pin<Box<B>>,
     length: Option<u64>,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One running daemon: its threads, started in order and stopped in the reverse.
+//! Starts and stops the threads of a daemon.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -15,6 +15,7 @@
 
 use crate::border::{ContractSource, DaemonBorders, MemberEntry};
 use crate::callers::{CallerContext, CallerSockets, serve_callers};
+use crate::decision_loop::{DecisionLoop, DecisionOutputs};
 use crate::gossip::start_gossip;
 use crate::http_server::{HttpPorts, PortServer};
 use crate::inbox::{INBOX_DEPTH, ShellInput};
@@ -26,77 +27,74 @@
 use crate::ready::{serve_metrics_page, serve_ready};
 use crate::ring::{RingSender, bounded_ring};
 use crate::settings::DaemonSettings;
-use crate::shell::{DecisionShell, ShellPorts};
 use crate::sockets::{DaemonAddresses, DaemonSockets};
 use crate::source_thread::{SourceParts, start_source};
-use crate::starting::{
-    earlier_entries, engine_settings, fleet_keys, known_incarnation, member_facts,
-};
+use crate::startup::{engine_settings, fleet_keys, least_incarnation, member_facts, read_entries};
 use crate::work::{BackendDirectory, LoadBoard, WorkParts, WorkThread};
 
-/// Greatest request body that is held so that it can be sent again, in bytes.
-const BODY_BUFFER: usize = 64 << 10;
-/// Longest wait for a connection to a peer. A peer that is lost refuses nothing, and the request that
-/// waits is sent to another only afterwards.
-const PEER_CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Time that the last replies to peers get to be written out.
-const REPLY_TIME: Duration = Duration::from_secs(5);
-/// Time between two looks at whether a drain is done.
-const DRAIN_STEP: Duration = Duration::from_millis(20);
-/// Time that the last datagrams and the last bytes of answers get. The HTTP library's own graceful
-/// stop waits for idle connections as well, for half a minute.
-const GOODBYE_TIME: Duration = Duration::from_millis(100);
+/// Largest request body that is buffered so that it can be resent, in bytes.
+const BODY_REPLAY_LIMIT: usize = 64 << 10;
+/// Timeout for a connection to a peer. A lost peer does not refuse connections, and a request that
+/// waits for one moves to another peer only after this timeout.
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest time to write the last replies to peers at shutdown.
+const REPLY_DRAIN_LIMIT: Duration = Duration::from_secs(5);
+/// Interval at which [`DaemonHandle::wait_drained`] checks for the end of the drain.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time to send the last datagrams and the last bytes of responses at shutdown. The HTTP library's
+/// graceful stop is unsuitable: it waits up to half a minute for idle connections too.
+const SHUTDOWN_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// A daemon that is being started.
+/// Entry point that starts a daemon.
 #[derive(Debug)]
 pub struct Daemon;
 
 impl Daemon {
-    /// Starts all threads of a daemon.
+    /// Starts all threads of a daemon with the native adapters.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on, a section of the settings is wrong or a thread
-    /// cannot be started.
+    /// Returns an error when an address cannot be bound, a section of the settings is invalid or a
+    /// thread cannot be started.
     pub fn start(settings: DaemonSettings) -> anyhow::Result<DaemonHandle> {
-        let borders = DaemonBorders::own(&settings);
-        Self::start_with(settings, borders)
+        let adapters = DaemonBorders::own(&settings);
+        Self::start_with(settings, adapters)
     }
 
-    /// Starts all threads of a daemon with these borders.
+    /// Starts all threads of a daemon with the given adapters.
     ///
     /// # Errors
     ///
-    /// As [`Self::start`].
+    /// Returns the same errors as [`Self::start`].
     #[expect(
         clippy::needless_pass_by_value,
         reason = "a daemon is started once from its settings"
     )]
     pub fn start_with(
         settings: DaemonSettings,
-        mut borders: DaemonBorders,
+        mut adapters: DaemonBorders,
     ) -> anyhow::Result<DaemonHandle> {
         let sockets = DaemonSockets::bind(&settings)?;
         let addresses = sockets.addresses()?;
         let clock: Arc<dyn NodeClock> = Arc::new(SystemClock::start());
-        let earlier = earlier_entries(&settings, borders.members.as_deref())?;
-        let least = known_incarnation(&settings, &earlier);
+        let entries = read_entries(&settings, adapters.members.as_deref())?;
+        let least = least_incarnation(&settings, &entries);
         let facts = member_facts(&settings, &addresses, clock.as_ref(), least);
         let keys = fleet_keys(&settings);
         let mut engine_settings = engine_settings(&settings)?;
-        let contracts = borders.contracts.take();
+        let contracts = adapters.contracts.take();
         if contracts.is_some() {
             engine_settings.contracts = ContractForm::Fleet;
         }
         let gate = OperatorGate::new(&settings.operators)
             .context("the operators' accounts have findings")?;
         let (inbox, receiver) = bounded_ring(INBOX_DEPTH);
-        let shared = SharedParts::new(&settings, clock, inbox, facts.instance, borders);
+        let shared = SharedParts::new(&settings, clock, inbox, facts.instance, adapters);
         let metrics_thread = start_metrics(shared.telemetry.clone(), Arc::clone(&shared.stop))?;
         let work = start_work(&shared, sockets.peers, keys.clone())?;
-        let (appends, log_thread) = match contracts {
+        let (log_commands, log_thread) = match contracts {
             Some(contracts) => {
-                start_source(shared.source_parts(contracts, &facts, earlier, settings.first_start))?
+                start_source(shared.source_parts(contracts, &facts, entries, settings.first_start))?
             }
             None => start_log(shared.log_parts())?,
         };
@@ -110,9 +108,9 @@
             shared.telemetry.clone(),
             Arc::clone(&shared.stop),
         )?;
-        let ports = ShellPorts {
+        let outputs = DecisionOutputs {
             messages: work.messages.clone(),
-            appends,
+            log_commands,
             gossip: sockets.gossip,
             keys: Arc::new(keys),
             loads: shared.loads.clone(),
@@ -130,10 +128,10 @@
             facts.instance.incarnation.0,
         )
         .seeds(seeds);
-        let shell = DecisionShell::new(engine, Arc::clone(&shared.clock), receiver, ports);
+        let decision_loop = DecisionLoop::new(engine, Arc::clone(&shared.clock), receiver, outputs);
         let decision = thread::Builder::new()
             .name("decision".to_owned())
-            .spawn(move || shell.run())
+            .spawn(move || decision_loop.run())
             .context("cannot start the decision thread")?;
         let callers = serve_callers(
             PortServer::new(settings.http_workers),
@@ -141,22 +139,22 @@
             Arc::new(shared.caller_context(&settings, &work)),
         )
         .start("callers")?;
-        let mut small = serve_operators(
+        let mut auxiliary = serve_operators(
             PortServer::new(1),
             sockets.operators,
             Arc::new(shared.operator_context(gate, &addresses)),
         );
         if let (Some(listener), Some(page)) = (sockets.metrics, shared.telemetry.page.clone()) {
-            small = serve_metrics_page(small, listener, page);
+            auxiliary = serve_metrics_page(auxiliary, listener, page);
         }
         if let Some(listener) = sockets.ready {
-            small = serve_ready(small, listener, Arc::clone(&shared.ready));
+            auxiliary = serve_ready(auxiliary, listener, Arc::clone(&shared.ready));
         }
         Ok(DaemonHandle {
             addresses,
             shared,
             callers,
-            small_ports: small.start("small ports")?,
+            auxiliary_ports: auxiliary.start("small ports")?,
             work,
             decision,
             log_thread,
@@ -166,12 +164,12 @@
     }
 }
 
-/// What several threads share.
+/// State and channels that several threads share.
 struct SharedParts {
     instance: InstanceId,
     clock: Arc<dyn NodeClock>,
     inbox: RingSender<ShellInput>,
-    borders: DaemonBorders,
+    adapters: DaemonBorders,
     stream: Arc<str>,
     leaving: Arc<AtomicBool>,
     directory: BackendDirectory,
@@ -190,7 +188,7 @@
         clock: Arc<dyn NodeClock>,
         inbox: RingSender<ShellInput>,
         instance: InstanceId,
-        borders: DaemonBorders,
+        adapters: DaemonBorders,
     ) -> Self {
         let telemetry = NodeTelemetry::new(
             Arc::clone(&clock),
@@ -201,7 +199,7 @@
             instance,
             clock,
             inbox,
-            borders,
+            adapters,
             leaving: Arc::default(),
             stream: Arc::clone(&settings.log.stream),
             directory: BackendDirectory::default(),
@@ -217,7 +215,7 @@
 
     fn log_parts(&self) -> LogParts {
         LogParts {
-            client: Arc::clone(&self.borders.log),
+            client: Arc::clone(&self.adapters.log),
             stream: Arc::clone(&self.stream),
             clock: Arc::clone(&self.clock),
             inbox: self.inbox.clone(),
@@ -230,7 +228,7 @@
         &self,
         contracts: Box<dyn ContractSource>,
         facts: &MemberFacts,
-        earlier: Vec<MemberEntry>,
+        entries: Vec<MemberEntry>,
         first_start: bool,
     ) -> SourceParts {
         let entry = MemberEntry {
@@ -238,10 +236,10 @@
             gossip: facts.gossip_address,
             incarnation: facts.instance.incarnation.0,
         };
-        let members = self.borders.members.clone().map(|directory| MemberParts {
+        let members = self.adapters.members.clone().map(|directory| MemberParts {
             directory,
             entry,
-            earlier,
+            entries,
             first_start,
             clock: Arc::clone(&self.clock),
             inbox: self.inbox.clone(),
@@ -264,10 +262,10 @@
             inbox: self.inbox.clone(),
             attempts: work.attempts.clone(),
             reply_buffer: settings.reply_buffer,
-            body_buffer: BODY_BUFFER.min(settings.body_limit),
+            body_buffer: BODY_REPLAY_LIMIT.min(settings.body_limit),
             counter: AtomicU64::new(1),
             sockets: CallerSockets::default(),
-            border: Arc::clone(&self.borders.caller),
+            adapter: Arc::clone(&self.adapters.caller),
             leaving: Arc::clone(&self.leaving),
         }
     }
@@ -275,8 +273,8 @@
     fn operator_context(&self, gate: OperatorGate, addresses: &DaemonAddresses) -> OperatorContext {
         OperatorContext {
             inbox: self.inbox.clone(),
-            log: Arc::clone(&self.borders.log),
-            announcement: self.borders.announcement.clone(),
+            log: Arc::clone(&self.adapters.log),
+            announcement: self.adapters.announcement.clone(),
             stream: Arc::clone(&self.stream),
             gate,
             clock: Arc::clone(&self.clock),
@@ -296,8 +294,8 @@
     WorkThread::start(WorkParts {
         identity: PeerIdentity::new(shared.instance, keys),
         wire: WireSettings {
-            drain_limit: REPLY_TIME,
-            connect_limit: PEER_CONNECT_LIMIT,
+            drain_limit: REPLY_DRAIN_LIMIT,
+            connect_limit: PEER_CONNECT_TIMEOUT,
             ..WireSettings::default()
         },
         listener,
@@ -305,7 +303,7 @@
         directory: shared.directory.clone(),
         loads: shared.loads.clone(),
         events: shared.telemetry.events.clone(),
-        border: Arc::clone(&shared.borders.backend),
+        adapter: Arc::clone(&shared.adapters.backend),
         drain: shared.drain.subscribe(),
     })
 }
@@ -315,8 +313,8 @@
     addresses: DaemonAddresses,
     shared: SharedParts,
     callers: HttpPorts,
-    /// Operators and announcements, readiness and metrics.
-    small_ports: HttpPorts,
+    /// Ports for operators and announcements, readiness and metrics.
+    auxiliary_ports: HttpPorts,
     work: WorkThread,
     decision: JoinHandle<()>,
     log_thread: JoinHandle<()>,
@@ -325,32 +323,32 @@
 }
 
 impl DaemonHandle {
-    /// Where the daemon listens.
+    /// Returns the addresses that the daemon listens on.
     #[must_use]
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Whether requests can be served.
+    /// Returns whether the daemon can serve requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.shared.ready.load(Ordering::Relaxed)
     }
 
-    /// Hands on gossip addresses of other daemons from settings that were read again.
+    /// Passes the engine the gossip addresses of other daemons from reloaded settings.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.shared
             .inbox
             .send_blocking(ShellInput::Event(NodeEvent::SeedsFound(seeds)));
     }
 
-    /// Whether an operator asked the daemon to leave.
+    /// Returns whether an operator requested a drain.
     #[must_use]
     pub fn drain_wanted(&self) -> bool {
         self.shared.drain_wanted.load(Ordering::Acquire)
     }
 
-    /// Begins to leave; [`Self::is_drained`] tells when nothing is left.
+    /// Starts a drain, which [`Self::is_drained`] reports as complete.
     pub fn drain(&self) {
         self.shared.leaving.store(true, Ordering::Relaxed);
         self.shared
@@ -358,33 +356,33 @@
             .send_blocking(ShellInput::Event(NodeEvent::DrainRequested));
     }
 
-    /// Whether everything is handed over or finished.
+    /// Returns whether the drain is complete: all work is handed over or finished.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.shared.drained.load(Ordering::Acquire)
     }
 
-    /// Waits for the end of a drain, at most so long; false when something is left.
+    /// Waits up to `limit` for the end of a drain. Returns false when work is left.
     #[must_use]
     pub fn wait_drained(&self, limit: Duration) -> bool {
-        let until = self.shared.clock.now() + limit;
+        let deadline = self.shared.clock.now() + limit;
         while !self.is_drained() {
-            if self.shared.clock.now() >= until {
+            if self.shared.clock.now() >= deadline {
                 return false;
             }
-            thread::sleep(DRAIN_STEP);
+            thread::sleep(DRAIN_CHECK_INTERVAL);
         }
         true
     }
 
-    /// Stops all threads. What is still in flight is cut off; drain first to avoid that.
+    /// Stops all threads and aborts requests in flight; [`Self::drain`] completes them first.
     pub fn stop(self) {
         self.shared
             .inbox
             .send_blocking(ShellInput::Event(NodeEvent::Departed));
-        thread::sleep(GOODBYE_TIME);
+        thread::sleep(SHUTDOWN_FLUSH_TIME);
         self.callers.stop(false);
-        self.small_ports.stop(false);
+        self.auxiliary_ports.stop(false);
         let _ = self.shared.drain.send(true);
         self.shared.stop.store(true, Ordering::Relaxed);
         self.shared.inbox.send_blocking(ShellInput::Stop);
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -1,7 +1,8 @@
-//! The decision thread: feeds the decision logic from its ring and carries out its commands.
+//! The decision thread: passes inputs from its ring to the engine and executes the commands that
+//! the engine returns.
 //!
 //! ```text
-//!  callers, work, log, gossip, operators ──ring──▶ DecisionShell ──▶ NodeEngine
+//!  callers, work, log, gossip, operators ──ring──▶ DecisionLoop ───▶ NodeEngine
 //!       ▲                                              │ commands
 //!       └──────────────────────────────────────────────┘
 //! ```
@@ -23,82 +24,82 @@
 
 use crate::callers::CallerCommand;
 use crate::inbox::ShellInput;
-use crate::log_thread::LogOrder;
+use crate::log_thread::LogCommand;
 use crate::metrics::NodeTelemetry;
 use crate::notes::NoteKeeper;
 use crate::operators::answer_query;
 use crate::ring::RingReceiver;
-use crate::work::{BackendDirectory, LoadBoard, PeerOrder, WorkCommand};
+use crate::work::{BackendDirectory, LoadBoard, OutboundMessage, WorkCommand};
 
-/// Items taken from the ring between two looks at the clock.
-const BATCH: usize = 64;
-/// Longest sleep of the thread.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+/// Inputs handled between two checks of the engine's timers.
+const MAX_BATCH: usize = 64;
+/// Longest wait for an input.
+const MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// Where the decision thread's commands go.
+/// Channels, sockets and shared state that the decision thread writes to.
 #[derive(Debug)]
-pub struct ShellPorts {
-    /// Messages to peers.
-    pub messages: mpsc::Sender<PeerOrder>,
-    /// Appends to the log.
-    pub appends: mpsc::Sender<LogOrder>,
-    /// Datagrams to peers.
+pub struct DecisionOutputs {
+    /// Messages to peers, sent by the work thread.
+    pub messages: mpsc::Sender<OutboundMessage>,
+    /// Commands to the thread that reads and appends to the platform's log.
+    pub log_commands: mpsc::Sender<LogCommand>,
+    /// Socket for gossip datagrams to peers.
     pub gossip: UdpSocket,
-    /// Keys that seal datagrams.
+    /// Keys that authenticate datagrams.
     pub keys: Arc<FleetKeys>,
-    /// Loads, for replies.
+    /// Current load of each backend server, attached to replies to peers.
     pub loads: LoadBoard,
-    /// Where the backend servers listen.
+    /// Addresses of this node's backend servers.
     pub directory: BackendDirectory,
-    /// Set when everything is handed over or finished.
+    /// Set when a drain is complete: all work is handed over or finished.
     pub drained: Arc<AtomicBool>,
-    /// Set while requests can be served.
+    /// Set while the node can serve requests.
     pub ready: Arc<AtomicBool>,
     /// Events and metrics.
     pub telemetry: NodeTelemetry,
 }
 
-/// The decision logic with everything around it.
-pub struct DecisionShell {
+/// Event loop that runs the engine and executes its commands.
+pub struct DecisionLoop {
     engine: NodeEngine,
     clock: Arc<dyn NodeClock>,
     inbox: RingReceiver<ShellInput>,
-    ports: ShellPorts,
+    outputs: DecisionOutputs,
     notes: NoteKeeper,
     gossip_bytes: MetricCounter,
     callers: BTreeMap<RequestId, mpsc::Sender<CallerCommand>>,
-    works: BTreeMap<WorkId, WorkPort>,
+    works: BTreeMap<WorkId, WorkChannel>,
     commands: Vec<NodeCommand>,
 }
 
 #[derive(Debug)]
-struct WorkPort {
+struct WorkChannel {
     slot: u16,
     port: mpsc::Sender<WorkCommand>,
 }
 
-impl DecisionShell {
-    /// Puts the parts together.
+impl DecisionLoop {
+    /// Creates a loop that has not started.
     #[must_use]
     pub fn new(
         engine: NodeEngine,
         clock: Arc<dyn NodeClock>,
         inbox: RingReceiver<ShellInput>,
-        ports: ShellPorts,
+        outputs: DecisionOutputs,
     ) -> Self {
         let notes = NoteKeeper::new(
             engine.own_instance(),
             clock.wall().saturating_sub(clock.now()),
-            &ports.telemetry,
+            &outputs.telemetry,
         );
         let gossip = MetricTags::new().with("kind", "gossip");
-        let registry = &ports.telemetry.registry;
+        let registry = &outputs.telemetry.registry;
         let gossip_bytes = registry.counter(MetricName::ControlBytesSent, &gossip);
         Self {
             engine,
             clock,
             inbox,
-            ports,
+            outputs,
             notes,
             gossip_bytes,
             callers: BTreeMap::new(),
@@ -107,42 +108,42 @@
         }
     }
 
-    /// Runs until told to stop.
+    /// Runs until it receives [`ShellInput::Stop`].
     pub fn run(mut self) {
         loop {
-            let mut taken = 0;
-            while taken < BATCH {
+            let mut handled = 0;
+            while handled < MAX_BATCH {
                 let Some(input) = self.inbox.try_recv() else {
                     break;
                 };
-                taken += 1;
-                if !self.take(input) {
+                handled += 1;
+                if !self.handle_input(input) {
                     return;
                 }
             }
             let now = self.clock.now();
             if self.engine.next_wake() <= now {
-                self.feed(NodeEvent::Tick);
+                self.handle_event(NodeEvent::Tick);
             }
             self.notes.tick(now, &self.engine);
-            if taken == 0 {
+            if handled == 0 {
                 let wait = self.engine.next_wake().saturating_sub(self.clock.now());
-                self.inbox.wait(wait.min(LONGEST_WAIT));
+                self.inbox.wait(wait.min(MAX_WAIT));
             }
         }
     }
 
-    fn take(&mut self, input: ShellInput) -> bool {
+    fn handle_input(&mut self, input: ShellInput) -> bool {
         match input {
-            ShellInput::Event(event) => self.feed(event),
+            ShellInput::Event(event) => self.handle_event(event),
             ShellInput::Request(caller, port) => {
                 self.callers.insert(caller.id, port);
-                self.feed(NodeEvent::RequestArrived(caller));
+                self.handle_event(NodeEvent::RequestArrived(caller));
             }
-            ShellInput::Offer(offer, port) => self.take_offer(offer, port),
+            ShellInput::Offer(offer, port) => self.on_work_offer(offer, port),
             ShellInput::Query(query, reply) => {
                 let now = self.clock.now();
-                let directory = &self.ports.directory;
+                let directory = &self.outputs.directory;
                 let answer = answer_query(&self.engine, &self.notes, directory, now, &query);
                 let _ = reply.send(Arc::new(answer));
             }
@@ -151,14 +152,14 @@
         true
     }
 
-    fn take_offer(&mut self, offer: WorkOffer, port: mpsc::Sender<WorkCommand>) {
+    fn on_work_offer(&mut self, offer: WorkOffer, port: mpsc::Sender<WorkCommand>) {
         let slot = offer.slot;
-        self.works.insert(offer.work, WorkPort { slot, port });
-        self.feed(NodeEvent::WorkOffered(offer));
+        self.works.insert(offer.work, WorkChannel { slot, port });
+        self.handle_event(NodeEvent::WorkOffered(offer));
         self.publish_load(slot);
     }
 
-    fn feed(&mut self, event: NodeEvent) {
+    fn handle_event(&mut self, event: NodeEvent) {
         let ended = match &event {
             NodeEvent::WorkEnded(report) if report.end == WorkEnd::Crashed => None,
             NodeEvent::WorkEnded(report) => Some(report.work),
@@ -169,93 +170,93 @@
         let mut commands = std::mem::take(&mut self.commands);
         self.engine.handle(now, event, &mut commands);
         for command in commands.drain(..) {
-            self.obey(now, command);
+            self.execute(now, command);
         }
         self.commands = commands;
         if let Some(port) = ended.and_then(|work| self.works.remove(&work)) {
             self.publish_load(port.slot);
         }
-        self.ports
+        self.outputs
             .ready
             .store(self.engine.is_ready(), Ordering::Relaxed);
     }
 
     fn publish_load(&self, slot: u16) {
-        self.ports.loads.set(slot, self.engine.load_of(slot));
+        self.outputs.loads.set(slot, self.engine.load_of(slot));
     }
 
-    fn obey(&mut self, now: Duration, command: NodeCommand) {
+    fn execute(&mut self, now: Duration, command: NodeCommand) {
         match command {
             NodeCommand::Refuse { request, refusal } => {
-                self.tell_caller(request, CallerCommand::Refuse(refusal));
+                self.send_to_caller(request, CallerCommand::Refuse(refusal));
             }
             NodeCommand::ReadBody { request, limit } => {
-                self.tell_caller(request, CallerCommand::ReadBody(limit));
+                self.send_to_caller(request, CallerCommand::ReadBody(limit));
             }
             NodeCommand::Dispatch(order) => {
                 let request = order.attempt.request;
-                self.tell_caller(request, CallerCommand::Dispatch(order));
+                self.send_to_caller(request, CallerCommand::Dispatch(order));
             }
             NodeCommand::CancelAttempt { attempt } => {
-                self.tell_caller(attempt.request, CallerCommand::Cancel(attempt.number));
+                self.send_to_caller(attempt.request, CallerCommand::Cancel(attempt.number));
             }
             NodeCommand::Deliver { attempt } => {
-                self.tell_caller(attempt.request, CallerCommand::Deliver(attempt.number));
+                self.send_to_caller(attempt.request, CallerCommand::Deliver(attempt.number));
             }
             NodeCommand::AnswerKept { request, reply } => {
-                self.tell_caller(request, CallerCommand::Kept(reply));
+                self.send_to_caller(request, CallerCommand::Replay(reply));
             }
             NodeCommand::AnswerGone { request } => {
-                self.tell_caller(request, CallerCommand::Gone);
+                self.send_to_caller(request, CallerCommand::ReplyUnavailable);
             }
-            NodeCommand::RunWork { work, life } => self.tell_work(work, WorkCommand::Run(life)),
+            NodeCommand::RunWork { work, life } => self.send_to_work(work, WorkCommand::Run(life)),
             NodeCommand::RefuseWork {
                 work,
                 refusal,
                 load,
             } => {
-                self.tell_work(work, WorkCommand::Refuse(refusal, load));
+                self.send_to_work(work, WorkCommand::Refuse(refusal, load));
                 self.works.remove(&work);
             }
-            NodeCommand::ReleaseWork { work } => self.release(work),
-            NodeCommand::CancelWork { work } => self.tell_work(work, WorkCommand::Cancel),
+            NodeCommand::ReleaseWork { work } => self.release_work(work),
+            NodeCommand::CancelWork { work } => self.send_to_work(work, WorkCommand::Cancel),
             NodeCommand::SendPeer {
                 to,
                 address,
                 message,
             } => {
-                let order = PeerOrder {
+                let outbound = OutboundMessage {
                     to,
                     address,
                     message,
                 };
-                if self.ports.messages.try_send(order).is_err() {
-                    self.ports.telemetry.ring_full("messages");
+                if self.outputs.messages.try_send(outbound).is_err() {
+                    self.outputs.telemetry.ring_full("messages");
                 }
             }
             NodeCommand::SendDatagram { to, message } => self.send_datagram(to, &message),
             NodeCommand::AppendGuard { bytes } => {
-                self.order(LogOrder::Append {
+                self.send_log(LogCommand::Append {
                     stream: LogStream::Guard,
                     bytes,
                 });
             }
             NodeCommand::AppendContract { bytes } => {
-                self.order(LogOrder::Append {
+                self.send_log(LogCommand::Append {
                     stream: LogStream::Contracts,
                     bytes,
                 });
             }
-            NodeCommand::ReadContract { offset } => self.order(LogOrder::ReadBack { offset }),
-            NodeCommand::RereadContracts => self.order(LogOrder::Reread),
-            NodeCommand::FollowSource { follow } => self.order(LogOrder::Follow { follow }),
-            NodeCommand::FindMembers => self.order(LogOrder::FindMembers),
+            NodeCommand::ReadContract { offset } => self.send_log(LogCommand::ReadBack { offset }),
+            NodeCommand::RereadContracts => self.send_log(LogCommand::Reread),
+            NodeCommand::FollowSource { follow } => self.send_log(LogCommand::Follow { follow }),
+            NodeCommand::FindMembers => self.send_log(LogCommand::FindMembers),
             NodeCommand::RecordIncarnation(incarnation) => {
                 let incarnation = incarnation.0;
-                self.order(LogOrder::RecordIncarnation { incarnation });
+                self.send_log(LogCommand::RecordIncarnation { incarnation });
             }
             NodeCommand::ContractsChanged => self.notes.refresh_objectives(self.engine.table()),
-            NodeCommand::Drained => self.ports.drained.store(true, Ordering::Release),
+            NodeCommand::Drained => self.outputs.drained.store(true, Ordering::Release),
             NodeCommand::Note(note) => {
                 if let Some(request) = self.notes.take(now, &note) {
                     self.callers.remove(&request);
@@ -264,39 +265,39 @@
         }
     }
 
-    fn tell_caller(&self, request: RequestId, command: CallerCommand) {
+    fn send_to_caller(&self, request: RequestId, command: CallerCommand) {
         if let Some(port) = self.callers.get(&request) {
             let _ = port.try_send(command);
         }
     }
 
-    fn tell_work(&self, work: WorkId, command: WorkCommand) {
+    fn send_to_work(&self, work: WorkId, command: WorkCommand) {
         if let Some(port) = self.works.get(&work) {
             let _ = port.port.try_send(command);
         }
     }
 
-    /// The last command for work that crashed its backend server.
-    fn release(&mut self, work: WorkId) {
-        self.tell_work(work, WorkCommand::Release);
+    /// Sends the last command to work whose backend server crashed, and forgets the work.
+    fn release_work(&mut self, work: WorkId) {
+        self.send_to_work(work, WorkCommand::Release);
         if let Some(port) = self.works.remove(&work) {
             self.publish_load(port.slot);
         }
     }
 
     fn send_datagram(&self, to: std::net::SocketAddr, message: &RosterMessage) {
-        match encode_datagram(&self.ports.keys, message) {
+        match encode_datagram(&self.outputs.keys, message) {
             Ok(bytes) => {
                 self.gossip_bytes.add(bytes.len() as u64);
-                let _ = self.ports.gossip.send_to(&bytes, to);
+                let _ = self.outputs.gossip.send_to(&bytes, to);
             }
-            Err(error) => tracing::debug!(%to, %error, "a datagram could not be encoded"),
+            Err(error) => tracing::debug!(%to, %error, "failed to encode a datagram"),
         }
     }
 
-    fn order(&self, order: LogOrder) {
-        if self.ports.appends.try_send(order).is_err() {
-            self.ports.telemetry.ring_full("appends");
+    fn send_log(&self, command: LogCommand) {
+        if self.outputs.log_commands.try_send(command).is_err() {
+            self.outputs.telemetry.ring_full("appends");
         }
     }
 }
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip thread: receives datagrams from peers.
+//! The gossip thread: receives gossip datagrams from peers.
 
 use std::io;
 use std::net::UdpSocket;
@@ -17,14 +17,14 @@
 use crate::metrics::NodeTelemetry;
 use crate::ring::RingSender;
 
-/// How long one receive waits before the stop flag is looked at.
-const RECEIVE_WAIT: Duration = Duration::from_millis(100);
+/// Socket read timeout, which bounds the delay until the thread notices the stop flag.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Starts the thread; it ends soon after the flag is set.
+/// Starts the thread. The thread ends within [`RECEIVE_TIMEOUT`] after `stop` is set.
 ///
 /// # Errors
 ///
-/// When the thread cannot be started.
+/// Returns an error when the thread cannot be started.
 pub fn start_gossip(
     socket: UdpSocket,
     keys: Arc<FleetKeys>,
@@ -33,7 +33,7 @@
     stop: Arc<AtomicBool>,
 ) -> anyhow::Result<JoinHandle<()>> {
     socket
-        .set_read_timeout(Some(RECEIVE_WAIT))
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
         .context("cannot set the gossip socket's timeout")?;
     thread::Builder::new()
         .name("gossip".to_owned())
@@ -67,16 +67,16 @@
                     telemetry.events.emit(EventCode::DatagramRefused, &fields);
                 }
             },
-            Err(error) if is_wait(&error) => {}
+            Err(error) if is_transient(&error) => {}
             Err(error) => {
-                tracing::debug!(%error, "receiving a datagram failed");
-                thread::sleep(RECEIVE_WAIT);
+                tracing::debug!(%error, "failed to receive a datagram");
+                thread::sleep(RECEIVE_TIMEOUT);
             }
         }
     }
 }
 
-fn is_wait(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut | io::ErrorKind::Interrupted
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers by `xitca`, each with a few threads for all of its ports.
+//! HTTP servers built on `xitca`, each with a few threads for all of its ports.
 
 use std::future::Future;
 use std::thread::{self, JoinHandle};
@@ -14,28 +14,28 @@
 use xitca_web::http::WebRequest;
 use xitca_web::service::{ServiceExt, fn_service};
 
-/// Longest time for a request's head to arrive.
+/// Longest time to receive a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for a kept connection to stay idle.
+/// Longest idle time of a keep-alive connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// Greatest head of a request, in bytes; a larger one gets status 431.
+/// Largest request head in bytes; a larger one is rejected with status 431.
 const HEAD_LIMIT: usize = 32 << 10;
-/// Greatest count of header fields in a request.
-const HEADER_COUNT: usize = 64;
-/// Bytes of answers that are collected before they are sent.
-const WRITE_LIMIT: usize = 65_535;
+/// Largest number of header fields in a request.
+const HEADER_COUNT_LIMIT: usize = 64;
+/// Size of the write buffer of a connection, in bytes.
+const WRITE_BUFFER_LIMIT: usize = 65_535;
 
 type StopSwitch = Box<dyn Fn(bool) + Send>;
 
-/// A server that has not started. Each server has threads of its own, so ports that need not be answered apart
-/// share one.
+/// Builder of an HTTP server. Each server has its own threads, so ports that need no isolation from
+/// each other share one.
 pub struct PortServer {
     builder: Builder,
 }
 
 impl PortServer {
-    /// A server without ports. The library's default of one worker for each core is too much for a small
-    /// instance, so the count is always given.
+    /// Creates a builder without ports. The count of workers is explicit because the library's
+    /// default of one per core is too much for a small instance.
     #[must_use]
     pub fn new(workers: usize) -> Self {
         let builder = Builder::new()
@@ -46,7 +46,7 @@
         Self { builder }
     }
 
-    /// Serves a bound listener too.
+    /// Adds a bound listener whose requests `answer` handles.
     #[must_use]
     pub fn port<L, F, Fut>(self, name: &str, listener: L, answer: F) -> Self
     where
@@ -62,19 +62,19 @@
             .request_head_timeout(HEAD_TIMEOUT)
             .keep_alive_timeout(IDLE_TIMEOUT)
             .max_read_buf_size::<HEAD_LIMIT>()
-            .max_write_buf_size::<WRITE_LIMIT>()
-            .max_request_headers::<HEADER_COUNT>();
+            .max_write_buf_size::<WRITE_BUFFER_LIMIT>()
+            .max_request_headers::<HEADER_COUNT_LIMIT>();
         let service = service.enclosed(HttpServiceBuilder::with_config(config));
         Self {
             builder: self.builder.listen(name, listener, service),
         }
     }
 
-    /// Starts the threads.
+    /// Starts the server's threads.
     ///
     /// # Errors
     ///
-    /// When they cannot be started.
+    /// Returns an error when a thread cannot be started.
     pub fn start(self, name: &str) -> anyhow::Result<HttpPorts> {
         let mut server = self.builder.build();
         let handle = server
@@ -93,7 +93,7 @@
     }
 }
 
-/// The ports of a running server.
+/// Handle to a running server.
 pub struct HttpPorts {
     thread: JoinHandle<()>,
     stop: StopSwitch,
@@ -106,7 +106,7 @@
 }
 
 impl HttpPorts {
-    /// Stops the server; with `graceful`, exchanges in flight are finished first.
+    /// Stops the server and joins its thread; with `graceful`, requests in flight complete first.
     pub fn stop(self, graceful: bool) {
         (self.stop)(graceful);
         let _ = self.thread.join();
--- a/crates/daemon/src/inbox.rs
+++ b/crates/daemon/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the other threads put into the decision thread's ring.
+//! Input queue of the decision thread.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use crate::operators::OperatorQuery;
 use crate::work::WorkCommand;
 
-/// One item for the decision thread.
+/// One input of the decision thread.
 #[derive(Debug)]
 pub enum ShellInput {
-    /// An event without an answer of its own.
+    /// An event that expects no direct reply.
     Event(NodeEvent),
-    /// A caller's request, and where its commands go.
+    /// A caller's request, and the channel for commands to its exchange.
     Request(CallerRequest, mpsc::Sender<CallerCommand>),
-    /// Offered work, and where its commands go.
+    /// Offered work, and the channel for commands to its executor task.
     Offer(WorkOffer, mpsc::Sender<WorkCommand>),
-    /// A question or an instruction from the operators' port.
+    /// A query or an instruction from the operators' port, and the channel for its reply.
     Query(OperatorQuery, oneshot::Sender<Arc<serde_json::Value>>),
-    /// Stop at once.
+    /// Stops the decision thread without draining.
     Stop,
 }
 
-/// Items that may wait for the decision thread.
+/// Capacity of the decision thread's ring, in items.
 pub const INBOX_DEPTH: usize = 16 * 1024;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: threads, rings and sockets around the decision logic.
+//! The daemon process: threads, bounded queues and sockets around the decision logic.
 //!
 //! ```text
 //!  callers ──▶ callers thread ─┐            ┌─▶ work thread ──▶ backend servers, peers
@@ -8,12 +8,13 @@
 //!  log ──────▶ log thread ─────┘            └─▶ log thread ──▶ appends
 //! ```
 //!
-//! Each thread has one duty and they are joined by bounded rings. All decisions are taken by
-//! [`sycamorelink_engine::NodeEngine`] on the decision thread; everything else carries bytes.
+//! Each thread has one responsibility, and bounded rings connect them. The decision thread runs
+//! [`sycamorelink_engine::NodeEngine`], which makes every decision; the other threads only do I/O.
 
 pub mod border;
 mod callers;
 mod daemon;
+mod decision_loop;
 mod gossip;
 mod http_server;
 mod inbox;
@@ -28,10 +29,9 @@
 mod ready;
 mod ring;
 pub mod settings;
-mod shell;
 mod sockets;
 mod source_thread;
-mod starting;
+mod startup;
 mod work;
 
 pub use callers::{declared_body, is_hop_header, plain_head_answer, target_of};
--- a/crates/daemon/src/log_thread.rs
+++ b/crates/daemon/src/log_thread.rs
@@ -1,4 +1,4 @@
-//! The log thread: follows this fleet's streams of the platform's log and appends to them.
+//! The log thread: reads this fleet's streams of the platform's log and appends to them.
 
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
@@ -20,79 +20,79 @@
 use crate::metrics::NodeTelemetry;
 use crate::ring::RingSender;
 
-/// Appends that may wait.
-pub const APPEND_DEPTH: usize = 256;
-/// Appends a second that this node may make of its own accord. All nodes share several hundred.
+/// Capacity of the command channel.
+pub const COMMAND_DEPTH: usize = 256;
+/// Appends per second that this node may make. All nodes together share several hundred.
 const APPENDS_PER_SECOND: f64 = 2.0;
-/// Appends that may come at once.
+/// Largest burst of appends.
 const APPEND_BURST: u32 = 16;
-/// An append that takes this long is told as slow: many times what a log in health takes.
-const SLOW_APPEND: Duration = Duration::from_secs(1);
-/// Ending of the guard stream's name.
+/// Duration from which an append is reported as slow: many times that of a healthy log.
+const SLOW_APPEND_TIME: Duration = Duration::from_secs(1);
+/// Suffix that turns the name of the contract stream into that of the guard stream.
 const GUARD_SUFFIX: &str = "-guard";
 
-/// What the decision thread wants of the log.
+/// Command from the decision thread to the log thread or the source thread.
 #[derive(Debug)]
-pub enum LogOrder {
-    /// Append a record.
+pub enum LogCommand {
+    /// Appends a record.
     Append {
-        /// To which stream.
+        /// Stream to append to.
         stream: LogStream,
-        /// The record.
+        /// Encoded record.
         bytes: Vec<u8>,
     },
-    /// Read one record of the contract stream.
+    /// Reads one record of the contract stream.
     ReadBack {
-        /// Its offset.
+        /// Offset of the record.
         offset: u64,
     },
-    /// Follow the contract stream again from its oldest record.
+    /// Restarts reading the contract stream from its oldest record.
     Reread,
-    /// Begin to follow the source of the fleet contract, or cease to.
+    /// Starts or stops following the source of the fleet contract.
     Follow {
-        /// Whether to follow it.
+        /// Whether to follow the source.
         follow: bool,
     },
-    /// Look for other nodes.
+    /// Searches for other nodes in the member directory.
     FindMembers,
-    /// Leave an incarnation for the next life of this node to begin above.
+    /// Writes the incarnation that this node's next start must exceed.
     RecordIncarnation {
-        /// The incarnation.
+        /// Incarnation to write.
         incarnation: u64,
     },
 }
 
-/// What the log thread is started with.
+/// Arguments of [`start_log`].
 pub struct LogParts {
-    /// The log.
+    /// Client of the platform's log.
     pub client: Arc<dyn LogClient>,
     /// Name of the stream of contract changes.
     pub stream: Arc<str>,
-    /// Time.
+    /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Spreads the nodes' tries.
+    /// Seed of the randomized delays, different for each node.
     pub seed: u64,
-    /// Events and metrics.
+    /// Event log and metrics.
     pub telemetry: NodeTelemetry,
 }
 
-/// Starts the thread; it ends when the sender of orders is dropped.
+/// Starts the thread. The thread ends when the returned sender of commands is dropped.
 ///
 /// # Errors
 ///
-/// When the thread cannot be started.
-pub fn start_log(parts: LogParts) -> anyhow::Result<(mpsc::Sender<LogOrder>, JoinHandle<()>)> {
-    let (sender, orders) = mpsc::channel(APPEND_DEPTH);
+/// Returns an error when the thread cannot be started.
+pub fn start_log(parts: LogParts) -> anyhow::Result<(mpsc::Sender<LogCommand>, JoinHandle<()>)> {
+    let (sender, commands) = mpsc::channel(COMMAND_DEPTH);
     let thread = thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || run_thread(&Arc::new(parts), orders))
+        .spawn(move || run_thread(&Arc::new(parts), commands))
         .context("cannot start the log thread")?;
     Ok((sender, thread))
 }
 
-fn run_thread(parts: &Arc<LogParts>, orders: mpsc::Receiver<LogOrder>) {
+fn run_thread(parts: &Arc<LogParts>, commands: mpsc::Receiver<LogCommand>) {
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -103,26 +103,26 @@
         let rereads = watch::Sender::new(0);
         for stream in [LogStream::Contracts, LogStream::Guard] {
             let reread = rereads.subscribe();
-            tokio::task::spawn_local(follow(Arc::clone(parts), stream, reread));
+            tokio::task::spawn_local(follow_stream(Arc::clone(parts), stream, reread));
         }
-        carry_out(parts, orders, rereads).await;
+        run_commands(parts, commands, rereads).await;
     });
 }
 
-fn name_of(parts: &LogParts, stream: LogStream) -> String {
+fn stream_name(parts: &LogParts, stream: LogStream) -> String {
     match stream {
         LogStream::Contracts => parts.stream.to_string(),
         LogStream::Guard => format!("{}{GUARD_SUFFIX}", parts.stream),
     }
 }
 
-async fn follow(parts: Arc<LogParts>, stream: LogStream, mut reread: watch::Receiver<u32>) {
-    let name = name_of(&parts, stream);
+async fn follow_stream(parts: Arc<LogParts>, stream: LogStream, mut reread: watch::Receiver<u32>) {
+    let name = stream_name(&parts, stream);
     let mut follower = LogFollower::new(FollowSettings::default(), 0, parts.seed);
-    let mut place = FollowPlace {
+    let mut state = FollowState {
         stream,
-        whole: true,
-        told_current: false,
+        complete: true,
+        reported_current: false,
     };
     loop {
         if stream == LogStream::Contracts && reread.has_changed().unwrap_or(false) {
@@ -131,10 +131,10 @@
         }
         match follower.step(parts.clock.now()) {
             FollowStep::Read(range) => match parts.client.read(&name, range).await {
-                Ok(page) => place.on_page(&parts, &mut follower, page).await,
+                Ok(page) => state.on_page(&parts, &mut follower, page).await,
                 Err(error) => {
                     let event = follower.error(parts.clock.now(), error);
-                    place.on_event(&parts, event, (0, 0)).await;
+                    state.on_event(&parts, event, (0, 0)).await;
                 }
             },
             FollowStep::Wait { until } => {
@@ -145,14 +145,14 @@
     }
 }
 
-/// How far one stream was followed.
-struct FollowPlace {
+/// Progress of reading one stream.
+struct FollowState {
     stream: LogStream,
-    whole: bool,
-    told_current: bool,
+    complete: bool,
+    reported_current: bool,
 }
 
-impl FollowPlace {
+impl FollowState {
     async fn on_page(&mut self, parts: &LogParts, follower: &mut LogFollower, page: LogPage) {
         let bounds = (page.first, page.next);
         let event = follower.page(parts.clock.now(), page);
@@ -163,7 +163,7 @@
         let stream = self.stream;
         match event {
             FollowEvent::Records { records, at_end } => {
-                tell(parts, NodeEvent::LogReachable(true)).await;
+                send_event(parts, NodeEvent::LogReachable(true)).await;
                 let records = records
                     .into_iter()
                     .map(|record| LogEntry {
@@ -171,7 +171,7 @@
                         bytes: Arc::from(record.data.as_ref()),
                     })
                     .collect();
-                tell(
+                send_event(
                     parts,
                     NodeEvent::LogRead {
                         stream,
@@ -181,73 +181,76 @@
                     },
                 )
                 .await;
-                if at_end && !self.told_current {
-                    self.told_current = true;
-                    let whole = self.whole;
-                    tell(parts, NodeEvent::LogCurrent { stream, whole }).await;
+                if at_end && !self.reported_current {
+                    self.reported_current = true;
+                    let whole = self.complete;
+                    send_event(parts, NodeEvent::LogCurrent { stream, whole }).await;
                 }
             }
             FollowEvent::Gap { from, first } => {
-                self.whole = false;
-                let stream_name = name_of(parts, stream);
+                self.complete = false;
+                let stream_name = stream_name(parts, stream);
                 let fields = EventFields::new().offset(&from).limit(&first);
                 let fields = fields.reason(&stream_name);
                 parts.telemetry.events.emit(EventCode::LogTrimmed, &fields);
-                tell(parts, NodeEvent::LogGap { stream, first }).await;
+                send_event(parts, NodeEvent::LogGap { stream, first }).await;
             }
             FollowEvent::Rewound { expected, next } => {
-                let stream_name = name_of(parts, stream);
+                let stream_name = stream_name(parts, stream);
                 let fields = EventFields::new().offset(&next).limit(&expected);
                 let fields = fields.reason(&stream_name);
                 parts
                     .telemetry
                     .events
                     .emit(EventCode::LogTruncated, &fields);
-                tell(parts, NodeEvent::LogReachable(false)).await;
+                send_event(parts, NodeEvent::LogReachable(false)).await;
             }
             FollowEvent::Outage { .. } => {
-                self.told_current = false;
-                tell(parts, NodeEvent::LogReachable(false)).await;
+                self.reported_current = false;
+                send_event(parts, NodeEvent::LogReachable(false)).await;
             }
         }
     }
 }
 
-async fn tell(parts: &LogParts, event: NodeEvent) {
+async fn send_event(parts: &LogParts, event: NodeEvent) {
     parts.inbox.send(ShellInput::Event(event)).await;
 }
 
-async fn carry_out(
+async fn run_commands(
     parts: &LogParts,
-    mut orders: mpsc::Receiver<LogOrder>,
+    mut commands: mpsc::Receiver<LogCommand>,
     rereads: watch::Sender<u32>,
 ) {
     let mut budget = AppendBudget::new(APPENDS_PER_SECOND, APPEND_BURST);
-    while let Some(order) = orders.recv().await {
-        match order {
-            LogOrder::Append { stream, bytes } => {
-                let purpose = purpose_of(stream);
+    while let Some(command) = commands.recv().await {
+        match command {
+            LogCommand::Append { stream, bytes } => {
+                let purpose = append_purpose(stream);
                 let clock = parts.clock.as_ref();
-                if await_budget(&mut budget, clock, purpose, || orders.is_closed()).await {
+                if await_budget(&mut budget, clock, purpose, || commands.is_closed()).await {
                     append(parts, stream, Bytes::from(bytes)).await;
                 }
             }
-            LogOrder::ReadBack { offset } => read_back(parts, offset).await,
-            LogOrder::Reread => rereads.send_modify(|count| *count += 1),
-            LogOrder::Follow { follow } => {
-                tracing::debug!(follow, "the log of contracts has no source to follow");
+            LogCommand::ReadBack { offset } => read_back(parts, offset).await,
+            LogCommand::Reread => rereads.send_modify(|count| *count += 1),
+            LogCommand::Follow { follow } => {
+                tracing::debug!(
+                    follow,
+                    "ignored a command to follow a contract source: contracts come from the log"
+                );
             }
-            order @ (LogOrder::FindMembers | LogOrder::RecordIncarnation { .. }) => {
+            command @ (LogCommand::FindMembers | LogCommand::RecordIncarnation { .. }) => {
                 tracing::debug!(
-                    ?order,
-                    "daemons that read chains of contracts have no directory"
+                    ?command,
+                    "ignored a member directory command: contracts come from the log"
                 );
             }
         }
     }
 }
 
-const fn purpose_of(stream: LogStream) -> AppendPurpose {
+const fn append_purpose(stream: LogStream) -> AppendPurpose {
     match stream {
         LogStream::Contracts => AppendPurpose::CarryForward,
         LogStream::Guard => AppendPurpose::RosterChange,
@@ -255,21 +258,22 @@
 }
 
 async fn append(parts: &LogParts, stream: LogStream, bytes: Bytes) {
-    let name = name_of(parts, stream);
-    let begun = parts.clock.now();
+    let name = stream_name(parts, stream);
+    let started = parts.clock.now();
     let appended = parts.client.append(&name, bytes).await;
-    let took = parts.clock.now().saturating_sub(begun);
-    report_append(parts, took, appended.err().as_ref());
+    let elapsed = parts.clock.now().saturating_sub(started);
+    report_append(parts, elapsed, appended.err().as_ref());
 }
 
-/// A record that cannot be read is asked for again when it is next due.
+/// Reads one contract record. A failed read is not retried here: the engine requests the record
+/// again when it is next due.
 async fn read_back(parts: &LogParts, offset: u64) {
     let range = ReadRange {
         from: offset,
         max: 1,
         wait: Duration::ZERO,
     };
-    let name = name_of(parts, LogStream::Contracts);
+    let name = stream_name(parts, LogStream::Contracts);
     let Ok(page) = parts.client.read(&name, range).await else {
         return;
     };
@@ -279,16 +283,16 @@
         .filter(|record| record.offset == offset)
     {
         let bytes = Arc::from(record.data.as_ref());
-        tell(parts, NodeEvent::ContractReadBack { offset, bytes }).await;
+        send_event(parts, NodeEvent::ContractReadBack { offset, bytes }).await;
     }
 }
 
-/// Counts an append and tells what went wrong. A failed one is made again when it is due.
-fn report_append(parts: &LogParts, took: Duration, error: Option<&LogError>) {
+/// Records the metrics and events of an append. The engine retries a failed append when it is due.
+fn report_append(parts: &LogParts, elapsed: Duration, error: Option<&LogError>) {
     let telemetry = &parts.telemetry;
-    let timer = MetricTags::new();
-    let timer = telemetry.registry.timer(MetricName::LogLatency, &timer);
-    timer.record(took);
+    let tags = MetricTags::new();
+    let timer = telemetry.registry.timer(MetricName::LogLatency, &tags);
+    timer.record(elapsed);
     let (result, code) = match error {
         None => ("taken", None),
         Some(LogError::Uncertain { .. }) => ("uncertain", Some(EventCode::AppendUncertain)),
@@ -308,8 +312,8 @@
             .events
             .emit(code, &EventFields::new().reason(error));
     }
-    if took >= SLOW_APPEND {
-        let millis = took.as_millis();
+    if elapsed >= SLOW_APPEND_TIME {
+        let millis = elapsed.as_millis();
         let fields = EventFields::new();
         let duration = format!("{millis}ms");
         telemetry
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -1,8 +1,9 @@
-//! How this node finds others and is found, by a directory that only some nodes are listed in.
+//! Discovery of other nodes through a member directory that lists only some of the fleet.
 //!
-//! Every node reads the directory once when it starts. A node writes an entry by chance, the seldomer
-//! the more entries it found, so that the directory grows with the square root of the fleet; and the
-//! nodes that follow the source of contracts always have one, so that a lost entry is replaced.
+//! Every node reads the directory once when it starts. A node writes its entry with a probability
+//! that falls with the number of entries it found, so the directory grows with the square root of
+//! the fleet. Nodes that follow the source of contracts always write an entry, which replaces
+//! entries that were lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,126 +21,131 @@
 use crate::inbox::ShellInput;
 use crate::ring::RingSender;
 
-/// Pauses while the directory refuses or cannot be reached. The whole fleet calls one service that
-/// bounds its calls: a call of each node about every half second is a hundredth of its bound.
+/// Backoff while the directory rejects calls or is unreachable. The whole fleet calls one
+/// rate-limited service: one call per node about every half second is a hundredth of its limit.
 pub const DIRECTORY_BACKOFF: BackoffSettings = BackoffSettings {
     least: Duration::from_millis(150),
     greatest: Duration::from_secs(2),
     share: 0.2,
 };
-/// Entries that are always written, and the weight of chance beyond: among `n` nodes the directory grows
-/// to the square root of twice this times `n`.
+/// Number of entries below which a node always writes its own, and weight of the probability above
+/// it: with `n` nodes the directory grows to `sqrt(2 * ENTRY_WEIGHT * n)` entries.
 const ENTRY_WEIGHT: f64 = 3.0;
-/// Entries found from which a node that wrote its own need not look again: of nodes that start together,
-/// one of these tells them of each other.
-const ENTRIES_KNOWN: usize = 3;
-/// Time over which the nodes of a fleet that starts for the first time spread their first look, so that
-/// the later ones find the entries of the earlier.
+/// Number of entries found from which a node that wrote its own skips the second read: through
+/// these nodes, nodes that start at the same time learn of each other.
+const SUFFICIENT_ENTRIES: usize = 3;
+/// Interval over which the nodes of a fleet that starts for the first time spread their first read,
+/// so that later nodes find the entries of earlier ones.
 const START_SPREAD: Duration = Duration::from_secs(1);
-/// Time over which nodes spread when the directory was restored from an older copy.
+/// Interval over which nodes spread their reads after the directory was restored from an older
+/// copy.
 const RESTORE_SPREAD: Duration = Duration::from_secs(1);
-/// How long a node follows the source of contracts before it writes an entry: while nodes join, some take
-/// themselves for followers that are not.
-const LIST_AFTER: Duration = Duration::from_secs(1);
-/// Chance that a node that found only nodes out of reach writes an entry at its first further look; four
-/// times as much at each later one, so that a fleet that lost all listed nodes does not write at once.
-const LONE_CHANCE: f64 = 1.0 / 64.0;
-/// See [`LONE_CHANCE`].
-const LONE_GROWTH: f64 = 4.0;
-/// Longest wait for the withdrawal of this node's entry when it leaves.
-const WITHDRAW_LIMIT: Duration = Duration::from_millis(200);
+/// Time that a node follows the source of contracts before it writes an entry. While nodes join,
+/// some follow the source for a short time although they are not among its followers.
+const LISTING_DELAY: Duration = Duration::from_secs(1);
+/// Probability that a node that reached no other node writes an entry at its first retry. Each
+/// retry multiplies the probability by [`ISOLATED_CHANCE_GROWTH`], so that a fleet whose listed
+/// nodes are all lost does not write all at once.
+const ISOLATED_CHANCE: f64 = 1.0 / 64.0;
+/// Growth factor of [`ISOLATED_CHANCE`] per retry.
+const ISOLATED_CHANCE_GROWTH: f64 = 4.0;
+/// Timeout for removing this node's entry when the node leaves.
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// When a node writes an entry.
+/// Randomized policy that decides when a node writes a directory entry.
 #[derive(Debug)]
 pub struct ListingPolicy {
     random: SmallRng,
-    lone_chance: f64,
+    isolated_chance: f64,
 }
 
 impl ListingPolicy {
-    /// The policy of one node.
+    /// Creates the policy of one node; `seed` makes its choices reproducible.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            lone_chance: LONE_CHANCE,
+            isolated_chance: ISOLATED_CHANCE,
         }
     }
 
-    /// Whether a node that found so many entries of others writes one at its start.
-    pub fn is_listed_beside(&mut self, others: usize) -> bool {
+    /// Returns whether a node that found `others` entries of other nodes writes its own entry when
+    /// it starts.
+    pub fn should_list_at_start(&mut self, others: usize) -> bool {
         let others = u32::try_from(others).unwrap_or(u32::MAX);
         let chance = ENTRY_WEIGHT / f64::from(others.max(1));
         self.random.random_bool(chance.min(1.0))
     }
 
-    /// Whether a node that has met nobody so far writes one.
-    pub fn is_listed_alone(&mut self) -> bool {
-        let chance = self.lone_chance.min(1.0);
-        self.lone_chance = chance * LONE_GROWTH;
+    /// Returns whether a node that has reached no other node writes an entry. The probability grows
+    /// with each call.
+    pub fn should_list_when_isolated(&mut self) -> bool {
+        let chance = self.isolated_chance.min(1.0);
+        self.isolated_chance = chance * ISOLATED_CHANCE_GROWTH;
         self.random.random_bool(chance)
     }
 
-    /// A moment within this time.
+    /// Returns a random delay below `over`.
     pub fn spread(&mut self, over: Duration) -> Duration {
         over.mul_f64(self.random.random())
     }
 }
 
-/// What the duty is started with.
+/// Arguments of [`MemberTask::new`].
 pub struct MemberParts {
-    /// The directory.
+    /// Directory that nodes write their addresses to.
     pub directory: Arc<dyn MemberDirectory>,
     /// This node's own entry.
     pub entry: MemberEntry,
-    /// Entries that were read before the start; none when they still are to be read.
-    pub earlier: Vec<MemberEntry>,
+    /// Entries that were read before the start; empty when the task has yet to read them.
+    pub entries: Vec<MemberEntry>,
     /// Whether the whole fleet starts for the first time.
     pub first_start: bool,
-    /// Time.
+    /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Spreads the nodes' tries.
+    /// Seed of the randomized delays, different for each node.
     pub seed: u64,
 }
 
-/// What other duties ask of this one.
+/// Requests from other tasks to [`MemberTask::run`].
 #[derive(Clone, Debug, Default)]
-pub struct MemberAsks {
-    /// Look for others: this node is alone.
+pub struct MemberSignals {
+    /// Notified when this node knows no other node and should read the directory again.
     pub find: Arc<Notify>,
-    /// Set to the incarnation that is to be left for the next life, once this one was found too low.
+    /// Incarnation to write to the directory for the next start, set when the roster finds the
+    /// current one too low.
     pub recorded: watch::Sender<Option<u64>>,
 }
 
-/// The duty.
-pub struct MemberDuty {
+/// Task that keeps this node's directory entry and finds other nodes.
+pub struct MemberTask {
     directory: Arc<dyn MemberDirectory>,
     entry: MemberEntry,
-    earlier: Vec<MemberEntry>,
+    entries: Vec<MemberEntry>,
     first_start: bool,
     clock: Arc<dyn NodeClock>,
     inbox: RingSender<ShellInput>,
     policy: ListingPolicy,
     backoff: OutageBackoff,
-    /// Whether the directory holds this node's entry.
+    /// Whether the directory holds this node's current entry.
     listed: bool,
 }
 
-impl MemberDuty {
-    /// A duty that has not begun.
+impl MemberTask {
+    /// Creates a task that has not started.
     #[must_use]
     pub fn new(parts: MemberParts) -> Self {
         let own = parts
-            .earlier
+            .entries
             .iter()
             .find(|entry| entry.name == parts.entry.name && entry.gossip == parts.entry.gossip);
         Self {
             listed: own.is_some(),
             directory: parts.directory,
             entry: parts.entry,
-            earlier: parts.earlier,
+            entries: parts.entries,
             first_start: parts.first_start,
             clock: parts.clock,
             inbox: parts.inbox,
@@ -148,115 +154,116 @@
         }
     }
 
-    /// Runs until it is dropped; `following` tells whether this node follows the source of contracts, and
-    /// `leave` is set once the next life can begin with a greater incarnation.
+    /// Runs until the future is dropped. `following` holds whether this node follows the source of
+    /// contracts. The task sets `leave` once the directory holds the incarnation that the next
+    /// start must exceed.
     pub async fn run(
         &mut self,
-        asks: MemberAsks,
+        signals: MemberSignals,
         mut following: watch::Receiver<bool>,
         leave: &AtomicBool,
     ) {
-        let mut recorded = asks.recorded.subscribe();
-        self.first_look().await;
+        let mut recorded = signals.recorded.subscribe();
+        self.start_discovery().await;
         let directory = Arc::clone(&self.directory);
         loop {
             tokio::select! {
-                Ok(()) = following.changed() => self.follow(&mut following).await,
-                () = asks.find.notified() => self.look_alone().await,
-                () = directory.restored() => self.restore().await,
+                Ok(()) = following.changed() => self.on_following_changed(&mut following).await,
+                () = signals.find.notified() => self.retry_discovery().await,
+                () = directory.restored() => self.on_directory_restored().await,
                 Ok(()) = recorded.changed() => {
                     let incarnation = *recorded.borrow_and_update();
-                    self.record(incarnation).await;
+                    self.record_incarnation(incarnation).await;
                     leave.store(true, Ordering::Release);
                 }
             }
         }
     }
 
-    /// Takes this node's entry away. Where that fails the entry stays, and other nodes find at their
-    /// first probe that nobody is there.
+    /// Removes this node's entry. When the removal fails the entry stays, and other nodes detect
+    /// with their first probe that the node is gone.
     pub async fn withdraw(&self) {
         if !self.listed {
             return;
         }
         let withdrawn = self.directory.withdraw(&self.entry.name);
-        match tokio::time::timeout(WITHDRAW_LIMIT, withdrawn).await {
+        match tokio::time::timeout(WITHDRAW_TIMEOUT, withdrawn).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => tracing::debug!(%error, "this node's entry was not taken away"),
-            Err(_) => tracing::debug!("this node's entry was not taken away in time"),
+            Ok(Err(error)) => tracing::debug!(%error, "failed to remove the directory entry"),
+            Err(_) => tracing::debug!("timed out removing the directory entry"),
         }
     }
 
-    async fn first_look(&mut self) {
-        let mut entries = std::mem::take(&mut self.earlier);
+    async fn start_discovery(&mut self) {
+        let mut entries = std::mem::take(&mut self.entries);
         if entries.is_empty() {
             if self.first_start {
                 let wait = self.policy.spread(START_SPREAD);
                 tokio::time::sleep(wait).await;
             }
-            entries = self.read().await;
+            entries = self.read_entries().await;
         }
-        let others = self.tell_seeds(&entries).await;
+        let others = self.send_seeds(&entries).await;
         let found = NodeEvent::DirectoryRead { entries: others };
-        self.tell(found).await;
-        if self.listed || !self.policy.is_listed_beside(others) {
+        self.send_event(found).await;
+        if self.listed || !self.policy.should_list_at_start(others) {
             return;
         }
-        self.be_listed().await;
-        // Of two nodes that start together, the one that reads later finds the other.
-        if others < ENTRIES_KNOWN {
-            let entries = self.read().await;
-            self.tell_seeds(&entries).await;
+        self.write_entry().await;
+        // Of two nodes that start at the same time, the one that reads later finds the other.
+        if others < SUFFICIENT_ENTRIES {
+            let entries = self.read_entries().await;
+            self.send_seeds(&entries).await;
         }
     }
 
-    /// A node that goes on following the source has an entry.
-    async fn follow(&mut self, following: &mut watch::Receiver<bool>) {
+    /// Writes this node's entry if the node is still following the source after [`LISTING_DELAY`].
+    async fn on_following_changed(&mut self, following: &mut watch::Receiver<bool>) {
         if !*following.borrow_and_update() {
             return;
         }
-        tokio::time::sleep(LIST_AFTER).await;
+        tokio::time::sleep(LISTING_DELAY).await;
         if *following.borrow_and_update() {
-            self.be_listed().await;
+            self.write_entry().await;
         }
     }
 
-    /// A further look of a node that has met nobody.
-    async fn look_alone(&mut self) {
-        if self.policy.is_listed_alone() {
+    /// Reads the directory again for a node that has reached no other node.
+    async fn retry_discovery(&mut self) {
+        if self.policy.should_list_when_isolated() {
             self.listed = false;
-            self.be_listed().await;
+            self.write_entry().await;
         }
-        let entries = self.read().await;
-        self.tell_seeds(&entries).await;
+        let entries = self.read_entries().await;
+        self.send_seeds(&entries).await;
     }
 
-    /// The directory came back from an older copy: the entry is written again if it was lost.
-    async fn restore(&mut self) {
+    /// Writes the entry again if the directory was restored from an older copy without it.
+    async fn on_directory_restored(&mut self) {
         if !self.listed {
             return;
         }
         let wait = self.policy.spread(RESTORE_SPREAD);
         tokio::time::sleep(wait).await;
-        let entries = self.read().await;
+        let entries = self.read_entries().await;
         self.listed = entries.contains(&self.entry);
-        self.be_listed().await;
+        self.write_entry().await;
     }
 
-    /// Leaves an incarnation for the next life to begin above.
-    async fn record(&mut self, incarnation: Option<u64>) {
+    /// Writes the incarnation that the next start must exceed.
+    async fn record_incarnation(&mut self, incarnation: Option<u64>) {
         let Some(incarnation) = incarnation else {
             return;
         };
         self.entry.incarnation = incarnation;
         self.listed = false;
-        self.be_listed().await;
-        // The entry is to outlast this life.
+        self.write_entry().await;
+        // Clears the flag so that `withdraw` leaves this entry for the next start.
         self.listed = false;
     }
 
-    /// Writes the entry unless the directory holds it, trying until it is there.
-    async fn be_listed(&mut self) {
+    /// Writes the entry unless the directory holds it, retrying until the write succeeds.
+    async fn write_entry(&mut self) {
         while !self.listed {
             match self.directory.announce(&self.entry).await {
                 Ok(()) => {
@@ -264,14 +271,14 @@
                     self.listed = true;
                 }
                 Err(error) => {
-                    self.pause(&error, "this node could not leave its address")
+                    self.pause(&error, "failed to write the directory entry")
                         .await;
                 }
             }
         }
     }
 
-    async fn read(&mut self) -> Vec<MemberEntry> {
+    async fn read_entries(&mut self) -> Vec<MemberEntry> {
         loop {
             match self.directory.list().await {
                 Ok(entries) => {
@@ -279,34 +286,34 @@
                     return entries;
                 }
                 Err(error) => {
-                    self.pause(&error, "the addresses of others could not be read")
+                    self.pause(&error, "failed to read the member directory")
                         .await;
                 }
             }
         }
     }
 
-    async fn pause(&mut self, error: &LogError, what: &str) {
+    async fn pause(&mut self, error: &LogError, message: &str) {
         let pause = pause_after(error, self.backoff.fail(self.clock.now()));
-        tracing::debug!(%error, ?pause, "{what}");
+        tracing::debug!(%error, ?pause, "{message}");
         tokio::time::sleep(pause).await;
     }
 
-    /// Tells the addresses of all but this node; how many there are.
-    async fn tell_seeds(&self, entries: &[MemberEntry]) -> usize {
+    /// Sends the engine the addresses of all nodes but this one and returns their number.
+    async fn send_seeds(&self, entries: &[MemberEntry]) -> usize {
         let others = entries.iter().filter(|other| other.name != self.entry.name);
         let seeds: Vec<SocketAddr> = others.map(|other| other.gossip).collect();
         let count = seeds.len();
-        self.tell(NodeEvent::SeedsFound(seeds)).await;
+        self.send_event(NodeEvent::SeedsFound(seeds)).await;
         count
     }
 
-    async fn tell(&self, event: NodeEvent) {
+    async fn send_event(&self, event: NodeEvent) {
         self.inbox.send(ShellInput::Event(event)).await;
     }
 }
 
-/// The pause that a refusal asks for, if it is longer.
+/// Returns `pause`, or the delay that a throttled call requests if that is longer.
 #[must_use]
 pub fn pause_after(error: &LogError, pause: Duration) -> Duration {
     match error {
--- a/crates/daemon/src/part.rs
+++ b/crates/daemon/src/part.rs
@@ -1,4 +1,4 @@
-//! What flows between the caller side, the attempts and the executor of one request.
+//! Messages between the exchange, the attempts and the executor of one request.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 use sycamorelink_policy::{LoadHint, SampleKind};
 use tokio::sync::mpsc;
 
-/// Parts of one reply, in order: a head, chunks, then an end; or a failure at any point.
+/// One part of a reply. A reply is a head, chunks and an end, in that order; a failure may replace
+/// any of them and is the last part.
 #[derive(Debug)]
 pub enum ReplyPart {
     /// Status and headers.
     Head(ReplyHead),
-    /// Some of the body.
+    /// The next bytes of the body.
     Chunk(Bytes),
-    /// The reply is whole.
+    /// The end of a complete reply.
     End(ReplyEnd),
-    /// There will be no whole reply.
+    /// The attempt failed before the reply was complete.
     Failed(AttemptFailure),
 }
 
@@ -27,36 +28,36 @@
     pub status: u16,
     /// Headers, hop-by-hop ones removed.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Length of the body, where the backend server told it.
+    /// Length of the body in bytes; `None` when the backend server did not declare one.
     pub body_length: Option<u64>,
 }
 
-/// What comes with the end of a whole reply.
+/// Measurements that accompany the end of a complete reply.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyEnd {
-    /// Time that the backend server took.
+    /// Time that the backend server took, as its node measured it.
     pub service_time: Duration,
-    /// Load beside the backend server.
+    /// Load of the backend server; `None` when unknown.
     pub load: Option<LoadHint>,
 }
 
-/// Why an attempt gave no whole reply.
+/// Reason why an attempt has no complete reply.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFailure {
-    /// How it counts against the upstream.
+    /// How the failure counts against the upstream.
     pub kind: SampleKind,
     /// Whether the backend server ran the request.
     pub run: RunState,
-    /// Code of the executor's refusal, if it refused.
+    /// Refusal code; `None` unless the executor refused the work.
     pub code: Option<RefusalCode>,
-    /// When the executor said to come back.
+    /// Delay that the executor requested before a retry.
     pub retry_after: Option<Duration>,
-    /// Load beside the backend server.
+    /// Load of the backend server; `None` when unknown.
     pub load: Option<LoadHint>,
 }
 
 impl AttemptFailure {
-    /// A failure without anything told by the executor.
+    /// Creates a failure without a refusal code, retry delay or load.
     #[must_use]
     pub const fn of(kind: SampleKind, run: RunState) -> Self {
         Self {
@@ -69,24 +70,24 @@
     }
 }
 
-/// Chunks of a request body; an error means that the caller broke off.
-pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyBroken>>;
-/// Producing end of a request body.
-pub type BodySender = mpsc::Sender<Result<Bytes, BodyBroken>>;
+/// Receives the chunks of a request body; an error means that the caller sent an incomplete body.
+pub type BodyReceiver = mpsc::Receiver<Result<Bytes, BodyTruncated>>;
+/// Sends the chunks of a request body.
+pub type BodySender = mpsc::Sender<Result<Bytes, BodyTruncated>>;
 
-/// The sender of a body broke off before its end.
+/// Error for a body that ended before it was complete.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the body broke off before its end")]
-pub struct BodyBroken;
+#[error("the body ended before it was complete")]
+pub struct BodyTruncated;
 
-/// Chunks of a body that may wait between two threads.
+/// Capacity of the channel for a body between two threads, in chunks.
 pub const BODY_DEPTH: usize = 8;
-/// Parts of a reply that may wait between two threads.
+/// Capacity of the channel for a reply between two threads, in parts.
 pub const REPLY_DEPTH: usize = 8;
 
-/// Makes a body that is already whole.
+/// Returns a receiver for a body that is already complete.
 #[must_use]
-pub fn whole_body(bytes: Bytes) -> BodyReceiver {
+pub fn buffered_body(bytes: Bytes) -> BodyReceiver {
     let (sender, receiver) = mpsc::channel(1);
     if !bytes.is_empty() {
         let _ = sender.try_send(Ok(bytes));
--- a/crates/daemon/src/ready.rs
+++ b/crates/daemon/src/ready.rs
@@ -1,4 +1,4 @@
-//! Small ports that others look at: whether the daemon takes requests, and its metrics.
+//! Ports for monitoring: the readiness probe and the metrics page.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::http_server::PortServer;
 
-/// Serves 200 while `ready` is set and 503 otherwise, whatever the path.
+/// Adds a port that responds with 200 while `ready` is set and with 503 otherwise, for any path.
 pub fn serve_ready(
     server: PortServer,
     listener: TcpListener,
@@ -32,10 +32,10 @@
     server.port("ready", listener, answer)
 }
 
-/// Media type of the metrics' text.
+/// Media type of the metrics page.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves the metrics as text, whatever the path.
+/// Adds a port that responds with the metrics page, for any path.
 pub fn serve_metrics_page(
     server: PortServer,
     listener: TcpListener,
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring.rs
@@ -1,7 +1,8 @@
-//! Bounded rings between the threads.
+//! Bounded queues (rings) between the threads.
 //!
-//! A ring has one consumer, which parks when the ring is empty, and any number of producers. A full
-//! ring refuses at once: the producer decides whether to answer "overloaded" or to come again.
+//! A ring has one consumer, which parks when the ring is empty, and any number of producers. A send
+//! to a full ring fails immediately: the producer either rejects its request as overloaded or
+//! retries.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
@@ -10,18 +11,18 @@
 
 use rtrb::{Consumer, Producer, RingBuffer};
 
-/// How long a producer that must not lose its item waits before it tries a full ring again.
-const FULL_PAUSE: Duration = Duration::from_millis(1);
+/// Pause before a producer that must not lose its item retries a full ring.
+const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
 #[derive(Debug, Default)]
 struct RingWaker {
-    sleeping: AtomicBool,
+    parked: AtomicBool,
     consumer: OnceLock<Thread>,
 }
 
 impl RingWaker {
     fn wake(&self) {
-        if self.sleeping.swap(false, Ordering::SeqCst)
+        if self.parked.swap(false, Ordering::SeqCst)
             && let Some(consumer) = self.consumer.get()
         {
             consumer.unpark();
@@ -29,7 +30,7 @@
     }
 }
 
-/// Producing end of a ring.
+/// Sending half of a ring; clones share the ring.
 #[derive(Debug)]
 pub struct RingSender<T> {
     producer: Arc<Mutex<Producer<T>>>,
@@ -46,11 +47,11 @@
 }
 
 impl<T> RingSender<T> {
-    /// Puts an item into the ring, or gives it back when the ring is full.
+    /// Appends an item without waiting.
     ///
     /// # Errors
     ///
-    /// The item itself, when there is no room or the consumer is gone.
+    /// Returns the item when the ring is full.
     pub fn try_send(&self, item: T) -> Result<(), T> {
         let Ok(mut producer) = self.producer.lock() else {
             return Err(item);
@@ -65,42 +66,42 @@
         }
     }
 
-    /// Puts an item into the ring, waiting while it is full. Ends early when the consumer is gone.
+    /// Appends an item, retrying while the ring is full. Drops the item when the consumer is gone.
     pub async fn send(&self, item: T) {
         let mut pending = Some(item);
         while let Some(item) = pending.take() {
             pending = self.try_send(item).err();
             if pending.is_some() {
-                if self.is_abandoned() {
+                if self.is_disconnected() {
                     return;
                 }
-                tokio::time::sleep(FULL_PAUSE).await;
+                tokio::time::sleep(FULL_RETRY_INTERVAL).await;
             }
         }
     }
 
-    /// The same from a thread without a runtime.
+    /// Appends an item like [`Self::send`], blocking the calling thread.
     pub fn send_blocking(&self, item: T) {
         let mut pending = Some(item);
         while let Some(item) = pending.take() {
             pending = self.try_send(item).err();
             if pending.is_some() {
-                if self.is_abandoned() {
+                if self.is_disconnected() {
                     return;
                 }
-                thread::sleep(FULL_PAUSE);
+                thread::sleep(FULL_RETRY_INTERVAL);
             }
         }
     }
 
-    fn is_abandoned(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         self.producer
             .lock()
             .map_or(true, |producer| producer.is_abandoned())
     }
 }
 
-/// Consuming end of a ring.
+/// Receiving half of a ring.
 #[derive(Debug)]
 pub struct RingReceiver<T> {
     consumer: Consumer<T>,
@@ -108,23 +109,23 @@
 }
 
 impl<T> RingReceiver<T> {
-    /// Takes the oldest item, if any.
+    /// Removes and returns the oldest item, or `None` when the ring is empty.
     pub fn try_recv(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
 
-    /// Parks the calling thread until an item arrives or the time is over.
+    /// Parks the calling thread until an item arrives or `limit` has passed.
     pub fn wait(&mut self, limit: Duration) {
         let _ = self.waker.consumer.set(thread::current());
-        self.waker.sleeping.store(true, Ordering::SeqCst);
+        self.waker.parked.store(true, Ordering::SeqCst);
         if self.consumer.is_empty() {
             thread::park_timeout(limit);
         }
-        self.waker.sleeping.store(false, Ordering::SeqCst);
+        self.waker.parked.store(false, Ordering::SeqCst);
     }
 }
 
-/// Makes a ring for up to `capacity` items.
+/// Creates a ring for up to `capacity` items.
 #[must_use]
 pub fn bounded_ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
     let (producer, consumer) = RingBuffer::new(capacity);
--- a/crates/daemon/src/sockets.rs
+++ b/crates/daemon/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a daemon, opened before anything else starts.
+//! The sockets of a daemon, opened before any thread starts.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
@@ -8,21 +8,21 @@
 
 use crate::settings::DaemonSettings;
 
-/// Where a daemon listens.
+/// Socket addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DaemonAddresses {
     /// Callers, HTTP.
     pub callers: SocketAddr,
     /// Operators, HTTP.
     pub operators: SocketAddr,
-    /// Inner protocol, TCP.
+    /// Protocol between nodes, TCP.
     pub peers: SocketAddr,
     /// Gossip, UDP.
     pub gossip: SocketAddr,
     /// Readiness, HTTP.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ready: Option<SocketAddr>,
-    /// Metrics as text, HTTP.
+    /// Metrics page, HTTP.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub metrics: Option<SocketAddr>,
 }
@@ -39,11 +39,11 @@
 }
 
 impl DaemonSockets {
-    /// Listens on every address of the settings.
+    /// Opens a socket for every address in the settings.
     ///
     /// # Errors
     ///
-    /// The first address that cannot be listened on.
+    /// Returns an error for the first address that cannot be bound.
     pub fn bind(settings: &DaemonSettings) -> anyhow::Result<Self> {
         let listen = &settings.listen;
         Ok(Self {
@@ -51,7 +51,7 @@
             operators: bind_tcp("operators", listen.operators)?,
             peers: bind_tcp("peers", listen.peers)?,
             gossip: UdpSocket::bind(listen.gossip)
-                .inspect_err(|error| tell_listen_failed(listen.gossip, error))
+                .inspect_err(|error| emit_listen_failed(listen.gossip, error))
                 .with_context(|| format!("cannot listen for gossip on {}", listen.gossip))?,
             ready: listen
                 .ready
@@ -64,11 +64,11 @@
         })
     }
 
-    /// Where they listen, with the ports that were free.
+    /// Returns the bound addresses, with the actual port where the settings ask for port 0.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// Returns an error when the operating system cannot report a socket's address.
     pub fn addresses(&self) -> anyhow::Result<DaemonAddresses> {
         Ok(DaemonAddresses {
             callers: self.callers.local_addr()?,
@@ -87,13 +87,13 @@
 
 fn bind_tcp(name: &str, address: SocketAddr) -> anyhow::Result<TcpListener> {
     let listener = TcpListener::bind(address)
-        .inspect_err(|error| tell_listen_failed(address, error))
+        .inspect_err(|error| emit_listen_failed(address, error))
         .with_context(|| format!("cannot listen for {name} on {address}"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-fn tell_listen_failed(address: SocketAddr, error: &std::io::Error) {
+fn emit_listen_failed(address: SocketAddr, error: &std::io::Error) {
     let fields = EventFields::new().address(&address).reason(error);
     emit(EventCode::ListenFailed, &fields);
 }
--- a/crates/daemon/src/source_thread.rs
+++ b/crates/daemon/src/source_thread.rs
@@ -1,9 +1,9 @@
-//! The source thread: follows the source of the fleet contract, and runs the duty that finds other
+//! The source thread: follows the source of the fleet contract and runs the task that finds other
 //! nodes.
 //!
 //! ```text
-//!  ContractSource ── news ──▶ decision thread
-//!  MemberDirectory ◀─ entry ─ MemberDuty ── addresses of others ──▶ decision thread
+//!  ContractSource ─ update ─▶ decision thread
+//!  MemberDirectory ◀─ entry ─ MemberTask ── addresses of others ──▶ decision thread
 //! ```
 
 use std::sync::Arc;
@@ -21,50 +21,51 @@
 
 use crate::border::{ContractSource, SourceNews};
 use crate::inbox::ShellInput;
-use crate::log_thread::{APPEND_DEPTH, LogOrder};
-use crate::members::{DIRECTORY_BACKOFF, MemberAsks, MemberDuty, MemberParts, pause_after};
+use crate::log_thread::{COMMAND_DEPTH, LogCommand};
+use crate::members::{DIRECTORY_BACKOFF, MemberParts, MemberSignals, MemberTask, pause_after};
 use crate::metrics::NodeTelemetry;
 use crate::ring::RingSender;
 
-/// Pause before the source is asked again after it gave a contract: a tenth of the time that a
-/// contract may take to be in force everywhere.
+/// Pause before the next read of the source after a new contract: a tenth of the time in which a
+/// contract must come into force on every node.
 const CONTRACT_PAUSE: Duration = Duration::from_millis(200);
-/// What the source thread is started with.
+
+/// Arguments of [`start_source`].
 pub struct SourceParts {
-    /// The source.
+    /// Source of the fleet contract.
     pub contracts: Box<dyn ContractSource>,
-    /// How nodes find each other.
+    /// Arguments of the task that finds other nodes; `None` without a member directory.
     pub members: Option<MemberParts>,
-    /// Set once this life is to end so that the next one can begin with a greater incarnation.
+    /// Set when the daemon must restart with a greater incarnation.
     pub leave: Arc<AtomicBool>,
-    /// Time.
+    /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Spreads the nodes' tries.
+    /// Seed of the randomized delays, different for each node.
     pub seed: u64,
-    /// Events.
+    /// Event log.
     pub telemetry: NodeTelemetry,
 }
 
-/// Starts the thread; it ends when the sender of orders is dropped. Orders for the log are not
-/// expected under a fleet contract.
+/// Starts the thread. The thread ends when the returned sender of commands is dropped, and ignores
+/// commands for the log, which is not used with a fleet contract.
 ///
 /// # Errors
 ///
-/// When the thread cannot be started.
+/// Returns an error when the thread cannot be started.
 pub fn start_source(
     parts: SourceParts,
-) -> anyhow::Result<(mpsc::Sender<LogOrder>, JoinHandle<()>)> {
-    let (sender, orders) = mpsc::channel(APPEND_DEPTH);
+) -> anyhow::Result<(mpsc::Sender<LogCommand>, JoinHandle<()>)> {
+    let (sender, commands) = mpsc::channel(COMMAND_DEPTH);
     let thread = thread::Builder::new()
         .name("source".to_owned())
-        .spawn(move || run_thread(parts, orders))
+        .spawn(move || run_thread(parts, commands))
         .context("cannot start the source thread")?;
     Ok((sender, thread))
 }
 
-fn run_thread(mut parts: SourceParts, mut orders: mpsc::Receiver<LogOrder>) {
+fn run_thread(mut parts: SourceParts, mut commands: mpsc::Receiver<LogCommand>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -76,87 +77,93 @@
             return;
         }
     };
-    let mut duty = parts.members.take().map(MemberDuty::new);
+    let mut task = parts.members.take().map(MemberTask::new);
     let leave = Arc::clone(&parts.leave);
     LocalSet::new().block_on(&runtime, async move {
         let (follow, following) = watch::channel(false);
-        let asks = MemberAsks::default();
+        let signals = MemberSignals::default();
         tokio::select! {
             () = follow_source(parts, following.clone()) => {}
-            () = take_orders(&mut orders, &follow, &asks) => {}
-            () = find_members(duty.as_mut(), asks.clone(), following, &leave) => {}
+            () = run_commands(&mut commands, &follow, &signals) => {}
+            () = find_members(task.as_mut(), signals.clone(), following, &leave) => {}
         }
-        if let Some(duty) = duty {
-            duty.withdraw().await;
+        if let Some(task) = task {
+            task.withdraw().await;
         }
     });
 }
 
 async fn find_members(
-    duty: Option<&mut MemberDuty>,
-    asks: MemberAsks,
+    task: Option<&mut MemberTask>,
+    signals: MemberSignals,
     following: watch::Receiver<bool>,
     leave: &AtomicBool,
 ) {
-    match duty {
-        Some(duty) => duty.run(asks, following, leave).await,
+    match task {
+        Some(task) => task.run(signals, following, leave).await,
         None => std::future::pending().await,
     }
 }
 
-/// Takes orders until their sender is dropped.
-async fn take_orders(
-    orders: &mut mpsc::Receiver<LogOrder>,
+/// Executes commands until their sender is dropped.
+async fn run_commands(
+    commands: &mut mpsc::Receiver<LogCommand>,
     follow: &watch::Sender<bool>,
-    asks: &MemberAsks,
+    signals: &MemberSignals,
 ) {
-    while let Some(order) = orders.recv().await {
-        match order {
-            LogOrder::Follow { follow: begin } => {
-                tracing::debug!(begin, "whether this node follows the source of contracts");
+    while let Some(command) = commands.recv().await {
+        match command {
+            LogCommand::Follow { follow: begin } => {
+                tracing::debug!(
+                    begin,
+                    "changed whether this node follows the source of contracts"
+                );
                 follow.send_replace(begin);
             }
-            LogOrder::FindMembers => asks.find.notify_one(),
-            LogOrder::RecordIncarnation { incarnation } => {
-                asks.recorded.send_replace(Some(incarnation));
+            LogCommand::FindMembers => signals.find.notify_one(),
+            LogCommand::RecordIncarnation { incarnation } => {
+                signals.recorded.send_replace(Some(incarnation));
             }
-            order => tracing::debug!(?order, "a log order came under a fleet contract"),
+            command => tracing::debug!(
+                ?command,
+                "ignored a log command: contracts come from a source"
+            ),
         }
     }
 }
 
-/// Looks at the source while this node is to follow it.
+/// Reads updates from the source while this node is a follower.
 async fn follow_source(mut parts: SourceParts, mut following: watch::Receiver<bool>) {
     let mut backoff = OutageBackoff::new(DIRECTORY_BACKOFF, parts.seed);
     while following.wait_for(|follow| *follow).await.is_ok() {
         tokio::select! {
-            () = look(&mut parts, &mut backoff) => {}
+            () = poll_source(&mut parts, &mut backoff) => {}
             _ = following.wait_for(|follow| !*follow) => {}
         }
     }
 }
 
-async fn look(parts: &mut SourceParts, backoff: &mut OutageBackoff) {
+async fn poll_source(parts: &mut SourceParts, backoff: &mut OutageBackoff) {
     match parts.contracts.next().await {
-        Ok(news) => {
+        Ok(update) => {
             backoff.succeed();
-            tell(&parts.inbox, NodeEvent::LogReachable(true)).await;
-            take_news(parts, news).await;
+            send_event(&parts.inbox, NodeEvent::LogReachable(true)).await;
+            on_update(parts, update).await;
         }
         Err(error) => {
-            tell(&parts.inbox, NodeEvent::LogReachable(false)).await;
+            send_event(&parts.inbox, NodeEvent::LogReachable(false)).await;
             let pause = pause_after(&error, backoff.fail(parts.clock.now()));
-            tracing::debug!(%error, ?pause, "the source of contracts did not answer");
+            tracing::debug!(%error, ?pause, "failed to read the source of contracts");
             tokio::time::sleep(pause).await;
         }
     }
 }
 
-async fn take_news(parts: &SourceParts, news: SourceNews) {
-    match news {
+async fn on_update(parts: &SourceParts, update: SourceNews) {
+    match update {
         SourceNews::Contract(contract) => {
-            tell(&parts.inbox, NodeEvent::FleetContract(contract)).await;
-            // Contracts that come in quick succession are read together.
+            send_event(&parts.inbox, NodeEvent::FleetContract(contract)).await;
+            // The pause combines contracts that change in quick succession into one update.
             tokio::time::sleep(CONTRACT_PAUSE).await;
         }
         SourceNews::Unreadable { reason } => {
@@ -168,6 +175,6 @@
     }
 }
 
-async fn tell(inbox: &RingSender<ShellInput>, event: NodeEvent) {
+async fn send_event(inbox: &RingSender<ShellInput>, event: NodeEvent) {
     inbox.send(ShellInput::Event(event)).await;
 }
--- a/crates/daemon/src/starting.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,4 +1,4 @@
-//! What a daemon works out from its settings, and from what earlier lives left, before it starts.
+//! Derives a daemon's identity, keys and engine settings before its threads start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,19 @@
 use crate::settings::DaemonSettings;
 use crate::sockets::DaemonAddresses;
 
-/// Longest wait for the entries of earlier lives before the daemon starts.
-const ENTRY_LIMIT: Duration = Duration::from_millis(500);
+/// Longest time to read the member directory before the daemon starts.
+const DIRECTORY_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// Builds this node's membership record. The incarnation is the wall clock in milliseconds, but at
+/// least `least_incarnation`.
 pub fn member_facts(
     settings: &DaemonSettings,
     addresses: &DaemonAddresses,
     clock: &dyn NodeClock,
-    least: u64,
+    least_incarnation: u64,
 ) -> MemberFacts {
     let millis = u64::try_from(clock.wall().as_millis()).unwrap_or(u64::MAX);
-    let millis = millis.max(least);
+    let millis = millis.max(least_incarnation);
     let advertised = |address: SocketAddr| {
         SocketAddr::new(settings.advertise.unwrap_or(address.ip()), address.port())
     };
@@ -41,9 +43,10 @@
     }
 }
 
-/// The entries that other nodes, and earlier lives of this one, left; none when the fleet starts for
-/// the first time or they cannot be read soon. A daemon does not wait for them: it reads them later.
-pub fn earlier_entries(
+/// Reads the entries that other nodes and earlier incarnations of this node wrote to the member
+/// directory. Returns none on a fleet's first start and when the directory cannot be read in time,
+/// in which case the daemon reads the directory after its start.
+pub fn read_entries(
     settings: &DaemonSettings,
     members: Option<&dyn MemberDirectory>,
 ) -> anyhow::Result<Vec<MemberEntry>> {
@@ -53,30 +56,31 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("cannot read the entries of earlier lives")?;
-    let listed =
-        runtime.block_on(async { tokio::time::timeout(ENTRY_LIMIT, members.list()).await });
-    match listed {
+        .context("cannot start a runtime to read the member directory")?;
+    let read = runtime
+        .block_on(async { tokio::time::timeout(DIRECTORY_READ_TIMEOUT, members.list()).await });
+    match read {
         Ok(Ok(entries)) => return Ok(entries),
-        Ok(Err(error)) => tracing::warn!(%error, "the entries of earlier lives cannot be read"),
-        Err(_) => tracing::warn!("the entries of earlier lives were not read in time"),
+        Ok(Err(error)) => tracing::warn!(%error, "failed to read the member directory"),
+        Err(_) => tracing::warn!("timed out reading the member directory"),
     }
     Ok(Vec::new())
 }
 
-/// The least incarnation that this life may have.
+/// Returns the least incarnation that this node may start with.
 ///
-/// Failure: the wall clock is set back and the node restarts; peers remember its earlier life with a
-/// greater incarnation and take the new one for old. The entry that the earlier life left tells its
-/// incarnation. Where it could not be read the wall clock has to do, and the roster tells when it
-/// did not.
-pub fn known_incarnation(settings: &DaemonSettings, entries: &[MemberEntry]) -> u64 {
+/// When the wall clock is set back before a restart, peers remember a greater incarnation of the
+/// node and treat the new one as outdated. The node's own directory entry gives its last
+/// incarnation. Without the entry, the node relies on the wall clock, and the roster reports an
+/// incarnation that is too low.
+pub fn least_incarnation(settings: &DaemonSettings, entries: &[MemberEntry]) -> u64 {
     let own = entries
         .iter()
         .filter(|entry| entry.name == settings.instance);
     own.map(|entry| entry.incarnation + 1).max().unwrap_or(0)
 }
 
+/// Returns the current and the previous key of the fleet.
 pub fn fleet_keys(settings: &DaemonSettings) -> FleetKeys {
     let current = FleetKey::new(&settings.fleet_keys.current.secret);
     let previous = settings.fleet_keys.previous.as_ref();
@@ -86,6 +90,7 @@
     }
 }
 
+/// Builds and validates the engine's settings from the sections of the daemon's settings.
 pub fn engine_settings(settings: &DaemonSettings) -> anyhow::Result<EngineSettings> {
     let mut parts = EngineSettings {
         first_start: settings.first_start,
@@ -107,7 +112,7 @@
     if let Some(quota) = settings.limits.get("quota") {
         parts.quota = section("limits.quota", quota)?;
     }
-    // The membership fills its datagrams up to this size, and they are sealed after that.
+    // The roster fills datagrams up to this size before they are sealed.
     let datagram = &mut parts.roster.datagram_bytes;
     *datagram = (*datagram).min(DATAGRAM_PAYLOAD);
     parts
--- a/crates/daemon/src/work/attempt.rs
+++ b/crates/daemon/src/work/attempt.rs
@@ -1,4 +1,4 @@
-//! The sending side of one attempt.
+//! Client side of one attempt: runs it locally or sends it to the executor's node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,36 +19,35 @@
 use super::{AttemptTask, ReplySink, WorkContext};
 use crate::part::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
 
-/// How long ago a peer may have answered to be sent work without being asked first. Connections with
-/// work on them prove a round trip every 250 ms.
-const PROOF_AGE: Duration = Duration::from_millis(300);
-/// Longest wait for a peer's answer before work is sent to another: seventy times the way there and
-/// back.
-const PROOF_WAIT: Duration = Duration::from_millis(200);
+/// Longest time since a peer's last reply for which the peer gets work without a liveness probe.
+/// Connections with work on them complete a round trip every 250 ms.
+const LIVENESS_AGE_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of a liveness probe before the work goes to another peer: 70 round trips.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What rides along with a work head besides the inner protocol's own fields.
+/// Engine data sent with a work head in addition to the node protocol's own fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkExtras {
-    /// Proof of the grants, for a request that must not repeat.
+    /// Proof of the guards' grants, for a request that must not run twice.
     pub ticket: Option<DispatchTicket>,
-    /// Header in which the backend server must repeat the request id.
+    /// Reply header in which the backend server must repeat the request id.
     pub reply_id_header: Option<String>,
-    /// The caller's own id of the request, else the fleet's.
+    /// The caller's id of the request, or the fleet's id if the caller sent none.
     pub label: Arc<str>,
-    /// Whether it may serve as a trial of a backend server that may be failing: it may be run more
-    /// than once, and has not been tried yet.
+    /// Whether the work may probe a suspect backend server: it may run more than once and has not
+    /// been attempted yet.
     pub trial_fit: bool,
-    /// Whether it is to run although the backend server may be failing.
+    /// Whether to run the work although the backend server is suspect.
     pub insist: bool,
-    /// How long it may wait for a slot; none when only its deadline bounds the wait.
+    /// Longest wait for a slot; `None` when only the deadline bounds the wait.
     pub patience: Option<Duration>,
-    /// Which kind of work it is, for what is learned of run times.
+    /// Kind of the work, for the statistics of run times.
     pub kind: u64,
-    /// How it counts towards the bound on repeats.
+    /// How the work counts towards the limit on repeats.
     pub arrival: ArrivalKind,
 }
 
-/// Carries out one attempt, here or at a peer.
+/// Runs one attempt on this node or on a peer.
 pub async fn run_attempt(context: WorkContext, task: AttemptTask) {
     match task.order.address {
         None => execute(context.clone(), local_task(&context, task)).await,
@@ -58,7 +57,7 @@
 
 fn local_task(context: &WorkContext, task: AttemptTask) -> ExecutorTask {
     ExecutorTask {
-        offer: offer_of(context, &task.order, task.signature),
+        offer: work_offer(context, &task.order, task.signature),
         method: task.method,
         target: task.target,
         headers: task.headers,
@@ -70,7 +69,7 @@
     }
 }
 
-fn offer_of(context: &WorkContext, order: &AttemptOrder, signature: u64) -> WorkOffer {
+fn work_offer(context: &WorkContext, order: &AttemptOrder, signature: u64) -> WorkOffer {
     WorkOffer {
         work: context.next_work(),
         from: context.instance,
@@ -94,28 +93,34 @@
 async fn run_remote(context: WorkContext, task: AttemptTask, address: SocketAddr) {
     let reply = task.reply.clone();
     let executor = task.order.executor;
-    let part = match context.peers.connection(executor, address).await {
-        Ok(connection) if !connection.is_alive(PROOF_AGE, PROOF_WAIT).await => {
-            tracing::debug!(peer = %executor, "an executor does not answer");
+    let failure = match context.peers.connection(executor, address).await {
+        Ok(connection)
+            if !connection
+                .is_alive(LIVENESS_AGE_LIMIT, LIVENESS_TIMEOUT)
+                .await =>
+        {
+            tracing::debug!(peer = %executor, "an executor did not respond to a liveness probe");
             let node = executor.node;
-            context.tell(NodeEvent::PeerUnreachable { node }).await;
-            context.tell(NodeEvent::PeerQuiet { node }).await;
+            context
+                .send_event(NodeEvent::PeerUnreachable { node })
+                .await;
+            context.send_event(NodeEvent::PeerQuiet { node }).await;
             Some(AttemptFailure::of(
                 SampleKind::ConnectionLost,
                 RunState::NotRun,
             ))
         }
         Ok(connection) => {
-            let head = head_of(&task);
+            let head = work_head(&task);
             match connection.work(&head).await {
-                Ok((sender, receiver)) => exchange(task, sender, receiver).await,
-                Err(error) => Some(lost(&error)),
+                Ok((sender, receiver)) => run_exchange(task, sender, receiver).await,
+                Err(error) => Some(failure_from_connection(&error)),
             }
         }
         Err(error) => {
-            tracing::debug!(peer = %executor, %error, "cannot reach an executor");
+            tracing::debug!(peer = %executor, %error, "failed to reach an executor");
             context
-                .tell(NodeEvent::PeerUnreachable {
+                .send_event(NodeEvent::PeerUnreachable {
                     node: executor.node,
                 })
                 .await;
@@ -125,7 +130,7 @@
             ))
         }
     };
-    if let Some(failure) = part {
+    if let Some(failure) = failure {
         if failure.kind == SampleKind::ConnectionLost && failure.run == RunState::Unknown {
             tokio::task::spawn_local(reconnect(context, executor, address));
         }
@@ -133,17 +138,17 @@
     }
 }
 
-/// Tries a new connection in place of one that broke or went silent under an attempt.
+/// Opens a new connection to replace one that broke or went silent during an attempt.
 async fn reconnect(context: WorkContext, executor: InstanceId, address: SocketAddr) {
     let node = executor.node;
     let event = match context.peers.connection(executor, address).await {
         Ok(_) => NodeEvent::PeerReconnected { node },
         Err(_) => NodeEvent::PeerUnreachable { node },
     };
-    context.tell(event).await;
+    context.send_event(event).await;
 }
 
-fn head_of(task: &AttemptTask) -> WorkHead {
+fn work_head(task: &AttemptTask) -> WorkHead {
     let order = &task.order;
     let extras = WorkExtras {
         ticket: order.ticket.clone(),
@@ -171,9 +176,9 @@
     }
 }
 
-/// Sends the body and takes the reply; gives the failure when there is no whole reply. Dropping
-/// both ends on a cancel tells the executor.
-async fn exchange(
+/// Sends the body and receives the reply. Returns the failure when the reply is incomplete. On
+/// cancellation, dropping both halves of the stream cancels the work at the executor.
+async fn run_exchange(
     task: AttemptTask,
     sender: BodySender,
     receiver: ReplyReceiver,
@@ -195,7 +200,8 @@
     failure
 }
 
-/// A body that breaks off is cancelled, never finished: a short request must not look whole.
+/// Sends the request body. A truncated body is cancelled instead of finished, so that the executor
+/// does not take it for a complete request.
 async fn send_body(
     mut sender: BodySender,
     mut body: BodyReceiver,
@@ -230,9 +236,9 @@
 async fn receive_reply(mut receiver: ReplyReceiver, reply: &ReplySink) -> Option<AttemptFailure> {
     let head = match receiver.opening().await {
         Ok(ReplyOpening::Reply(head)) => head,
-        Ok(ReplyOpening::Refused(refused)) => return Some(refused_by(&refused)),
-        Ok(ReplyOpening::Failed(failed)) => return Some(failed_at(&failed)),
-        Err(error) => return Some(lost(&error)),
+        Ok(ReplyOpening::Refused(refused)) => return Some(failure_from_refusal(&refused)),
+        Ok(ReplyOpening::Failed(failed)) => return Some(failure_from_report(&failed)),
+        Err(error) => return Some(failure_from_connection(&error)),
     };
     let head = ReplyHead {
         status: head.status,
@@ -248,34 +254,34 @@
                 }
             }
             Ok(None) => break,
-            Err(error) => return Some(lost(&error)),
+            Err(error) => return Some(failure_from_connection(&error)),
         }
     }
     match receiver.outcome() {
         Some(Ok(end)) => {
             let service_time: Duration = end.service_time;
-            let load = Some(hint_of(end.load));
+            let load = Some(load_hint(end.load));
             reply
                 .send(ReplyPart::End(ReplyEnd { service_time, load }))
                 .await;
             None
         }
-        Some(Err(failed)) => Some(failed_at(&failed)),
+        Some(Err(failed)) => Some(failure_from_report(&failed)),
         None => Some(AttemptFailure::of(SampleKind::Wrong, RunState::Unknown)),
     }
 }
 
-fn refused_by(refused: &WorkRefused) -> AttemptFailure {
+fn failure_from_refusal(refused: &WorkRefused) -> AttemptFailure {
     AttemptFailure {
         kind: SampleKind::Refused,
         run: refused.refusal.run,
         code: Some(refused.refusal.code),
         retry_after: refused.refusal.retry_after,
-        load: Some(hint_of(refused.load)),
+        load: Some(load_hint(refused.load)),
     }
 }
 
-fn failed_at(failed: &WorkFailed) -> AttemptFailure {
+fn failure_from_report(failed: &WorkFailed) -> AttemptFailure {
     let kind = match failed.kind {
         FailureKind::Unreachable | FailureKind::ConnectionLost => SampleKind::ConnectionLost,
         FailureKind::NoReply => SampleKind::Silent,
@@ -286,15 +292,16 @@
         FailureKind::Cancelled => SampleKind::Cancelled,
         FailureKind::Internal => SampleKind::Failed,
     };
-    let load = Some(hint_of(failed.load));
+    let load = Some(load_hint(failed.load));
     AttemptFailure {
         load,
         ..AttemptFailure::of(kind, failed.run)
     }
 }
 
-/// The path to the executor broke: that says nothing about the backend server.
-fn lost(error: &WireError) -> AttemptFailure {
+/// Converts a failure of the connection to the executor, which does not count against the backend
+/// server.
+fn failure_from_connection(error: &WireError) -> AttemptFailure {
     let kind = match error {
         WireError::NotWhole { .. }
         | WireError::WrongAttempt { .. }
@@ -306,7 +313,7 @@
     AttemptFailure::of(kind, error.run_state())
 }
 
-fn hint_of(load: LoadReport) -> LoadHint {
+fn load_hint(load: LoadReport) -> LoadHint {
     LoadHint {
         in_use: load.in_use,
         slots: load.slots,
@@ -315,7 +322,7 @@
     }
 }
 
-/// The load as the inner protocol carries it.
+/// Converts a load to the node protocol's form.
 #[must_use]
 pub fn load_report(hint: Option<LoadHint>) -> LoadReport {
     let hint = hint.unwrap_or_default();
--- a/crates/daemon/src/work/backend.rs
+++ b/crates/daemon/src/work/backend.rs
@@ -1,9 +1,8 @@
-//! Connections to the backend servers beside this node.
+//! Connection pool for the backend servers of this node.
 //!
-//! Connections are kept and reused one request at a time. A connection goes back only after a whole
-//! reply was read from it: failure: a late reply to a request given up before would be read as the
-//! reply to the next one, and a caller would get somebody else's answer. A connection with anything
-//! outstanding is closed instead.
+//! A connection carries one request at a time and returns to the pool only after its reply was read
+//! completely. Otherwise a late reply to an abandoned request would be read as the reply to the
+//! next one and reach the wrong caller, so a connection with an outstanding reply is closed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,61 +21,61 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use crate::part::{BodyBroken, BodyReceiver};
+use crate::part::{BodyReceiver, BodyTruncated};
 
-/// Longest time for a connection to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time that bytes sent may stay unacknowledged before a connection counts as silent.
-const SILENCE_LIMIT: Duration = Duration::from_secs(1);
-/// Time between two keep-alive probes while a reply is awaited.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection counts as silent.
-const PROBE_COUNT: u32 = 2;
-/// Looks at whether a backend server still takes connections.
-const END_LOOKS: u32 = 2;
-/// Pause between two of them.
-const END_PAUSE: Duration = Duration::from_millis(20);
-/// Idle connections kept for one backend server.
-const IDLE_LIMIT: usize = 16;
-
-/// A request body on its way to a backend server.
-pub type BackendBody = UnsyncBoxBody<Bytes, BodyBroken>;
-
-/// Why a request got no response head.
+/// Longest time that sent bytes may stay unacknowledged before a connection counts as silent.
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(1);
+/// Interval of TCP keep-alive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keep-alive probes after which a connection counts as silent.
+const KEEPALIVE_COUNT: u32 = 2;
+/// Connections that a backend server must accept to count as running.
+const LIVENESS_CHECKS: u32 = 2;
+/// Pause after each of these connections.
+const LIVENESS_CHECK_PAUSE: Duration = Duration::from_millis(20);
+/// Largest number of idle connections to one backend server.
+const MAX_IDLE: usize = 16;
+
+/// Request body sent to a backend server.
+pub type BackendBody = UnsyncBoxBody<Bytes, BodyTruncated>;
+
+/// Reason why a request got no response head.
 #[derive(Debug, thiserror::Error)]
 pub enum SendFailure {
-    /// Nothing of the request was sent.
+    /// No byte of the request was sent.
     #[error("no connection to the backend server")]
     NotSent,
-    /// Some of it may have been sent.
+    /// Some of the request may have been sent.
     #[error("the connection broke before a reply")]
     Broken {
-        /// Whether nothing came back for the bytes sent, rather than a reset or an end.
+        /// Whether the sent bytes timed out unacknowledged, as opposed to a reset or a close.
         silent: bool,
     },
 }
 
-/// An open connection.
+/// Open connection to a backend server.
 #[derive(Debug)]
 pub struct BackendConnection {
     sender: SendRequest<BackendBody>,
     slot: u16,
 }
 
-/// Idle connections by backend server.
+/// Idle connections by the slot of their backend server.
 #[derive(Clone, Debug, Default)]
 pub struct BackendPool {
     idle: Rc<RefCell<BTreeMap<u16, Vec<SendRequest<BackendBody>>>>>,
 }
 
 impl BackendPool {
-    /// Sends a request, on a kept connection if one is open, and waits for the response head.
+    /// Sends a request, on a pooled connection if one is open, and waits for the response head.
     ///
-    /// A request that was surely not sent on a kept connection is sent on a new one.
+    /// A request that was certainly not sent on a pooled connection is sent on another one.
     ///
     /// # Errors
     ///
-    /// Whether anything was sent.
+    /// Returns [`SendFailure::NotSent`] only when no part of the request was sent.
     pub async fn send(
         &self,
         slot: u16,
@@ -84,12 +83,12 @@
         request: Request<BackendBody>,
     ) -> Result<(Response<Incoming>, BackendConnection), SendFailure> {
         let mut request = request;
-        while let Some(mut sender) = self.take(slot) {
+        while let Some(mut sender) = self.take_idle(slot) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, BackendConnection { sender, slot })),
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(broken(&error.into_error())),
+                    None => return Err(broken_failure(&error.into_error())),
                 },
             }
         }
@@ -98,27 +97,27 @@
             Ok(response) => Ok((response, BackendConnection { sender, slot })),
             Err(mut error) => match error.take_message() {
                 Some(_) => Err(SendFailure::NotSent),
-                None => Err(broken(&error.into_error())),
+                None => Err(broken_failure(&error.into_error())),
             },
         }
     }
 
-    /// Keeps a connection whose last reply was read whole.
-    pub fn keep(&self, connection: BackendConnection) {
+    /// Returns a connection whose last reply was read completely to the pool.
+    pub fn put_back(&self, connection: BackendConnection) {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.entry(connection.slot).or_default();
-        if senders.len() < IDLE_LIMIT {
+        if senders.len() < MAX_IDLE {
             senders.push(connection.sender);
         }
     }
 
-    /// Closes the kept connections to one backend server: one of them went silent, and whatever
-    /// lost track of it may have lost the others of the same age.
-    pub fn discard(&self, slot: u16) {
+    /// Closes the idle connections to a backend server after one of them went silent: a middlebox
+    /// that dropped one connection may have dropped others of the same age.
+    pub fn discard_idle(&self, slot: u16) {
         self.idle.borrow_mut().remove(&slot);
     }
 
-    fn take(&self, slot: u16) -> Option<SendRequest<BackendBody>> {
+    fn take_idle(&self, slot: u16) -> Option<SendRequest<BackendBody>> {
         let mut idle = self.idle.borrow_mut();
         let senders = idle.get_mut(&slot)?;
         while let Some(sender) = senders.pop() {
@@ -130,8 +129,8 @@
     }
 }
 
-/// Tells a connection that went silent from one that was reset or closed.
-fn broken(error: &hyper::Error) -> SendFailure {
+/// Distinguishes a connection that went silent from one that was reset or closed.
+fn broken_failure(error: &hyper::Error) -> SendFailure {
     let cause = error
         .source()
         .and_then(|cause| cause.downcast_ref::<std::io::Error>());
@@ -145,7 +144,7 @@
         return Err(SendFailure::NotSent);
     };
     let _ = stream.set_nodelay(true);
-    watch_silence(&stream);
+    set_silence_timeouts(&stream);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|_| SendFailure::NotSent)?;
     tokio::task::spawn_local(async move {
@@ -154,37 +153,37 @@
     Ok(sender)
 }
 
-/// Failure: something between the two ends loses track of an open connection; requests on it wait
-/// for their deadline, and the backend server is taken for slow. The kernel of the other end
-/// acknowledges what it gets even when the server behind it is slow, so bytes that stay
-/// unacknowledged mean that the path is gone and say nothing about the server.
-fn watch_silence(stream: &TcpStream) {
+/// Sets TCP timeouts that detect a dead path. If a middlebox drops an open connection, requests on
+/// it would wait for their deadline and the backend server would appear slow. The remote kernel
+/// acknowledges bytes even when the server process is slow, so unacknowledged bytes mean that the
+/// path is broken and do not count against the server.
+fn set_silence_timeouts(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBE_COUNT);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_COUNT);
     let _ = socket.set_tcp_keepalive(&keepalive);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE_LIMIT));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
 }
 
-/// Whether the backend server ended: it refuses new connections.
+/// Returns whether a backend server refuses new connections, which means that it has terminated.
 ///
-/// A server that ends closes its sockets one after the other, and a connection may be seen broken
-/// before the listener is closed. So a server counts as alive only when it takes connections for a
-/// while.
-pub async fn has_ended(address: SocketAddr) -> bool {
-    for _ in 0..END_LOOKS {
+/// A terminating server closes its sockets one after the other, so a connection may break before
+/// the listener is closed. A server therefore counts as running only when it accepts several
+/// connections in a row.
+pub async fn refuses_connections(address: SocketAddr) -> bool {
+    for _ in 0..LIVENESS_CHECKS {
         let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         if !matches!(opened, Ok(Ok(_))) {
             return true;
         }
-        tokio::time::sleep(END_PAUSE).await;
+        tokio::time::sleep(LIVENESS_CHECK_PAUSE).await;
     }
     false
 }
 
-/// A body for the backend server from the chunks as they come.
+/// Returns a request body that streams the chunks as they arrive.
 #[must_use]
 pub fn backend_body(chunks: BodyReceiver) -> BackendBody {
     let stream = futures_util::stream::unfold(chunks, |mut chunks| async move {
