--- a/crates/daemon/src/work/executor.rs
+++ b/crates/daemon/src/work/executor.rs
@@ -1,5 +1,5 @@
-//! Runs one piece of work at a backend server beside this node, once the decision thread gives it a
-//! slot, and hands on the reply only as far as it is whole and belongs to the request.
+//! Runs one piece of work on a backend server of this node once the decision thread grants a slot,
+//! and validates the reply.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -18,47 +18,47 @@
 use sycamorelink_telemetry::{EventCode, EventFields};
 use tokio::sync::{mpsc, oneshot};
 
-use super::backend::{SendFailure, backend_body, has_ended};
+use super::backend::{SendFailure, backend_body, refuses_connections};
 use super::{ReplySink, WorkCommand, WorkContext};
 use crate::border::{BackendAsk, BackendRequest, ReplyExpectation, ReplyVerdict};
-use crate::callers::{KeptReply, is_hop_header};
+use crate::callers::{StoredReply, is_hop_header};
 use crate::inbox::ShellInput;
 use crate::part::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
 
-/// Commands that may wait for one piece of work.
+/// Capacity of the command channel of one piece of work.
 const COMMAND_DEPTH: usize = 4;
-/// Greatest reply kept for a resend, in bytes of body.
-const KEPT_LIMIT: usize = 16 << 10;
-/// Longest wait until the other executors know of a crash.
-const RELEASE_LIMIT: Duration = Duration::from_millis(400);
-/// How long past its deadline work that must not repeat is still waited for, so that its reply can
-/// be kept for a resend.
-const KEPT_GRACE: Duration = Duration::from_mins(1);
+/// Largest reply stored for a resend, in bytes of body.
+const STORED_REPLY_LIMIT: usize = 16 << 10;
+/// Longest wait before a crash is reported, so that the other executors learn of the crash first.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time past the deadline for which work that must not run twice continues, so that its reply can
+/// be stored for a resend.
+const STORED_REPLY_GRACE: Duration = Duration::from_mins(1);
 
-/// One request for a backend server beside this node.
+/// One request for a backend server of this node.
 #[derive(Debug)]
 pub struct ExecutorTask {
-    /// What the decision thread needs to know.
+    /// Description of the work for the decision thread.
     pub offer: WorkOffer,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Headers.
+    /// Request headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// Chunks of the request body.
     pub body: BodyReceiver,
-    /// Its length, where known.
+    /// Length of the body in bytes; `None` when unknown.
     pub body_length: Option<u64>,
-    /// Header in which the backend server must repeat the request id.
+    /// Reply header in which the backend server must repeat the request id.
     pub reply_id_header: Option<String>,
-    /// Where the reply goes.
+    /// Channel for the reply.
     pub reply: ReplySink,
-    /// Closed when nobody wants the work any more.
+    /// Closed when the work is cancelled.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Runs the task to its end.
+/// Requests a slot for the task and runs it.
 pub async fn execute(context: WorkContext, task: ExecutorTask) {
     let (port, mut commands) = mpsc::channel(COMMAND_DEPTH);
     let work = task.offer.work;
@@ -69,7 +69,7 @@
         return;
     }
     let mut task = task;
-    let offered = Instant::now();
+    let offered_at = Instant::now();
     let cancellable = task.offer.ticket.is_none();
     let life = tokio::select! {
         command = commands.recv() => match command {
@@ -86,12 +86,12 @@
             }
         },
         _ = &mut task.cancelled, if cancellable => {
-            tell(&context, NodeEvent::WorkCancelled { work }).await;
+            send_event(&context, NodeEvent::WorkCancelled { work }).await;
             return;
         }
     };
-    // The backend server is told what is left after the wait for a slot, not what was left before.
-    task.offer.time_left = task.offer.time_left.saturating_sub(offered.elapsed());
+    // The backend server receives the time left after the wait for a slot.
+    task.offer.time_left = task.offer.time_left.saturating_sub(offered_at.elapsed());
     run_work(context, task, life, commands).await;
 }
 
@@ -107,30 +107,30 @@
     let limit = if cancellable {
         task.offer.time_left
     } else {
-        task.offer.time_left + KEPT_GRACE
+        task.offer.time_left + STORED_REPLY_GRACE
     };
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut task = task;
     let cancelled = std::mem::replace(&mut task.cancelled, oneshot::channel().1);
     let run = WorkRun::new(context.clone(), task, life);
     let reply = run.reply.clone();
     let end = tokio::select! {
-        end = run.run() => end,
-        () = stopped(&mut commands, cancelled, cancellable) => RunEnd::of(WorkEnd::Cancelled),
+        end = run.execute() => end,
+        () = wait_for_stop(&mut commands, cancelled, cancellable) => RunEnd::of(WorkEnd::Cancelled),
         () = tokio::time::sleep(limit) => RunEnd::of(WorkEnd::Silent),
     };
-    let service_time = started.elapsed();
+    let service_time = started_at.elapsed();
     let report = WorkReport {
         work,
         end: end.end,
         status: end.status,
         service_time,
-        reply: end.kept,
+        reply: end.stored,
     };
-    tell(&context, NodeEvent::WorkEnded(report)).await;
+    send_event(&context, NodeEvent::WorkEnded(report)).await;
     if end.end == WorkEnd::Crashed {
         let released = commands.recv();
-        let _ = tokio::time::timeout(RELEASE_LIMIT, released).await;
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, released).await;
     }
     let part = match failure_of(end.end) {
         None => ReplyPart::End(ReplyEnd {
@@ -142,7 +142,7 @@
     reply.send(part).await;
 }
 
-async fn stopped(
+async fn wait_for_stop(
     commands: &mut mpsc::Receiver<WorkCommand>,
     cancelled: oneshot::Receiver<()>,
     cancellable: bool,
@@ -185,15 +185,15 @@
     reply.send(ReplyPart::Failed(failure)).await;
 }
 
-async fn tell(context: &WorkContext, event: NodeEvent) {
+async fn send_event(context: &WorkContext, event: NodeEvent) {
     context.inbox.send(ShellInput::Event(event)).await;
 }
 
-/// How a run ended, with the reply to keep.
+/// Outcome of a run and the reply to store.
 struct RunEnd {
     end: WorkEnd,
     status: Option<u16>,
-    kept: Option<Arc<[u8]>>,
+    stored: Option<Arc<[u8]>>,
 }
 
 impl RunEnd {
@@ -201,7 +201,7 @@
         Self {
             end,
             status: None,
-            kept: None,
+            stored: None,
         }
     }
 }
@@ -219,7 +219,7 @@
 impl WorkRun {
     fn new(context: WorkContext, task: ExecutorTask, life: Option<Arc<str>>) -> Self {
         let request_id = task.offer.attempt.request.to_string();
-        let ask = BackendAsk {
+        let spec = BackendAsk {
             method: Method::from_bytes(task.method.as_bytes()).unwrap_or(Method::GET),
             target: task.target,
             headers: task.headers,
@@ -229,7 +229,7 @@
             time_left: task.offer.time_left,
             body_length: task.body_length,
         };
-        let request = context.border.request(ask);
+        let request = context.adapter.request(spec);
         let request = request.map(|BackendRequest { head, expectation }| {
             (head.map(|()| backend_body(task.body)), expectation)
         });
@@ -244,7 +244,7 @@
         }
     }
 
-    async fn run(mut self) -> RunEnd {
+    async fn execute(mut self) -> RunEnd {
         let Some(address) = self.context.directory.address(self.slot) else {
             return RunEnd::of(WorkEnd::NotStarted);
         };
@@ -260,24 +260,24 @@
             Ok((response, connection)) => {
                 let end = self.read_reply(address, response, &expectation).await;
                 if end.end == WorkEnd::Replied {
-                    self.context.backends.keep(connection);
+                    self.context.backends.put_back(connection);
                 }
                 end
             }
             Err(SendFailure::NotSent) => RunEnd::of(WorkEnd::NotStarted),
-            Err(SendFailure::Broken { silent }) => RunEnd::of(self.broken(address, silent).await),
+            Err(SendFailure::Broken { silent }) => RunEnd::of(self.classify(address, silent).await),
         }
     }
 
-    /// Tells a backend server that ended from a connection that was lost: only the first refuses
-    /// new connections. Blaming the server for a lost connection would be a false ejection.
-    async fn broken(&self, address: SocketAddr, silent: bool) -> WorkEnd {
+    /// Distinguishes a terminated backend server, which refuses new connections, from a lost
+    /// connection, which must not lead to the ejection of a healthy server.
+    async fn classify(&self, address: SocketAddr, silent: bool) -> WorkEnd {
         let work = self.work;
-        tell(&self.context, NodeEvent::WorkBroke { work }).await;
+        send_event(&self.context, NodeEvent::WorkBroke { work }).await;
         if silent {
-            self.context.backends.discard(self.slot);
+            self.context.backends.discard_idle(self.slot);
         }
-        if has_ended(address).await {
+        if refuses_connections(address).await {
             WorkEnd::Crashed
         } else {
             WorkEnd::ConnectionLost
@@ -293,7 +293,7 @@
         let (parts, mut body) = response.into_parts();
         let verdict = self
             .context
-            .border
+            .adapter
             .judge(expectation, parts.status, &parts.headers);
         match verdict {
             ReplyVerdict::Own => {}
@@ -304,16 +304,16 @@
         }
         let head = reply_head(parts.status, &parts.headers);
         self.reply.send(ReplyPart::Head(head.clone())).await;
-        let mut kept = BytesMut::new();
+        let mut buffer = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
-                if has_ended(address).await {
+                if refuses_connections(address).await {
                     return RunEnd::of(WorkEnd::Crashed);
                 }
                 return self.reject(EventCode::ReplyTruncated);
             };
             if let Ok(chunk) = frame.into_data() {
-                self.keep_chunk(&mut kept, &chunk);
+                self.buffer_chunk(&mut buffer, &chunk);
                 let wanted = self.reply.send(ReplyPart::Chunk(chunk)).await;
                 if !wanted && !self.keyed {
                     return RunEnd::of(WorkEnd::Cancelled);
@@ -323,7 +323,7 @@
         RunEnd {
             end: WorkEnd::Replied,
             status: Some(head.status),
-            kept: self.kept_reply(head, &kept),
+            stored: self.stored_reply(head, &buffer),
         }
     }
 
@@ -335,17 +335,17 @@
         RunEnd::of(WorkEnd::Rejected)
     }
 
-    fn keep_chunk(&self, kept: &mut BytesMut, chunk: &Bytes) {
-        if self.keyed && kept.len() <= KEPT_LIMIT {
-            kept.extend_from_slice(chunk);
+    fn buffer_chunk(&self, buffer: &mut BytesMut, chunk: &Bytes) {
+        if self.keyed && buffer.len() <= STORED_REPLY_LIMIT {
+            buffer.extend_from_slice(chunk);
         }
     }
 
-    fn kept_reply(&self, head: ReplyHead, body: &BytesMut) -> Option<Arc<[u8]>> {
-        if !self.keyed || body.len() > KEPT_LIMIT {
+    fn stored_reply(&self, head: ReplyHead, body: &BytesMut) -> Option<Arc<[u8]>> {
+        if !self.keyed || body.len() > STORED_REPLY_LIMIT {
             return None;
         }
-        let reply = KeptReply {
+        let reply = StoredReply {
             status: head.status,
             headers: head.headers,
             body: body.to_vec(),
@@ -359,14 +359,14 @@
         .get(CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    let handed_on = headers
+    let forwarded = headers
         .iter()
         .filter(|(name, _)| !is_hop_header(name) && **name != CONTENT_LENGTH)
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect();
     ReplyHead {
         status: status.as_u16(),
-        headers: handed_on,
+        headers: forwarded,
         body_length,
     }
 }
--- a/crates/daemon/src/work/mod.rs
+++ b/crates/daemon/src/work/mod.rs
@@ -1,13 +1,12 @@
-//! The work thread: carries attempts to executors and runs work at the backend servers beside this
-//! node.
+//! The work thread: sends attempts to executors and runs work on the backend servers of this node.
 //!
 //! ```text
-//!  exchange ──AttemptTask──▶ attempt ──inner protocol──▶ executor of another node
-//!                               └──────── this node ───▶ executor ──HTTP/1.1──▶ backend server
-//!  other node ──inner protocol──▶ serving side ────────────▲
+//!  exchange ──AttemptTask──▶ attempt ──node protocol──▶ executor of another node
+//!                               └──────── this node ──▶ executor ──HTTP/1.1──▶ backend server
+//!  other node ──node protocol──▶ serving side ────────────▲
 //! ```
 //!
-//! The executor asks the decision thread for a slot before the backend server sees anything.
+//! The executor requests a slot from the decision thread before it contacts the backend server.
 
 mod attempt;
 mod backend;
@@ -17,7 +16,7 @@
 mod thread;
 
 pub use directory::BackendDirectory;
-pub use thread::{LoadBoard, PeerOrder, WorkContext, WorkParts, WorkThread};
+pub use thread::{LoadBoard, OutboundMessage, WorkContext, WorkParts, WorkThread};
 
 use std::sync::Arc;
 
@@ -28,30 +27,30 @@
 
 use crate::part::{BodyReceiver, ReplyPart};
 
-/// One attempt as the exchange hands it over.
+/// One attempt, sent from the exchange to the work thread.
 #[derive(Debug)]
 pub struct AttemptTask {
-    /// What the decision thread ordered.
+    /// Order of the decision thread.
     pub order: Box<AttemptOrder>,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Headers to hand on.
+    /// Headers to forward.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The body.
+    /// Chunks of the request body.
     pub body: BodyReceiver,
-    /// Its length, where known.
+    /// Length of the body in bytes; `None` when unknown.
     pub body_length: Option<u64>,
-    /// Exact identity of the request for the crash-request registry; zero when unknown.
+    /// Hash that identifies the request in the crash-request registry; zero when unknown.
     pub signature: u64,
-    /// Where the parts of the reply go.
+    /// Channel for the parts of the reply.
     pub reply: ReplySink,
-    /// Closed when nobody wants the attempt any more.
+    /// Closed when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Puts an attempt's number on the parts of its reply.
+/// Channel for the parts of a reply, labelled with the attempt's number.
 #[derive(Clone, Debug)]
 pub struct ReplySink {
     number: u16,
@@ -59,27 +58,27 @@
 }
 
 impl ReplySink {
-    /// A sink for the attempt with this number.
+    /// Creates a sink for the attempt with this number.
     #[must_use]
     pub fn new(number: u16, parts: mpsc::Sender<(u16, ReplyPart)>) -> Self {
         Self { number, parts }
     }
 
-    /// Hands a part on; false when nobody takes it any more.
+    /// Sends a part. Returns false when the receiver is closed.
     pub async fn send(&self, part: ReplyPart) -> bool {
         self.parts.send((self.number, part)).await.is_ok()
     }
 }
 
-/// What the decision thread tells one piece of work.
+/// Command from the decision thread to one piece of work.
 #[derive(Debug)]
 pub enum WorkCommand {
-    /// Hand it to the backend server, of which this life is meant.
+    /// Sends the work to the backend server with this process incarnation.
     Run(Option<Arc<str>>),
-    /// Refuse it.
+    /// Refuses the work and reports the backend server's load.
     Refuse(RequestRefusal, LoadHint),
-    /// Tell its failure.
+    /// Allows the work to report that its backend server crashed.
     Release,
-    /// Stop it.
+    /// Cancels the work.
     Cancel,
 }
--- a/crates/daemon/src/work/serving.rs
+++ b/crates/daemon/src/work/serving.rs
@@ -1,4 +1,4 @@
-//! The answering side of the inner protocol.
+//! Server side of the protocol between nodes.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 use super::{ReplySink, WorkContext};
 use crate::inbox::ShellInput;
 use crate::part::{
-    AttemptFailure, BODY_DEPTH, BodyBroken, BodySender, REPLY_DEPTH, ReplyHead, ReplyPart,
+    AttemptFailure, BODY_DEPTH, BodySender, BodyTruncated, REPLY_DEPTH, ReplyHead, ReplyPart,
 };
 
-/// Serves peers until the node drains and the last reply is written out.
+/// Serves peers until the node drains and the last reply is sent.
 pub async fn serve_peers(
     context: WorkContext,
     identity: PeerIdentity,
@@ -38,7 +38,7 @@
     serve_listener(listener, &identity, settings, handler, drain).await;
 }
 
-/// The event of a refused connection; none for one that merely broke.
+/// Returns the event for a refused connection, or `None` for a network error.
 fn refusal_event(error: &ConnectError) -> Option<EventCode> {
     match error {
         ConnectError::Refused(HandshakeRefusal::UnknownVersion)
@@ -65,7 +65,7 @@
 impl PeerHandler<PeerMessage> for DaemonHandler {
     fn work(&self, exchange: WorkExchange) -> HandlerFuture {
         let context = self.context.clone();
-        Box::pin(answer_work(context, exchange))
+        Box::pin(serve_work(context, exchange))
     }
 
     fn refused(&self, from: SocketAddr, error: &ConnectError) {
@@ -73,7 +73,7 @@
             let fields = EventFields::new().address(&from).reason(error);
             self.context.events.emit(code, &fields);
         } else {
-            tracing::debug!(%from, %error, "a connection from a peer was not opened");
+            tracing::debug!(%from, %error, "failed to accept a connection from a peer");
         }
     }
 
@@ -91,7 +91,7 @@
     }
 }
 
-async fn answer_work(context: WorkContext, exchange: WorkExchange) {
+async fn serve_work(context: WorkContext, exchange: WorkExchange) {
     let WorkExchange {
         peer,
         head,
@@ -102,14 +102,14 @@
     let slot = head.upstream.slot;
     let extras = head.guard.as_deref().map(decode_payload::<WorkExtras>);
     let Some(Ok(extras)) = extras else {
-        refuse_garbled(reply, attempt).await;
+        refuse_malformed(reply, attempt).await;
         return;
     };
     let (parts_in, parts) = mpsc::channel(REPLY_DEPTH);
     let (body_in, body_out) = mpsc::channel(BODY_DEPTH);
     let (cancel, cancelled) = oneshot::channel();
     let reply_id_header = extras.reply_id_header.clone();
-    let offer = offer_of(&context, peer, &head, extras);
+    let offer = work_offer(&context, peer, &head, extras);
     let task = ExecutorTask {
         offer,
         method: head.method,
@@ -126,12 +126,12 @@
         attempt,
         slot,
     };
-    tokio::task::spawn_local(take_body(body, body_in));
+    tokio::task::spawn_local(forward_body(body, body_in));
     tokio::task::spawn_local(execute(context, task));
     relay.run(parts, reply, cancel).await;
 }
 
-fn offer_of(
+fn work_offer(
     context: &WorkContext,
     peer: InstanceId,
     head: &WorkHead,
@@ -157,7 +157,7 @@
     }
 }
 
-async fn refuse_garbled(reply: ReplySender, attempt: AttemptId) {
+async fn refuse_malformed(reply: ReplySender, attempt: AttemptId) {
     let refused = WorkRefused {
         attempt,
         refusal: RequestRefusal::not_run(RefusalCode::BadRequest),
@@ -166,12 +166,12 @@
     let _ = reply.refuse(&refused).await;
 }
 
-async fn take_body(mut body: WireBody, sender: BodySender) {
+async fn forward_body(mut body: WireBody, sender: BodySender) {
     loop {
         let chunk = match body.chunk().await {
             Ok(Some(chunk)) => Ok(chunk),
             Ok(None) => return,
-            Err(_) => Err(BodyBroken),
+            Err(_) => Err(BodyTruncated),
         };
         let broken = chunk.is_err();
         if sender.send(chunk).await.is_err() || broken {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Hands the parts of a reply to the peer.
+/// Forwards the parts of a reply to the peer.
 struct ReplyRelay {
     context: WorkContext,
     attempt: AttemptId,
@@ -188,15 +188,15 @@
 }
 
 impl ReplyRelay {
-    /// Until the reply's end, or until the peer no longer wants it; dropping `cancel` tells the
-    /// executor.
+    /// Forwards parts until the end of the reply or until the peer cancels it. Dropping `cancel`
+    /// cancels the work at the executor.
     async fn run(
         self,
         mut parts: mpsc::Receiver<(u16, ReplyPart)>,
         mut reply: ReplySender,
         cancel: oneshot::Sender<()>,
     ) {
-        let mut held: Option<(ReplyHead, Vec<Bytes>)> = None;
+        let mut buffered: Option<(ReplyHead, Vec<Bytes>)> = None;
         loop {
             let part = tokio::select! {
                 part = parts.recv() => part,
@@ -206,13 +206,13 @@
                 break;
             };
             let sent = match part {
-                ReplyPart::Head(begun) => {
-                    held = Some((begun, Vec::new()));
+                ReplyPart::Head(head) => {
+                    buffered = Some((head, Vec::new()));
                     Ok(())
                 }
-                ReplyPart::Chunk(chunk) => self.send_chunk(&mut reply, &mut held, chunk).await,
+                ReplyPart::Chunk(chunk) => self.send_chunk(&mut reply, &mut buffered, chunk).await,
                 ReplyPart::End(end) => {
-                    let _ = self.finish(reply, held, end.service_time).await;
+                    let _ = self.finish(reply, buffered, end.service_time).await;
                     return;
                 }
                 ReplyPart::Failed(failure) => {
@@ -227,21 +227,21 @@
         drop(cancel);
     }
 
-    /// The head waits for the first chunk after the one it comes with, so that a reply of one
-    /// chunk goes out in one write.
+    /// Sends a chunk, but holds the head and the first chunk back until a second chunk arrives, so
+    /// that a reply of one chunk is sent in a single write.
     async fn send_chunk(
         &self,
         reply: &mut ReplySender,
-        held: &mut Option<(ReplyHead, Vec<Bytes>)>,
+        buffered: &mut Option<(ReplyHead, Vec<Bytes>)>,
         chunk: Bytes,
     ) -> Result<(), WireError> {
-        if let Some((_, chunks)) = held
+        if let Some((_, chunks)) = buffered
             && chunks.is_empty()
         {
             chunks.push(chunk);
             return Ok(());
         }
-        if let Some((head, chunks)) = held.take() {
+        if let Some((head, chunks)) = buffered.take() {
             reply.head(&self.wire_head(head)).await?;
             for earlier in chunks {
                 reply.chunk(&earlier).await?;
@@ -253,14 +253,14 @@
     async fn finish(
         &self,
         reply: ReplySender,
-        held: Option<(ReplyHead, Vec<Bytes>)>,
+        buffered: Option<(ReplyHead, Vec<Bytes>)>,
         service_time: std::time::Duration,
     ) -> Result<(), WireError> {
-        match held {
-            Some((begun, mut chunks)) => {
+        match buffered {
+            Some((head, mut chunks)) => {
                 let body = chunks.pop().unwrap_or_default();
                 reply
-                    .whole(&self.wire_head(begun), &body, service_time)
+                    .whole(&self.wire_head(head), &body, service_time)
                     .await
             }
             None => {
@@ -300,7 +300,7 @@
                 })
                 .await;
         }
-        let kind = kind_of(failure.kind, failure.run);
+        let kind = failure_kind(failure.kind, failure.run);
         reply
             .fail(&WorkFailed {
                 attempt,
@@ -312,7 +312,7 @@
     }
 }
 
-fn kind_of(kind: SampleKind, run: RunState) -> FailureKind {
+fn failure_kind(kind: SampleKind, run: RunState) -> FailureKind {
     match kind {
         SampleKind::ConnectionLost if run == RunState::NotRun => FailureKind::Unreachable,
         SampleKind::ConnectionLost => FailureKind::ConnectionLost,
--- a/crates/daemon/src/work/thread.rs
+++ b/crates/daemon/src/work/thread.rs
@@ -1,4 +1,4 @@
-//! The work thread itself: one single-threaded runtime for everything between nodes and towards
+//! Runtime of the work thread: a single-threaded executor for all traffic between nodes and to
 //! backend servers.
 
 use std::collections::BTreeMap;
@@ -27,111 +27,111 @@
 use crate::metrics::EventPort;
 use crate::ring::RingSender;
 
-/// Time between two looks at which peers are quiet.
-const QUIET_LOOK: Duration = Duration::from_millis(100);
-/// How long a peer may owe the answer to a heartbeat before it gets no new work: seventy times the
-/// way there and back, and twice the longest stop of a process whose share of a core is used up.
+/// Interval between checks for quiet peers.
+const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time without a reply to a heartbeat before a peer gets no new work: 70 round trips, and
+/// twice the longest pause of a process that has used up its CPU quota.
 const QUIET_LIMIT: Duration = Duration::from_millis(200);
-/// Attempts and messages that may wait for the work thread.
-pub const ORDER_DEPTH: usize = 1024;
+/// Capacity of the channels for attempts and for messages.
+pub const CHANNEL_DEPTH: usize = 1024;
 
 /// A message for a peer.
 #[derive(Debug)]
-pub struct PeerOrder {
-    /// The life that is meant.
+pub struct OutboundMessage {
+    /// Instance and incarnation of the receiver.
     pub to: InstanceId,
-    /// Its address.
+    /// Address of the receiver.
     pub address: SocketAddr,
-    /// What to say.
+    /// Content of the message.
     pub message: PeerMessage,
 }
 
-/// Loads beside the backend servers of this node, as the decision thread last told them.
+/// Loads of the backend servers of this node, as last published by the decision thread.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBoard {
     loads: Arc<Mutex<BTreeMap<u16, LoadHint>>>,
 }
 
 impl LoadBoard {
-    /// Notes a load.
+    /// Sets the load of a backend server.
     pub fn set(&self, slot: u16, load: LoadHint) {
         if let Ok(mut loads) = self.loads.lock() {
             loads.insert(slot, load);
         }
     }
 
-    /// The load of one backend server.
+    /// Returns the load of a backend server, or `None` before it is first published.
     #[must_use]
     pub fn get(&self, slot: u16) -> Option<LoadHint> {
         self.loads.lock().ok()?.get(&slot).copied()
     }
 }
 
-/// What the tasks of the work thread share.
+/// State that the tasks of the work thread share.
 #[derive(Clone, Debug)]
 pub struct WorkContext {
-    /// This life of this node.
+    /// Instance and incarnation of this node.
     pub instance: InstanceId,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Where the backend servers listen.
+    /// Addresses of the backend servers.
     pub directory: BackendDirectory,
-    /// Connections to them.
+    /// Connections to the backend servers.
     pub backends: BackendPool,
     /// Connections to peers.
     pub peers: PeerPool<PeerMessage>,
-    /// Loads beside the backend servers.
+    /// Loads of the backend servers.
     pub loads: LoadBoard,
-    /// Where events are logged.
+    /// Event log.
     pub events: EventPort,
-    /// How backend servers are spoken to.
-    pub border: Arc<dyn BackendBorder>,
-    works: Rc<AtomicU64>,
+    /// Protocol for requests to backend servers.
+    pub adapter: Arc<dyn BackendBorder>,
+    work_counter: Rc<AtomicU64>,
 }
 
 impl WorkContext {
-    /// A number for a new piece of work.
+    /// Returns a new id for a piece of work.
     #[must_use]
     pub fn next_work(&self) -> WorkId {
-        WorkId(self.works.fetch_add(1, Ordering::Relaxed))
+        WorkId(self.work_counter.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Tells the decision thread.
-    pub async fn tell(&self, event: NodeEvent) {
+    /// Sends an event to the decision thread.
+    pub async fn send_event(&self, event: NodeEvent) {
         self.inbox.send(ShellInput::Event(event)).await;
     }
 }
 
-/// What the work thread is started with.
+/// Arguments of [`WorkThread::start`].
 #[derive(Debug)]
 pub struct WorkParts {
-    /// Proof of this node.
+    /// Identity of this node and the fleet keys that prove it.
     pub identity: PeerIdentity,
-    /// Limits of the inner protocol.
+    /// Limits and timeouts of the protocol between nodes.
     pub wire: WireSettings,
-    /// Where peers connect to.
+    /// Listener for connections from peers.
     pub listener: TcpListener,
-    /// Where events go.
+    /// Ring of the decision thread, for events.
     pub inbox: RingSender<ShellInput>,
-    /// Where the backend servers listen.
+    /// Addresses of the backend servers.
     pub directory: BackendDirectory,
-    /// Loads beside them.
+    /// Loads of the backend servers.
     pub loads: LoadBoard,
-    /// Where events are logged.
+    /// Event log.
     pub events: EventPort,
-    /// How backend servers are spoken to.
-    pub border: Arc<dyn BackendBorder>,
-    /// Turns true when the node stops taking work from peers.
+    /// Protocol for requests to backend servers.
+    pub adapter: Arc<dyn BackendBorder>,
+    /// Set to true when the node stops accepting work from peers.
     pub drain: watch::Receiver<bool>,
 }
 
-/// The running thread, and where its orders go.
+/// Handle to the running thread and its input channels.
 #[derive(Debug)]
 pub struct WorkThread {
-    /// Attempts to carry out.
+    /// Attempts to run.
     pub attempts: mpsc::Sender<AttemptTask>,
     /// Messages to peers.
-    pub messages: mpsc::Sender<PeerOrder>,
+    pub messages: mpsc::Sender<OutboundMessage>,
     thread: JoinHandle<()>,
 }
 
@@ -140,13 +140,13 @@
     ///
     /// # Errors
     ///
-    /// When the thread cannot be started.
+    /// Returns an error when the thread cannot be started.
     pub fn start(parts: WorkParts) -> anyhow::Result<Self> {
-        let (attempts, attempt_orders) = mpsc::channel(ORDER_DEPTH);
-        let (messages, message_orders) = mpsc::channel(ORDER_DEPTH);
+        let (attempts, attempt_receiver) = mpsc::channel(CHANNEL_DEPTH);
+        let (messages, message_receiver) = mpsc::channel(CHANNEL_DEPTH);
         let thread = thread::Builder::new()
             .name("work".to_owned())
-            .spawn(move || run_thread(parts, attempt_orders, message_orders))
+            .spawn(move || run_thread(parts, attempt_receiver, message_receiver))
             .context("cannot start the work thread")?;
         Ok(Self {
             attempts,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// Waits for the thread's end; it ends when all senders of orders are dropped.
+    /// Waits for the end of the thread, which ends when all senders of attempts are dropped.
     pub fn join(self) {
         drop(self.attempts);
         drop(self.messages);
@@ -166,7 +166,7 @@
 fn run_thread(
     parts: WorkParts,
     attempts: mpsc::Receiver<AttemptTask>,
-    messages: mpsc::Receiver<PeerOrder>,
+    messages: mpsc::Receiver<OutboundMessage>,
 ) {
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -184,8 +184,8 @@
             peers: PeerPool::new(parts.identity.clone(), parts.wire),
             loads: parts.loads,
             events: parts.events,
-            border: parts.border,
-            works: Rc::new(AtomicU64::new(1)),
+            adapter: parts.adapter,
+            work_counter: Rc::new(AtomicU64::new(1)),
         };
         let serving = serve_peers(
             context.clone(),
@@ -196,42 +196,44 @@
         );
         let serving = tokio::task::spawn_local(serving);
         tokio::task::spawn_local(send_messages(context.clone(), messages));
-        tokio::task::spawn_local(watch_quiet(context.clone()));
-        take_attempts(context, attempts).await;
+        tokio::task::spawn_local(report_quiet_peers(context.clone()));
+        run_attempts(context, attempts).await;
         let _ = serving.await;
     });
 }
 
-async fn take_attempts(context: WorkContext, mut attempts: mpsc::Receiver<AttemptTask>) {
+async fn run_attempts(context: WorkContext, mut attempts: mpsc::Receiver<AttemptTask>) {
     while let Some(task) = attempts.recv().await {
         tokio::task::spawn_local(run_attempt(context.clone(), task));
     }
 }
 
-/// Tells of peers that owe the answer to a heartbeat.
-async fn watch_quiet(context: WorkContext) {
+/// Reports peers that have not replied to a heartbeat within [`QUIET_LIMIT`].
+async fn report_quiet_peers(context: WorkContext) {
     loop {
-        tokio::time::sleep(QUIET_LOOK).await;
+        tokio::time::sleep(QUIET_CHECK_INTERVAL).await;
         for peer in context.peers.quiet_peers(QUIET_LIMIT) {
-            context.tell(NodeEvent::PeerQuiet { node: peer.node }).await;
+            context
+                .send_event(NodeEvent::PeerQuiet { node: peer.node })
+                .await;
         }
     }
 }
 
-/// Each message goes on its own, so that a peer that cannot be reached holds up no other.
-async fn send_messages(context: WorkContext, mut messages: mpsc::Receiver<PeerOrder>) {
-    while let Some(order) = messages.recv().await {
+/// Sends each message in its own task, so that an unreachable peer does not delay the others.
+async fn send_messages(context: WorkContext, mut messages: mpsc::Receiver<OutboundMessage>) {
+    while let Some(outbound) = messages.recv().await {
         let context = context.clone();
         tokio::task::spawn_local(async move {
             let sent = context
                 .peers
-                .send(order.to, order.address, &order.message)
+                .send(outbound.to, outbound.address, &outbound.message)
                 .await;
             if let Err(error) = sent {
-                tracing::debug!(peer = %order.to, %error, "cannot reach a peer");
+                tracing::debug!(peer = %outbound.to, %error, "failed to reach a peer");
                 context
-                    .tell(NodeEvent::PeerUnreachable {
-                        node: order.to.node,
+                    .send_event(NodeEvent::PeerUnreachable {
+                        node: outbound.to.node,
                     })
                     .await;
             }
--- a/crates/daemon/tests/datagrams.rs
+++ b/crates/daemon/tests/datagrams.rs
@@ -1,11 +1,11 @@
-//! What the membership puts into a datagram against what the inner protocol takes.
+//! Tests that the roster's datagrams fit into sealed datagrams.
 
 use sycamorelink_roster::RosterSettings;
 use sycamorelink_wire::DATAGRAM_PAYLOAD;
 
-// Guards against full datagrams, which a large fleet that starts sends most, being dropped unsent because
-// their seal made them too long.
+// Sealing adds bytes: a full datagram, which is most frequent while a large fleet starts, must not
+// become too long to send.
 #[test]
-fn a_full_datagram_of_the_membership_can_be_sealed() {
+fn full_roster_datagram_fits_after_sealing() {
     assert!(RosterSettings::default().datagram_bytes <= DATAGRAM_PAYLOAD);
 }
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -1,36 +1,38 @@
-//! How many nodes leave an entry where nodes find each other.
+//! Tests of how many nodes write an entry to the member directory.
 
 use sycamorelink_daemon::members::ListingPolicy;
 
-/// Sizes of fleets, and most entries that each may write: a few times the root of its size.
+/// Fleet sizes and the most entries that each fleet may write: a few times the square root of its
+/// size.
 const FLEETS: [(u64, usize); 5] = [(25, 20), (96, 40), (300, 70), (983, 125), (12_069, 440)];
-/// Fewest entries: nodes that start find somebody though most of the listed ones were lost.
-const FEWEST: usize = 8;
+/// Fewest entries, so that a starting node finds another one even when most listed nodes are lost.
+const MIN_ENTRIES: usize = 8;
 
-// Guards against a directory that grows like the fleet: every node writes to it, and every node reads all.
+// Every node reads the whole directory, so the directory must not grow in proportion to the fleet.
 #[test]
-fn entries_grow_with_the_root_of_the_fleet() {
-    for (nodes, most) in FLEETS {
+fn entry_count_grows_with_square_root_of_fleet_size() {
+    for (nodes, max_entries) in FLEETS {
         let mut listed = 0;
         for seed in 0..nodes {
-            listed += usize::from(ListingPolicy::new(seed).is_listed_beside(listed));
+            listed += usize::from(ListingPolicy::new(seed).should_list_at_start(listed));
         }
         assert!(
-            (FEWEST..=most).contains(&listed),
+            (MIN_ENTRIES..=max_entries).contains(&listed),
             "{nodes} nodes: {listed} entries"
         );
     }
 }
 
-// Guards against a fleet that writes at once after all listed nodes were lost, and against one that never does.
+// When all listed nodes are lost, the remaining nodes must not write all at once, but each must
+// write eventually.
 #[test]
-fn a_fleet_whose_listed_nodes_are_lost_writes_little_by_little() {
+fn isolated_nodes_write_entries_gradually() {
     let mut nodes: Vec<ListingPolicy> = (0..983).map(ListingPolicy::new).collect();
     let mut written: Vec<usize> = Vec::new();
     for _ in 0..4 {
         let now = nodes
             .iter_mut()
-            .map(|node| usize::from(node.is_listed_alone()));
+            .map(|node| usize::from(node.should_list_when_isolated()));
         written.push(now.sum());
     }
     assert!(written[0] > 0 && written[0] < 60, "{written:?}");
