--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,15 +1,15 @@
-//! What every thread of the daemon tells operators with: numbered events and metrics.
+//! Telemetry that every thread of the daemon shares: numbered events and metrics.
 //!
 //! ```text
-//!  decision thread ─ NoteKeeper ─┐
-//!  log, gossip, work threads ────┼─▶ EventPort ─▶ EventThrottle ─▶ log on stderr
-//!  operators thread ─ audit ─────┘        │
-//!                                         ▼
-//!                 MeterTable ─▶ MetricRegistry ─ metrics thread, once a second ─▶ UDP
+//!  decision thread ─ NoteRecorder ─┐
+//!  log, gossip, work threads ──────┼─▶ EventPort ─▶ EventThrottle ─▶ log on stderr
+//!  operators thread ─ audit ───────┘        │
+//!                                           ▼
+//!                  MetricTable ─▶ MetricRegistry ─ metrics thread, once a second ─▶ UDP
 //! ```
 //!
-//! Nothing here waits: an event is a few atomic additions and at most a line on stderr, a metric is
-//! an atomic addition, and sending is the duty of the metrics thread alone.
+//! No call blocks on the network: an event costs a few atomic additions and at most one line on
+//! stderr, a metric costs one atomic addition, and only the metrics thread sends.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
     MetricTags, emit,
 };
 
-/// Time over which events of one code are counted for the throttle.
+/// Period over which the throttle counts the events of one code.
 const THROTTLE_PERIOD: Duration = Duration::from_secs(1);
-/// Events of one code logged in that time.
+/// Maximum number of events of one code that are logged in one [`THROTTLE_PERIOD`].
 const THROTTLE_BURST: u32 = 20;
 
-/// Logs numbered events, bounded by code.
+/// Logs numbered events, throttled per event code.
 #[derive(Clone)]
 pub struct EventPort {
     throttle: Arc<EventThrottle>,
@@ -36,7 +36,7 @@
 }
 
 impl EventPort {
-    /// A port that counts every event in the registry's metric.
+    /// Creates a port that also counts every event in the registry's event metric.
     #[must_use]
     pub fn counting(clock: Arc<dyn NodeClock>, registry: &Arc<MetricRegistry>) -> Self {
         let throttle = EventThrottle::new(THROTTLE_PERIOD, THROTTLE_BURST).counting(registry);
@@ -47,20 +47,20 @@
         }
     }
 
-    /// Logs an event, or counts it when too many like it came.
+    /// Logs an event, or only counts it when the throttle of its code is exhausted.
     pub fn emit(&self, code: EventCode, fields: &EventFields<'_>) {
         self.throttle.emit(self.clock.now(), code, fields);
     }
 
-    /// Logs an event whatever came before. For rare ones that must not be missing.
-    pub fn emit_always(&self, code: EventCode, fields: &EventFields<'_>) {
+    /// Logs an event without throttling. For rare events that must not be missing from the log.
+    pub fn emit_unthrottled(&self, code: EventCode, fields: &EventFields<'_>) {
         let tags = MetricTags::new().with("code", code.as_str());
         self.registry.counter(MetricName::Events, &tags).add(1);
         emit(code, fields);
     }
 
-    /// Logs how many events were only counted. Once a second.
-    pub fn sweep(&self) {
+    /// Logs how many events were suppressed. The metrics thread calls this once a second.
+    pub fn report_suppressed(&self) {
         self.throttle.sweep(self.clock.now());
     }
 }
@@ -74,21 +74,21 @@
 /// Events and metrics of one daemon; cloning shares them.
 #[derive(Clone, Debug)]
 pub struct NodeTelemetry {
-    /// Where events go.
+    /// Logger of numbered events.
     pub events: EventPort,
-    /// Where metrics add up.
+    /// Registry of all metrics of the daemon.
     pub registry: Arc<MetricRegistry>,
-    /// How metrics are sent.
+    /// Destination and prefix of the metrics that are sent.
     pub settings: MetricSettings,
-    /// Metrics as text, where a collector reads them.
+    /// Metrics as text for collectors that poll; `None` when no such port is configured.
     pub page: Option<MetricPage>,
 }
 
 impl NodeTelemetry {
-    /// Telemetry that sends metrics to this address, or none without one, and keeps a page of them
-    /// where one is read.
+    /// Creates telemetry that sends metrics to `address`, if there is one, and keeps a text page of
+    /// them if `serve_page` is set.
     #[must_use]
-    pub fn new(clock: Arc<dyn NodeClock>, address: Option<SocketAddr>, paged: bool) -> Self {
+    pub fn new(clock: Arc<dyn NodeClock>, address: Option<SocketAddr>, serve_page: bool) -> Self {
         let settings = MetricSettings {
             address,
             ..MetricSettings::default()
@@ -97,13 +97,13 @@
         Self {
             events: EventPort::counting(clock, &registry),
             registry,
-            page: paged.then(|| MetricPage::new(&settings.prefix)),
+            page: serve_page.then(|| MetricPage::new(&settings.prefix)),
             settings,
         }
     }
 
-    /// Tells that an entry for another thread was dropped. It happens under load only, where a
-    /// look-up of the counter costs less than what was dropped.
+    /// Records that an item for another thread was dropped because its ring was full. Drops happen
+    /// only under load, and looking up the counter on each costs less than the dropped work.
     pub fn ring_full(&self, ring: &'static str) {
         let tags = MetricTags::new().with("ring", ring);
         self.registry.counter(MetricName::RingFull, &tags).add(1);
--- a/crates/daemon/src/metrics_table.rs
+++ b/crates/daemon/src/metrics_table.rs
@@ -1,4 +1,4 @@
-//! Handles of the metrics that the decision thread counts, made when first needed.
+//! Handles of the metrics that the decision thread updates, created on first use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,10 +8,11 @@
 use sycamorelink_telemetry::metric::{MetricCounter, MetricGauge, MetricTimer, OTHER_SERIES};
 use sycamorelink_telemetry::{MetricName, MetricRegistry, MetricTags};
 
-/// Most handles kept of one kind. The registry keeps no more series either.
-const HANDLE_BOUND: usize = 1024;
+/// Maximum number of handles of one kind (counter, gauge or timer), as many as the registry keeps
+/// series.
+const MAX_HANDLES: usize = 1024;
 
-/// A metric and what it is counted for. Parts that the metric has no tag for are left out.
+/// A metric and the values of its tags. Values for tags that the metric lacks are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SeriesKey {
     name: MetricName,
@@ -21,7 +22,7 @@
 }
 
 impl SeriesKey {
-    /// The metric without tags.
+    /// Creates the key of a metric without tag values.
     #[must_use]
     pub const fn of(name: MetricName) -> Self {
         Self {
@@ -32,21 +33,21 @@
         }
     }
 
-    /// The same for a customer.
+    /// Sets the value of the tag `customer`.
     #[must_use]
     pub fn customer(mut self, customer: &CustomerName) -> Self {
         self.customer = Some(customer.clone());
         self
     }
 
-    /// The same for a service.
+    /// Sets the value of the tag `service`.
     #[must_use]
     pub fn service(mut self, service: &ServiceName) -> Self {
         self.service = Some(service.clone());
         self
     }
 
-    /// The same with the value of the metric's own tag, such as an outcome.
+    /// Sets the value of any other tag of the metric, such as an outcome.
     #[must_use]
     pub const fn detail(mut self, detail: &'static str) -> Self {
         self.detail = detail;
@@ -69,27 +70,27 @@
         })
     }
 
-    fn other(mut self) -> Self {
+    fn overflow(mut self) -> Self {
         self.customer = self.customer.map(|_| CustomerName::new(OTHER_SERIES));
         self.service = self.service.map(|_| ServiceName::new(OTHER_SERIES));
         self
     }
 }
 
-/// Finds handles by name and tags.
+/// Looks up metric handles by name and tags.
 ///
-/// Failure: a flood of customers or services, each with series of its own. Symptom: the table grows
-/// with whatever comes. Beyond the bound all further ones share a handle, as they share a series.
+/// The number of handles is bounded, so that a flood of customer or service names cannot grow the
+/// table without limit. Beyond the bound, further names share one handle, as they share a series.
 #[derive(Debug)]
-pub struct MeterTable {
+pub struct MetricTable {
     registry: Arc<MetricRegistry>,
     counters: BTreeMap<SeriesKey, MetricCounter>,
     gauges: BTreeMap<SeriesKey, MetricGauge>,
     timers: BTreeMap<SeriesKey, MetricTimer>,
 }
 
-impl MeterTable {
-    /// A table without handles.
+impl MetricTable {
+    /// Creates a table without handles.
     #[must_use]
     pub fn new(registry: Arc<MetricRegistry>) -> Self {
         Self {
@@ -100,37 +101,37 @@
         }
     }
 
-    /// Adds to a counter.
+    /// Adds `count` to a counter.
     pub fn add(&mut self, key: SeriesKey, count: u64) {
         let registry = &self.registry;
-        let make = |key: &SeriesKey| registry.counter(key.name, &key.tags());
-        handle(&mut self.counters, key, make).add(count);
+        let create = |key: &SeriesKey| registry.counter(key.name, &key.tags());
+        handle_for(&mut self.counters, key, create).add(count);
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge to `value`.
     pub fn set(&mut self, key: SeriesKey, value: u64) {
         let registry = &self.registry;
-        let make = |key: &SeriesKey| registry.gauge(key.name, &key.tags());
-        handle(&mut self.gauges, key, make).set(value);
+        let create = |key: &SeriesKey| registry.gauge(key.name, &key.tags());
+        handle_for(&mut self.gauges, key, create).set(value);
     }
 
     /// Adds a duration to a timer.
     pub fn record(&mut self, key: SeriesKey, duration: Duration) {
         let registry = &self.registry;
-        let make = |key: &SeriesKey| registry.timer(key.name, &key.tags());
-        handle(&mut self.timers, key, make).record(duration);
+        let create = |key: &SeriesKey| registry.timer(key.name, &key.tags());
+        handle_for(&mut self.timers, key, create).record(duration);
     }
 }
 
-fn handle<M, F>(handles: &mut BTreeMap<SeriesKey, M>, key: SeriesKey, make: F) -> &M
+fn handle_for<M, F>(handles: &mut BTreeMap<SeriesKey, M>, key: SeriesKey, create: F) -> &M
 where
     F: FnOnce(&SeriesKey) -> M,
 {
-    let full = handles.len() >= HANDLE_BOUND;
+    let full = handles.len() >= MAX_HANDLES;
     let key = if full && !handles.contains_key(&key) {
-        key.other()
+        key.overflow()
     } else {
         key
     };
-    handles.entry(key).or_insert_with_key(make)
+    handles.entry(key).or_insert_with_key(create)
 }
--- a/crates/daemon/src/metrics_thread.rs
+++ b/crates/daemon/src/metrics_thread.rs
@@ -1,4 +1,4 @@
-//! The metrics thread: sends what has added up, once a second.
+//! The metrics thread: flushes the metric registry once a second.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,16 +13,16 @@
 
 use crate::metrics::NodeTelemetry;
 
-/// Time between two sendings.
+/// Time between two flushes.
 const FLUSH_PERIOD: Duration = Duration::from_secs(1);
-/// How long a pause of the thread is before the stop flag is looked at.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum time between two checks of the stop flag.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts the thread; it ends soon after the flag is set, with a last sending.
+/// Starts the metrics thread. Once `stop` is set, the thread flushes a last time and ends.
 ///
 /// # Errors
 ///
-/// When the address of the settings cannot be sent to or the thread cannot be started.
+/// When no socket for the configured address can be opened or the thread cannot be started.
 pub fn start_metrics(
     telemetry: NodeTelemetry,
     stop: Arc<AtomicBool>,
@@ -40,23 +40,23 @@
 }
 
 fn run_thread(mut sender: MetricSender, stop: &AtomicBool) {
-    let mut next = Instant::now() + FLUSH_PERIOD;
+    let mut next_flush = Instant::now() + FLUSH_PERIOD;
     while !stop.load(Ordering::Relaxed) {
         let now = Instant::now();
-        if now >= next {
-            next = now + FLUSH_PERIOD;
-            sender.send();
+        if now >= next_flush {
+            next_flush = now + FLUSH_PERIOD;
+            sender.flush();
         }
-        thread::sleep(PAUSE.min(next.saturating_duration_since(now)));
+        thread::sleep(STOP_POLL_INTERVAL.min(next_flush.saturating_duration_since(now)));
     }
-    sender.send();
+    sender.flush();
 }
 
 struct MetricSender {
     telemetry: NodeTelemetry,
     sink: Box<dyn MetricSink>,
     dropped: MetricCounter,
-    lost: u64,
+    lost_before: u64,
 }
 
 impl MetricSender {
@@ -69,19 +69,19 @@
             telemetry,
             sink,
             dropped,
-            lost: 0,
+            lost_before: 0,
         }
     }
 
-    fn send(&mut self) {
-        self.telemetry.events.sweep();
+    fn flush(&mut self) {
+        self.telemetry.events.report_suppressed();
         let flushed = self.telemetry.registry.flush(self.sink.as_ref());
         let lost = self.sink.lost();
-        let missing = flushed.dropped + lost.saturating_sub(self.lost);
-        self.lost = lost;
-        if missing > 0 {
-            self.dropped.add(missing);
-            let fields = EventFields::new().count(&missing);
+        let newly_dropped = flushed.dropped + lost.saturating_sub(self.lost_before);
+        self.lost_before = lost;
+        if newly_dropped > 0 {
+            self.dropped.add(newly_dropped);
+            let fields = EventFields::new().count(&newly_dropped);
             self.telemetry
                 .events
                 .emit(EventCode::MetricsDropped, &fields);
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -1,18 +1,19 @@
-//! Turns the decision logic's notes into numbered events, metrics and burn.
+//! Turns the notes of the decision logic into numbered events, metrics and counts for error budget
+//! burn.
 //!
 //! ```text
-//!  NodeNote ─▶ NoteKeeper ─┬─▶ EventPort    a line for the operator
-//!                          ├─▶ MeterTable   a count for the metrics thread
-//!                          └─▶ BurnLedger ─ every half minute ─▶ BurnWatch ─▶ SL8011 to SL8013
+//!  NodeNote ─▶ NoteRecorder ─┬─▶ EventPort    a log line for the operator
+//!                            ├─▶ MetricTable  a count for the metrics thread
+//!                            └─▶ BurnLedger ─ every 30 seconds ─▶ BurnWatch ─▶ SL8011 to SL8013
 //! ```
 
 mod attempts;
 mod audit;
-mod clock;
 mod findings;
 mod objectives;
+mod periodic;
+mod requests;
 mod roster;
-mod settle;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -25,73 +26,74 @@
 use sycamorelink_telemetry::{BurnLedger, BurnReport, EventCode, EventFields, MetricName};
 
 use crate::metrics::{EventPort, NodeTelemetry};
-use crate::metrics_table::{MeterTable, SeriesKey};
+use crate::metrics_table::{MetricTable, SeriesKey};
 use objectives::ObjectiveTable;
 
 pub use audit::{AuditCall, AuditNote};
 
-/// Logs notes, counts them and keeps the burn ledger.
+/// Logs and counts the notes of one node, and records requests in its burn ledger.
 pub struct NoteKeeper {
     burn: BurnLedger,
     objectives: ObjectiveTable,
-    watch: BurnWatch,
+    burn_watch: BurnWatch,
     reach: ReachWatch,
     events: EventPort,
-    meters: MeterTable,
-    /// When a service last refused a request for overload.
-    shedding: BTreeMap<ServiceName, Duration>,
-    /// Services that requests came for.
+    metrics: MetricTable,
+    /// When a service last refused a request because of overload.
+    last_shed: BTreeMap<ServiceName, Duration>,
+    /// Services that callers sent requests to.
     services: BTreeSet<ServiceName>,
-    /// Newest offset of contracts that was told to be missing here.
-    behind: u64,
-    next_second: Duration,
-    next_watch: Duration,
+    /// Highest contract offset that was reported as missing on this node.
+    missing_head: u64,
+    next_gauges: Duration,
+    next_slow_check: Duration,
 }
 
 impl NoteKeeper {
-    /// A keeper for one life of a node.
+    /// Creates a recorder for one incarnation of a node. `wall_at_start` is the wall-clock time at
+    /// which the node's clock read zero.
     #[must_use]
     pub fn new(instance: InstanceId, wall_at_start: Duration, telemetry: &NodeTelemetry) -> Self {
         Self {
             burn: BurnLedger::new(instance, wall_at_start),
             objectives: ObjectiveTable::default(),
-            watch: BurnWatch::default(),
+            burn_watch: BurnWatch::default(),
             reach: ReachWatch::default(),
             events: telemetry.events.clone(),
-            meters: MeterTable::new(telemetry.registry.clone()),
-            shedding: BTreeMap::new(),
+            metrics: MetricTable::new(telemetry.registry.clone()),
+            last_shed: BTreeMap::new(),
             services: BTreeSet::new(),
-            behind: 0,
-            next_second: Duration::ZERO,
-            next_watch: Duration::ZERO,
+            missing_head: 0,
+            next_gauges: Duration::ZERO,
+            next_slow_check: Duration::ZERO,
         }
     }
 
-    /// Takes the objectives of the contracts in force.
+    /// Replaces the objectives by those of the contracts in force.
     pub fn refresh_objectives(&mut self, table: &RouteTable) {
         self.objectives = ObjectiveTable::of(table);
     }
 
-    /// The burn of the requests that this node took from callers.
+    /// Returns the burn of the requests that this node took from callers.
     #[must_use]
-    pub fn burn(&self, now: Duration, query: &BurnQuery) -> BurnReport {
+    pub fn burn_report(&self, now: Duration, query: &BurnQuery) -> BurnReport {
         self.burn.answer(now, query, &self.objectives)
     }
 
-    /// Takes a note; gives the request that it settles, if it does.
+    /// Records a note. Returns the request if the note reports its end.
     pub fn take(&mut self, now: Duration, note: &NodeNote) -> Option<RequestId> {
         match note {
             NodeNote::RequestSettled(summary) => {
-                self.settle(now, summary);
+                self.record_settled(now, summary);
                 return Some(summary.request);
             }
-            NodeNote::Pool { service, finding } => self.pool(service, finding),
-            NodeNote::Guard(note) => self.guard(note),
-            NodeNote::Roster(note) => self.roster(note),
+            NodeNote::Pool { service, finding } => self.record_pool_finding(service, finding),
+            NodeNote::Guard(note) => self.record_guard_note(note),
+            NodeNote::Roster(note) => self.record_roster_note(note),
             NodeNote::MemberUp(_)
             | NodeNote::MemberDown { .. }
             | NodeNote::IncarnationRaised(_)
-            | NodeNote::Superseded(_) => self.member(now, note),
+            | NodeNote::Superseded(_) => self.record_member_change(now, note),
             NodeNote::ContractAccepted { .. }
             | NodeNote::FleetContractTaken { .. }
             | NodeNote::SourceFollowed { .. }
@@ -100,28 +102,28 @@
             | NodeNote::ContractsCarried { .. }
             | NodeNote::CarriesLate { .. }
             | NodeNote::ContractsBehind { .. }
-            | NodeNote::ContractsAdopted { .. } => self.contracts(note),
+            | NodeNote::ContractsAdopted { .. } => self.record_contracts(note),
             NodeNote::ContractFinding(finding) => {
                 let fields = EventFields::new()
                     .place(&finding.place)
                     .reason(&finding.message);
                 self.emit(EventCode::ContractDisagreement, &fields);
             }
-            NodeNote::LogReachable(reachable) => self.log_reachable(*reachable),
+            NodeNote::LogReachable(reachable) => self.record_log_reachable(*reachable),
             NodeNote::UpstreamAnnounced { id, service } => {
-                self.upstream(EventCode::UpstreamAnnounced, id, service);
+                self.emit_upstream(EventCode::UpstreamAnnounced, id, service);
             }
             NodeNote::UpstreamReady { id, service } => {
-                self.upstream(EventCode::UpstreamReady, id, service);
+                self.emit_upstream(EventCode::UpstreamReady, id, service);
             }
             NodeNote::UpstreamLeaving { id, service } => {
-                self.upstream(EventCode::UpstreamLeaving, id, service);
+                self.emit_upstream(EventCode::UpstreamLeaving, id, service);
             }
             NodeNote::UpstreamLapsed { id, service } => {
-                self.upstream(EventCode::HeartbeatLapsed, id, service);
+                self.emit_upstream(EventCode::HeartbeatLapsed, id, service);
             }
             NodeNote::UpstreamCrashed { id, service } => {
-                self.upstream(EventCode::CrashSuspected, id, service);
+                self.emit_upstream(EventCode::CrashSuspected, id, service);
             }
             NodeNote::BreakerTurned {
                 id,
@@ -143,22 +145,22 @@
                 self.emit(code, &fields.reason(&reason));
             }
             NodeNote::UpstreamGone { id, service } => {
-                self.upstream(EventCode::UpstreamGone, id, service);
+                self.emit_upstream(EventCode::UpstreamGone, id, service);
             }
-            _ => self.request(note),
+            _ => self.record_request_progress(note),
         }
         None
     }
 
-    /// Notes of requests that go on.
-    fn request(&mut self, note: &NodeNote) {
+    /// Records notes about requests that are still in progress.
+    fn record_request_progress(&mut self, note: &NodeNote) {
         match note {
             NodeNote::RetryMade {
                 request,
                 service,
                 from,
             } => {
-                self.count(SeriesKey::of(MetricName::Retries).service(service));
+                self.increment(SeriesKey::of(MetricName::Retries).service(service));
                 let fields = EventFields::new().request(request).service(service);
                 self.emit(EventCode::RetryMade, &fields.upstream(from));
             }
@@ -167,24 +169,24 @@
                 customer,
                 service,
             } => {
-                self.count(SeriesKey::of(MetricName::RetriesDenied).service(service));
+                self.increment(SeriesKey::of(MetricName::RetriesDenied).service(service));
                 let fields = EventFields::new().request(request).customer(customer);
                 self.emit(EventCode::RetryBudgetExhausted, &fields.service(service));
             }
             NodeNote::AttemptSent { .. }
             | NodeNote::WorkDecided { .. }
-            | NodeNote::WorkDone { .. } => self.attempt(note),
+            | NodeNote::WorkDone { .. } => self.record_attempt(note),
             NodeNote::HedgeSent {
                 request,
                 service,
                 to,
             } => {
-                self.count(SeriesKey::of(MetricName::Hedges).service(service));
+                self.increment(SeriesKey::of(MetricName::Hedges).service(service));
                 let fields = EventFields::new().request(request).service(service);
                 self.emit(EventCode::HedgeSent, &fields.upstream(to));
             }
             NodeNote::HedgeWon { service, .. } => {
-                self.count(SeriesKey::of(MetricName::HedgesWon).service(service));
+                self.increment(SeriesKey::of(MetricName::HedgesWon).service(service));
             }
             NodeNote::CancelSent {
                 request,
@@ -196,14 +198,14 @@
             }
             NodeNote::ReplyRejected { service, .. } => {
                 let rejected = SeriesKey::of(MetricName::ReplyRejected).service(service);
-                self.count(rejected.detail("wrong"));
+                self.increment(rejected.detail("wrong"));
             }
             NodeNote::ReplyLate { request } => {
-                self.count(SeriesKey::of(MetricName::ReplyRejected).detail("late"));
+                self.increment(SeriesKey::of(MetricName::ReplyRejected).detail("late"));
                 self.emit(EventCode::ReplyLate, &EventFields::new().request(request));
             }
             NodeNote::ReplyReplayed { request, .. } => {
-                self.count(SeriesKey::of(MetricName::KeysReplayed));
+                self.increment(SeriesKey::of(MetricName::KeysReplayed));
                 self.emit(EventCode::KeyReplayed, &EventFields::new().request(request));
             }
             NodeNote::RunUnproven { request, service } => {
@@ -221,7 +223,7 @@
         }
     }
 
-    fn contracts(&mut self, note: &NodeNote) {
+    fn record_contracts(&mut self, note: &NodeNote) {
         match note {
             NodeNote::ContractAccepted {
                 offset,
@@ -272,7 +274,7 @@
             NodeNote::CarriesLate { late } => {
                 self.emit(EventCode::CarryOverdue, &EventFields::new().count(late));
             }
-            NodeNote::ContractsBehind { offset, head } => self.behind(*offset, *head),
+            NodeNote::ContractsBehind { offset, head } => self.record_lag(*offset, *head),
             NodeNote::ContractsAdopted { from, offset } => {
                 let fields = EventFields::new().peer(from).offset(offset);
                 self.emit(EventCode::ContractFromPeer, &fields);
@@ -281,22 +283,22 @@
         }
     }
 
-    /// Contracts are asked for twice a second while they are missing; each head is told once.
-    fn behind(&mut self, offset: u64, head: u64) {
-        self.meters.set(
+    /// Missing contracts are requested twice a second, so each log head is reported only once.
+    fn record_lag(&mut self, offset: u64, head: u64) {
+        self.metrics.set(
             SeriesKey::of(MetricName::ContractLag),
             head.saturating_sub(offset),
         );
-        if head > self.behind {
-            self.behind = head;
+        if head > self.missing_head {
+            self.missing_head = head;
             let fields = EventFields::new().offset(&offset).limit(&head);
             self.emit(EventCode::ContractBehind, &fields);
         }
     }
 
-    fn log_reachable(&mut self, reachable: bool) {
+    fn record_log_reachable(&mut self, reachable: bool) {
         let gauge = SeriesKey::of(MetricName::LogReachable);
-        self.meters.set(gauge, u64::from(reachable));
+        self.metrics.set(gauge, u64::from(reachable));
         let code = if reachable {
             EventCode::LogBack
         } else {
@@ -305,12 +307,12 @@
         self.emit(code, &EventFields::new());
     }
 
-    fn upstream(&self, code: EventCode, id: &UpstreamId, service: &ServiceName) {
+    fn emit_upstream(&self, code: EventCode, id: &UpstreamId, service: &ServiceName) {
         self.emit(code, &EventFields::new().upstream(id).service(service));
     }
 
-    fn count(&mut self, key: SeriesKey) {
-        self.meters.add(key, 1);
+    fn increment(&mut self, key: SeriesKey) {
+        self.metrics.add(key, 1);
     }
 
     fn emit(&self, code: EventCode, fields: &EventFields<'_>) {
--- a/crates/daemon/src/notes/attempts.rs
+++ b/crates/daemon/src/notes/attempts.rs
@@ -1,5 +1,5 @@
-//! What is told of each attempt: where it went and from what view, what the node beside the upstream
-//! decided, and how it ended there.
+//! Records attempts: the selected upstream and the view it was selected from, the decision of the
+//! upstream's node, and the result.
 
 use sycamorelink_engine::{NodeNote, RepeatBudgetView};
 use sycamorelink_policy::UpstreamView;
@@ -9,7 +9,7 @@
 use crate::metrics_table::SeriesKey;
 
 impl NoteKeeper {
-    pub(super) fn attempt(&mut self, note: &NodeNote) {
+    pub(super) fn record_attempt(&mut self, note: &NodeNote) {
         match note {
             NodeNote::AttemptSent {
                 label,
@@ -68,9 +68,9 @@
                 took,
             } => {
                 let wait = SeriesKey::of(MetricName::QueueWait).service(service);
-                self.meters.record(wait, *waited);
+                self.metrics.record(wait, *waited);
                 let run = SeriesKey::of(MetricName::UpstreamLatency).service(service);
-                self.meters.record(run, *took);
+                self.metrics.record(run, *took);
                 let status = status.map_or_else(String::new, |status| format!(" {status}"));
                 let reason = format!(
                     "attempt {number}, {end:?}{status}, waited {}ms",
@@ -92,7 +92,7 @@
 }
 
 fn view_text(view: &UpstreamView) -> String {
-    let told = view.told.map_or_else(
+    let reported = view.told.map_or_else(
         || "nothing told".to_owned(),
         |(load, age)| {
             format!(
@@ -105,7 +105,7 @@
         },
     );
     format!(
-        "{} in flight from here, weight {:.2}, suspicion {:.1}, {told}",
+        "{} in flight from here, weight {:.2}, suspicion {:.1}, {reported}",
         view.in_flight, view.weight, view.suspicion
     )
 }
--- a/crates/daemon/src/notes/audit.rs
+++ b/crates/daemon/src/notes/audit.rs
@@ -1,4 +1,5 @@
-//! The audit trail: who called what that changes something, from where, and with which end.
+//! The audit trail: account, address, call and outcome of every call that changes something or was
+//! denied.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,23 +12,23 @@
 
 use super::NoteKeeper;
 
-/// Calls of the backend servers of this instance.
-const BACKEND_CALLS: &str = "/v1/local/";
-/// Longest text of a call's own that is logged, in characters.
-const TEXT_LIMIT: usize = 128;
+/// Path prefix of the calls that backend servers of this instance make.
+const BACKEND_PATH_PREFIX: &str = "/v1/local/";
+/// Maximum length of a logged text that a caller supplied, in characters.
+const MAX_TEXT_LENGTH: usize = 128;
 
-/// A call of the operators' port as it came.
+/// A call of the operators' port, as input for the audit trail.
 #[derive(Clone, Debug)]
 pub struct AuditCall<'a> {
     /// HTTP method.
     pub method: &'a Method,
-    /// Path without the query.
+    /// Path without the query, in its canonical form.
     pub path: &'a str,
-    /// Headers.
+    /// Headers of the request.
     pub headers: &'a HeaderMap,
-    /// Where it came from.
+    /// Address that the call comes from.
     pub peer: SocketAddr,
-    /// The account behind it, where its token is known.
+    /// Name of the account; `None` when the token is unknown.
     pub operator: Option<Arc<str>>,
 }
 
@@ -46,13 +47,13 @@
 }
 
 impl AuditNote {
-    /// The entry of an answered call; none for a call that was allowed and changes nothing.
+    /// Creates the entry of an answered call; `None` for an allowed call that changes nothing.
     #[must_use]
     pub fn of(call: &AuditCall<'_>, reply: &Response<Bytes>) -> Option<Self> {
         let change = changing_call(call.method, call.path);
         let code = match reply.status() {
             StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => EventCode::AdminDenied,
-            StatusCode::BAD_REQUEST if call.path.starts_with(BACKEND_CALLS) => {
+            StatusCode::BAD_REQUEST if call.path.starts_with(BACKEND_PATH_PREFIX) => {
                 EventCode::BackendBadInput
             }
             _ if change.is_some() => EventCode::AdminCall,
@@ -65,23 +66,23 @@
             operator: call.operator.clone(),
             address: call.peer,
             call: change.map_or_else(
-                || shortened(&format!("{} {}", call.method, call.path)),
-                name_of,
+                || truncated(&format!("{} {}", call.method, call.path)),
+                call_name,
             ),
-            customer: customer_of(call.path).map(shortened),
+            customer: audited_customer(call.path).map(truncated),
             change: header
                 .and_then(|value| value.to_str().ok())
-                .map(|text| shortened(text.trim_matches('"'))),
+                .map(|text| truncated(text.trim_matches('"'))),
             version: body["version"].as_u64(),
             status: reply.status(),
-            reason: reason_of(reply.status(), &body),
+            reason: outcome_reason(reply.status(), &body),
         })
     }
 }
 
 impl NoteKeeper {
-    /// Logs an entry. One about a change is never left out for being one of many.
-    pub fn audit(&self, note: &AuditNote) {
+    /// Logs an entry. Entries about changes bypass the throttle.
+    pub fn record_audit(&self, note: &AuditNote) {
         let mut fields = EventFields::new()
             .address(&note.address)
             .call(&note.call)
@@ -102,7 +103,7 @@
             self.emit(note.code, &fields);
             return;
         }
-        self.events.emit_always(EventCode::AdminCall, &fields);
+        self.events.emit_unthrottled(EventCode::AdminCall, &fields);
         if note.version.is_some() && note.status == StatusCode::OK {
             self.emit(EventCode::ContractAccepted, &fields);
         } else if note.change.is_some() && note.status == StatusCode::ACCEPTED {
@@ -111,7 +112,7 @@
     }
 }
 
-/// The call that a request makes, when it is one that changes something.
+/// Returns the call of a request, if the call changes something.
 fn changing_call(method: &Method, path: &str) -> Option<AccessCall> {
     let segments: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
     match (method.as_str(), segments.as_slice()) {
@@ -123,21 +124,21 @@
     }
 }
 
-fn customer_of(path: &str) -> Option<&str> {
+fn audited_customer(path: &str) -> Option<&str> {
     let rest = path.strip_prefix("/v1/contracts/")?;
     rest.split('/').next().filter(|name| !name.is_empty())
 }
 
-/// The name of the call in settings and documents, such as `put-contract`.
-fn name_of(call: AccessCall) -> String {
+/// Returns the name of the call as settings and documents spell it, such as `put-contract`.
+fn call_name(call: AccessCall) -> String {
     let value = serde_json::to_value(call).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
 
-fn reason_of(status: StatusCode, body: &Value) -> String {
+fn outcome_reason(status: StatusCode, body: &Value) -> String {
     if let Some(detail) = body["detail"].as_str() {
         let code = body["code"].as_str().unwrap_or("refused");
-        return shortened(&format!("{code}: {detail}"));
+        return truncated(&format!("{code}: {detail}"));
     }
     match (status, body["state"].as_str()) {
         (_, Some(state)) => state.to_owned(),
@@ -146,6 +147,6 @@
     }
 }
 
-fn shortened(text: &str) -> String {
-    text.chars().take(TEXT_LIMIT).collect()
+fn truncated(text: &str) -> String {
+    text.chars().take(MAX_TEXT_LENGTH).collect()
 }
--- a/crates/daemon/src/notes/findings.rs
+++ b/crates/daemon/src/notes/findings.rs
@@ -1,4 +1,4 @@
-//! What detection and the at-most-once guard found.
+//! Records findings of failure detection and notes of the at-most-once guard.
 
 use sycamorelink_core::ServiceName;
 use sycamorelink_guard::GuardNote;
@@ -9,9 +9,9 @@
 use crate::metrics_table::SeriesKey;
 
 impl NoteKeeper {
-    pub(super) fn pool(&mut self, service: &ServiceName, finding: &PoolFinding) {
+    pub(super) fn record_pool_finding(&mut self, service: &ServiceName, finding: &PoolFinding) {
         if let Some(name) = finding_metric(finding) {
-            self.count(SeriesKey::of(name).service(service));
+            self.increment(SeriesKey::of(name).service(service));
         }
         let fields = EventFields::new().service(service);
         match finding {
@@ -47,14 +47,14 @@
         }
     }
 
-    pub(super) fn guard(&mut self, note: &GuardNote) {
+    pub(super) fn record_guard_note(&mut self, note: &GuardNote) {
         match note {
             GuardNote::AnsweredUnknown { request, key } => {
                 let fields = EventFields::new().request(request).key(key);
                 self.emit(EventCode::KeyUnknown, &fields);
             }
             GuardNote::KeyClosed { key, attempt } => {
-                self.count(SeriesKey::of(MetricName::KeysClosed));
+                self.increment(SeriesKey::of(MetricName::KeysClosed));
                 let fields = EventFields::new().key(key).request(&attempt.request);
                 self.emit(EventCode::KeyClosed, &fields);
             }
--- a/crates/daemon/src/notes/objectives.rs
+++ b/crates/daemon/src/notes/objectives.rs
@@ -1,4 +1,4 @@
-//! The objectives of the contracts in force.
+//! Service-level objectives of the contracts in force.
 
 use std::collections::BTreeMap;
 
--- a/crates/daemon/src/notes/clock.rs
+++ b/crates/daemon/src/notes/periodic.rs
@@ -1,4 +1,4 @@
-//! What is looked at by the clock: gauges, the end of overload, and the burn of error budgets.
+//! Periodic work of the note recorder: gauges, the end of overloads, and burn alerts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,40 +12,40 @@
 use super::NoteKeeper;
 use crate::metrics_table::SeriesKey;
 
-/// Time between two readings of the gauges.
-const SECOND: Duration = Duration::from_secs(1);
-/// Time between two looks at the burn and at what costs a walk over members. The shortest window
-/// of an alert is five minutes.
-const WATCH_PERIOD: Duration = Duration::from_secs(30);
-/// Time without a refusal for overload after which the overload is over.
-const SHED_QUIET: Duration = Duration::from_secs(10);
-/// Thousandths in one: burn rates are sent as whole numbers.
-const THOUSAND: f64 = 1000.0;
+/// Time between two updates of the gauges.
+const GAUGE_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two checks of the burn and of gauges that need a walk over all members. Short
+/// enough for the shortest alert window, five minutes.
+const SLOW_CHECK_PERIOD: Duration = Duration::from_secs(30);
+/// Time without an overload refusal after which the overload of a service counts as ended.
+const OVERLOAD_CLEAR_TIME: Duration = Duration::from_secs(10);
+/// Thousandths in one. Metrics carry whole numbers, so burn rates are sent in thousandths.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
 impl NoteKeeper {
-    /// Reads gauges and watches the burn, when it is time.
+    /// Updates gauges and checks for burn alerts when they are due.
     pub fn tick(&mut self, now: Duration, engine: &NodeEngine) {
-        if now < self.next_second {
+        if now < self.next_gauges {
             return;
         }
-        self.next_second = now + SECOND;
-        self.read_gauges(engine);
-        self.end_overloads(now);
-        if now >= self.next_watch {
-            self.next_watch = now + WATCH_PERIOD;
+        self.next_gauges = now + GAUGE_PERIOD;
+        self.update_gauges(engine);
+        self.emit_ended_overloads(now);
+        if now >= self.next_slow_check {
+            self.next_slow_check = now + SLOW_CHECK_PERIOD;
             self.reach.forget(now);
-            self.read_members(engine);
-            self.read_upstreams(engine);
-            self.watch_burn(now);
+            self.update_member_gauges(engine);
+            self.update_upstream_gauges(engine);
+            self.check_burn_alerts(now);
         }
     }
 
-    fn read_gauges(&mut self, engine: &NodeEngine) {
+    fn update_gauges(&mut self, engine: &NodeEngine) {
         let offset = engine.book().next_offset();
-        self.gauge(MetricName::InFlight, engine.in_flight() as u64);
-        self.gauge(MetricName::ContractVersion, offset);
-        if offset >= self.behind {
-            self.gauge(MetricName::ContractLag, 0);
+        self.set_gauge(MetricName::InFlight, engine.in_flight() as u64);
+        self.set_gauge(MetricName::ContractVersion, offset);
+        if offset >= self.missing_head {
+            self.set_gauge(MetricName::ContractLag, 0);
         }
         let mut loads: BTreeMap<ServiceName, (u64, u64)> = BTreeMap::new();
         for (_, announced, load) in engine.local_upstreams() {
@@ -55,55 +55,55 @@
         }
         for (service, (used, queued)) in &loads {
             let key = SeriesKey::of(MetricName::SlotsUsed).service(service);
-            self.meters.set(key, *used);
+            self.metrics.set(key, *used);
             let key = SeriesKey::of(MetricName::QueueLength).service(service);
-            self.meters.set(key, *queued);
+            self.metrics.set(key, *queued);
         }
     }
 
-    fn read_members(&mut self, engine: &NodeEngine) {
+    fn update_member_gauges(&mut self, engine: &NodeEngine) {
         let status = engine.status();
-        self.gauge(MetricName::KeysHeld, status.guard.keys as u64);
+        self.set_gauge(MetricName::KeysHeld, status.guard.keys as u64);
         let mut standings = BTreeMap::from([("up", 0), ("leaving", 0), ("down", 0)]);
         for member in engine.fleet() {
             *standings.entry(standing_name(member.standing)).or_default() += 1;
         }
         for (standing, count) in standings {
             let key = SeriesKey::of(MetricName::Members).detail(standing);
-            self.meters.set(key, count);
+            self.metrics.set(key, count);
         }
     }
 
-    fn read_upstreams(&mut self, engine: &NodeEngine) {
+    fn update_upstream_gauges(&mut self, engine: &NodeEngine) {
         for service in &self.services {
             let Some(floor) = engine.floor_of(service) else {
                 continue;
             };
             let key = SeriesKey::of(MetricName::UpstreamsInUse).service(service);
-            self.meters.set(key, u64::from(floor.serving_count));
+            self.metrics.set(key, u64::from(floor.serving_count));
             let key = SeriesKey::of(MetricName::UpstreamsEjected).service(service);
-            self.meters.set(key, u64::from(floor.ejected_count));
+            self.metrics.set(key, u64::from(floor.ejected_count));
         }
     }
 
-    fn end_overloads(&mut self, now: Duration) {
-        let over = |since: &Duration| now >= *since + SHED_QUIET;
+    fn emit_ended_overloads(&mut self, now: Duration) {
+        let is_over = |since: &Duration| now >= *since + OVERLOAD_CLEAR_TIME;
         let ended: Vec<ServiceName> = self
-            .shedding
+            .last_shed
             .iter()
-            .filter(|(_, since)| over(since))
+            .filter(|(_, since)| is_over(since))
             .map(|(service, _)| service.clone())
             .collect();
         for service in ended {
-            self.shedding.remove(&service);
+            self.last_shed.remove(&service);
             let fields = EventFields::new().service(&service);
             self.emit(EventCode::OverloadEnded, &fields);
         }
     }
 
-    fn watch_burn(&mut self, now: Duration) {
-        let report = self.burn(now, &BurnQuery::default());
-        for change in self.watch.update(&report) {
+    fn check_burn_alerts(&mut self, now: Duration) {
+        let report = self.burn_report(now, &BurnQuery::default());
+        for change in self.burn_watch.update(&report) {
             if let Some(code) = change.event() {
                 let fields = EventFields::new()
                     .customer(&change.customer)
@@ -111,10 +111,10 @@
                 self.emit(code, &fields);
             }
         }
-        self.read_burn(&report);
+        self.update_burn_gauges(&report);
     }
 
-    fn read_burn(&mut self, report: &BurnReport) {
+    fn update_burn_gauges(&mut self, report: &BurnReport) {
         for row in &report.rows {
             for window in [BurnWindow::FiveMinutes, BurnWindow::OneHour] {
                 let rate = burn_rate(row.counts(window), &row.objective);
@@ -122,13 +122,13 @@
                     .customer(&row.customer)
                     .service(&row.service)
                     .detail(window.as_str());
-                self.meters.set(key, thousandths(rate));
+                self.metrics.set(key, thousandths(rate));
             }
         }
     }
 
-    fn gauge(&mut self, name: MetricName, value: u64) {
-        self.meters.set(SeriesKey::of(name), value);
+    fn set_gauge(&mut self, name: MetricName, value: u64) {
+        self.metrics.set(SeriesKey::of(name), value);
     }
 }
 
@@ -146,5 +146,5 @@
     reason = "clamped to a range that fits"
 )]
 fn thousandths(rate: f64) -> u64 {
-    (rate * THOUSAND).round().clamp(0.0, 1e12) as u64
+    (rate * THOUSANDTHS_PER_UNIT).round().clamp(0.0, 1e12) as u64
 }
--- a/crates/daemon/src/notes/settle.rs
+++ b/crates/daemon/src/notes/requests.rs
@@ -1,4 +1,4 @@
-//! What the end of a request says: an event, counts and burn.
+//! Records settled requests: an event, metrics and the error budget burn.
 
 use std::time::Duration;
 
@@ -10,33 +10,35 @@
 use super::NoteKeeper;
 use crate::metrics_table::SeriesKey;
 
-/// Services whose upstreams are counted in gauges, at most.
-const SERVICE_BOUND: usize = 64;
-/// Outcome in the metric of what the caller brought about itself.
+/// Maximum number of services whose upstreams are counted in gauges.
+const MAX_GAUGED_SERVICES: usize = 64;
+/// Outcome tag of requests that failed because of their caller and so burn no error budget.
 const CALLER_OUTCOME: &str = "caller";
 
 impl NoteKeeper {
-    pub(super) fn settle(&mut self, now: Duration, summary: &RequestSummary) {
-        let outcome = self.judge(now, summary);
+    pub(super) fn record_settled(&mut self, now: Duration, summary: &RequestSummary) {
+        let outcome = self.classify(now, summary);
         self.count_request(summary, outcome);
         let code = match &summary.refusal {
             Some(refusal) => refusal_event(refusal),
             None => EventCode::RequestServed,
         };
-        self.tell(code, summary);
+        self.emit_settled(code, summary);
         if let Some(refusal) = &summary.refusal {
             self.count_refusal(now, summary, refusal);
         }
     }
 
-    /// A service without an objective of its own is judged by the usual one, as the report does. A
-    /// request that no contract is known for burns nothing, and is judged alike for the metric.
-    fn judge(&mut self, now: Duration, summary: &RequestSummary) -> Option<BurnOutcome> {
+    /// Returns the outcome of a request against its objective, and records it in the burn ledger.
+    ///
+    /// The default objective applies to a service without one, as in the burn report. A request
+    /// without a known contract is classified for the metric only and burns no budget.
+    fn classify(&mut self, now: Duration, summary: &RequestSummary) -> Option<BurnOutcome> {
         let parts = summary.customer.as_ref().zip(summary.service.as_ref());
         let term =
             parts.and_then(|(customer, service)| self.objectives.objective(customer, service));
         let objective = term.unwrap_or_default().objective;
-        let outcome = objective.judge(summary.latency, &end_of(summary))?;
+        let outcome = objective.judge(summary.latency, &request_end(summary))?;
         if let Some((customer, service)) = parts {
             self.burn.record(now, customer, service, outcome);
         }
@@ -51,15 +53,15 @@
         }
         if let Some(service) = &summary.service {
             requests = requests.service(service);
-            if self.services.len() < SERVICE_BOUND && !self.services.contains(service) {
+            if self.services.len() < MAX_GAUGED_SERVICES && !self.services.contains(service) {
                 self.services.insert(service.clone());
             }
             let latency = SeriesKey::of(MetricName::Latency).service(service);
-            self.meters.record(latency, summary.latency);
+            self.metrics.record(latency, summary.latency);
             let attempts = SeriesKey::of(MetricName::Attempts).service(service);
-            self.meters.add(attempts, u64::from(summary.attempts));
+            self.metrics.add(attempts, u64::from(summary.attempts));
         }
-        self.count(requests);
+        self.increment(requests);
     }
 
     fn count_refusal(&mut self, now: Duration, summary: &RequestSummary, refusal: &RequestRefusal) {
@@ -68,27 +70,27 @@
         if let Some(service) = &summary.service {
             refusals = refusals.service(service);
         }
-        self.count(refusals);
+        self.increment(refusals);
         let (Some(customer), Some(service)) = (&summary.customer, &summary.service) else {
             return;
         };
         if refusal.run == RunState::Unknown && code != RefusalCode::CallerGone {
             let unknowns = SeriesKey::of(MetricName::Unknowns);
-            self.count(unknowns.customer(customer).service(service));
+            self.increment(unknowns.customer(customer).service(service));
         }
         match code {
             RefusalCode::LimitExceeded => {
-                self.count(SeriesKey::of(MetricName::LimitRefused).customer(customer));
+                self.increment(SeriesKey::of(MetricName::LimitRefused).customer(customer));
             }
             RefusalCode::Overloaded => {
-                self.count(SeriesKey::of(MetricName::Shed).service(service));
-                self.shedding.insert(service.clone(), now);
+                self.increment(SeriesKey::of(MetricName::Shed).service(service));
+                self.last_shed.insert(service.clone(), now);
             }
             _ => {}
         }
     }
 
-    fn tell(&self, code: EventCode, summary: &RequestSummary) {
+    fn emit_settled(&self, code: EventCode, summary: &RequestSummary) {
         let attempts = format!("attempts {}", summary.attempts);
         let took = format!("{}ms", summary.latency.as_millis());
         let status = summary.status.unwrap_or_default();
@@ -110,14 +112,15 @@
     }
 }
 
-fn end_of(summary: &RequestSummary) -> RequestEnd {
+fn request_end(summary: &RequestSummary) -> RequestEnd {
     match (&summary.refusal, summary.status) {
         (Some(refusal), _) => RequestEnd::Refusal(refusal.clone()),
         (None, status) => RequestEnd::Reply(status.unwrap_or_default()),
     }
 }
 
-/// The event of a refusal: that of its code, but an unknown end is always told as such.
+/// Returns the event of a refusal. An unknown outcome takes precedence over the refusal's code,
+/// except when the caller gave up.
 fn refusal_event(refusal: &RequestRefusal) -> EventCode {
     match (refusal.code, refusal.run) {
         (RefusalCode::CallerGone, _) => EventCode::CallerGone,
--- a/crates/daemon/src/notes/roster.rs
+++ b/crates/daemon/src/notes/roster.rs
@@ -1,4 +1,5 @@
-//! What is known of other daemons.
+//! Records membership changes: other daemons that join, leave or fail, and this daemon's own
+//! standing.
 
 use std::time::Duration;
 
@@ -12,40 +13,41 @@
 use super::NoteKeeper;
 
 impl NoteKeeper {
-    pub(super) fn member(&mut self, now: Duration, note: &NodeNote) {
+    pub(super) fn record_member_change(&mut self, now: Duration, note: &NodeNote) {
         match note {
             NodeNote::MemberUp(peer) => {
-                self.peer(EventCode::MemberUp, peer);
+                self.emit_peer(EventCode::MemberUp, peer);
                 let change = self.reach.up(peer.node);
-                self.reach_changed(change);
+                self.emit_reach_change(change);
             }
             NodeNote::MemberDown { instance, cause } => {
-                self.peer(down_event(*cause), instance);
-                self.member_down(now, instance, *cause);
+                self.emit_peer(down_event(*cause), instance);
+                self.record_member_down(now, instance, *cause);
             }
             NodeNote::IncarnationRaised(own) => {
-                let reason = "peers remember a later life: the wall clock was set back";
+                let reason = "peers remember a later incarnation: the wall clock was set back";
                 let fields = EventFields::new().peer(own).reason(&reason);
                 self.emit(EventCode::DaemonSuperseded, &fields);
             }
-            NodeNote::Superseded(by) => self.peer(EventCode::DaemonSuperseded, by),
+            NodeNote::Superseded(by) => self.emit_peer(EventCode::DaemonSuperseded, by),
             _ => {}
         }
     }
 
-    /// A daemon that was replaced by a newer life of itself is not lost.
-    fn member_down(&mut self, now: Duration, instance: &InstanceId, cause: DownCause) {
+    /// Updates the reach watch. A daemon that restarted (`DownCause::Replaced`) does not count as
+    /// lost.
+    fn record_member_down(&mut self, now: Duration, instance: &InstanceId, cause: DownCause) {
         match cause {
             DownCause::Dead => {
                 let change = self.reach.lost(now, instance.node);
-                self.reach_changed(change);
+                self.emit_reach_change(change);
             }
             DownCause::Left | DownCause::LeftSilently => self.reach.left(instance.node),
             DownCause::Replaced => {}
         }
     }
 
-    fn reach_changed(&self, change: Option<ReachChange>) {
+    fn emit_reach_change(&self, change: Option<ReachChange>) {
         match change {
             Some(ReachChange::Split { lost, known }) => {
                 let fields = EventFields::new().count(&lost).limit(&known);
@@ -58,7 +60,7 @@
         }
     }
 
-    pub(super) fn roster(&self, note: &RosterNote) {
+    pub(super) fn record_roster_note(&self, note: &RosterNote) {
         match note {
             RosterNote::Suspected {
                 instance,
@@ -67,9 +69,9 @@
                 let fields = EventFields::new().peer(instance).count(observers);
                 self.emit(EventCode::MemberSuspected, &fields);
             }
-            RosterNote::Cleared { instance } => self.peer(EventCode::MemberRefuted, instance),
+            RosterNote::Cleared { instance } => self.emit_peer(EventCode::MemberRefuted, instance),
             RosterNote::Refuted { .. } => {
-                let reason = "peers held this daemon for suspect or down";
+                let reason = "peers considered this daemon suspect or down";
                 let fields = EventFields::new().reason(&reason);
                 self.emit(EventCode::SelfSuspected, &fields);
             }
@@ -104,7 +106,7 @@
         }
     }
 
-    fn peer(&self, code: EventCode, peer: &InstanceId) {
+    fn emit_peer(&self, code: EventCode, peer: &InstanceId) {
         self.emit(code, &EventFields::new().peer(peer));
     }
 }
@@ -117,7 +119,7 @@
     }
 }
 
-/// Without the digits that say nothing to a reader.
+/// Truncates a duration to whole milliseconds for log lines.
 fn whole_millis(duration: Duration) -> Duration {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(millis)
--- a/crates/daemon/src/operators/access.rs
+++ b/crates/daemon/src/operators/access.rs
@@ -1,4 +1,4 @@
-//! Who may call what.
+//! Authentication of calls to the operators' port by bearer token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,31 +13,32 @@
 
 use crate::settings::{OperatorAccount, OperatorRole};
 
-/// Scheme of the token.
-const BEARER: &str = "Bearer ";
-/// Name under which reads without an account are recorded.
-const LOCAL_NAME: &str = "local";
+/// Scheme in front of the token in the `Authorization` header.
+const BEARER_PREFIX: &str = "Bearer ";
+/// Account name recorded for reads that need no token.
+const LOCAL_READER_NAME: &str = "local";
 
-/// The accounts of the settings. Without any, callers on the same instance may read, and nobody
-/// may change anything.
+/// Authenticator of calls, with the accounts from the settings.
+///
+/// Without any account, callers on the same instance may read, and every change is refused.
 #[derive(Clone, Debug)]
 pub struct OperatorGate {
     table: AccessTable,
-    open_reads: bool,
+    local_reads_allowed: bool,
 }
 
 impl OperatorGate {
-    /// Takes the accounts of the settings.
+    /// Converts the accounts from the settings.
     ///
     /// # Errors
     ///
-    /// Every finding about them.
+    /// Every invalid or duplicate account.
     pub fn new(accounts: &[OperatorAccount]) -> Result<Self, FindingList> {
         let mut findings = FindingList::default();
-        let mut taken = Vec::new();
+        let mut access_accounts = Vec::new();
         for (index, account) in accounts.iter().enumerate() {
             match ContentDigest::from_hex(&account.token_sha256) {
-                Some(sha256) => taken.push(access_account(account, sha256)),
+                Some(sha256) => access_accounts.push(access_account(account, sha256)),
                 None => findings.add(
                     format!("operators[{index}].token_sha256"),
                     "must be 64 hexadecimal digits",
@@ -46,28 +47,28 @@
         }
         findings.into_result()?;
         Ok(Self {
-            table: AccessTable::new(taken)?,
-            open_reads: accounts.is_empty(),
+            table: AccessTable::new(access_accounts)?,
+            local_reads_allowed: accounts.is_empty(),
         })
     }
 
-    /// The account behind a call.
+    /// Returns the account that a call is made with.
     ///
     /// # Errors
     ///
-    /// When the token belongs to nobody.
-    pub fn account(
+    /// When the token is missing or belongs to no account.
+    pub fn authenticate(
         &self,
         headers: &HeaderMap,
         peer: SocketAddr,
     ) -> Result<AccessAccount, AccessDenial> {
-        if self.open_reads && peer.ip().is_loopback() {
+        if self.local_reads_allowed && peer.ip().is_loopback() {
             return Ok(local_reader());
         }
         let token = headers
             .get(AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
-            .and_then(|text| text.strip_prefix(BEARER))
+            .and_then(|text| text.strip_prefix(BEARER_PREFIX))
             .ok_or(AccessDenial::UnknownToken)?;
         self.table.find(token.trim().as_bytes()).cloned()
     }
@@ -75,7 +76,7 @@
 
 fn local_reader() -> AccessAccount {
     AccessAccount {
-        name: Arc::from(LOCAL_NAME),
+        name: Arc::from(LOCAL_READER_NAME),
         sha256: ContentDigest::default(),
         grants: vec![AccessGrant {
             scope: TeamScope::All,
--- a/crates/daemon/src/operators/history.rs
+++ b/crates/daemon/src/operators/history.rs
@@ -1,4 +1,4 @@
-//! The history of a contract: what was accepted and what the log rejected, newest first.
+//! The history of a contract: its accepted and rejected changes, newest first.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use sycamorelink_contract::book::{ContractBook, RejectedChange};
 use sycamorelink_telemetry::burn::UtcTime;
 
-/// Changes of a customer; null when none is known.
-pub(super) fn history(book: &ContractBook, customer: &str) -> Value {
+/// Returns the changes of a customer's contract, or null when none is known.
+pub(super) fn contract_history(book: &ContractBook, customer: &str) -> Value {
     let accepted = book
         .history(customer)
         .map(|item| (item.version, accepted_value(item)));
@@ -19,7 +19,7 @@
     if entries.is_empty() {
         return Value::Null;
     }
-    entries.sort_by(|(one, _), (other, _)| other.cmp(one));
+    entries.sort_by(|(left, _), (right, _)| right.cmp(left));
     let entries: Vec<Value> = entries.into_iter().map(|(_, value)| value).collect();
     json!({ "customer": customer, "entries": entries })
 }
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' port: administration, status, and the announcements of the backend servers of
-//! this instance.
+//! The operators' port: an HTTP API for administration and status, and for the announcements of the
+//! backend servers of this instance.
 //!
 //! ```text
 //!  operator ──HTTP──▶ server ─ access ─ route ─┬─ query ──ring──▶ decision thread
--- a/crates/daemon/src/operators/path.rs
+++ b/crates/daemon/src/operators/path.rs
@@ -1,20 +1,22 @@
-//! Paths and queries of calls, with their escapes resolved (RFC 3986, section 2.1).
+//! Percent-decoding of paths and queries (RFC 3986, section 2.1).
 
-/// The segments of a path. A name may hold any letter, also a `/` written as `%2F`, so segments
-/// are cut before they are decoded. `None` when an escape is cut short or the result is no UTF-8.
+/// Returns the decoded segments of a path, or `None` when an escape is invalid or the result is not
+/// UTF-8.
+///
+/// The path is split before decoding, because a name may contain a `/` written as `%2F`.
 pub(super) fn path_segments(path: &str) -> Option<Vec<String>> {
     path.split('/')
         .filter(|segment| !segment.is_empty())
-        .map(decode)
+        .map(percent_decode)
         .collect()
 }
 
-/// The path with no more escapes than a `/` in a name needs.
+/// Returns the path with only those escapes that a `/` in a name needs.
 ///
-/// Failure: the audit trail reads the path as it came, the routes read it decoded. Symptom: a
-/// change sent to `/v1/%63ontracts/...` is made and not in the trail. Both read the same segments
-/// when the trail gets this form. A path that cannot be decoded is routed nowhere and stays.
-pub(super) fn plain_path(path: &str) -> String {
+/// The audit trail matches this form, so that it recognizes the same calls as the router, which
+/// decodes segments. Otherwise a change sent to `/v1/%63ontracts/...` would be made but not
+/// audited. A path that cannot be decoded matches no route and is returned as it is.
+pub(super) fn canonical_path(path: &str) -> String {
     let Some(segments) = path_segments(path) else {
         return path.to_owned();
     };
@@ -24,34 +26,34 @@
     escaped.collect()
 }
 
-/// The value of a key in a query; `None` when it is absent or cannot be decoded.
+/// Returns the decoded value of a key in a query, or `None` when it is absent or invalid.
 pub(super) fn query_value(query: &str, name: &str) -> Option<String> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
         .find(|(key, _)| *key == name)
-        .and_then(|(_, value)| decode(value))
+        .and_then(|(_, value)| percent_decode(value))
 }
 
-fn decode(text: &str) -> Option<String> {
+fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
-    while let [first, tail @ ..] = rest {
-        rest = tail;
+    while let [first, following @ ..] = rest {
+        rest = following;
         if *first != b'%' {
             bytes.push(*first);
             continue;
         }
-        let [high, low, after @ ..] = tail else {
+        let [high, low, unread @ ..] = following else {
             return None;
         };
-        bytes.push(hex(*high)? << 4 | hex(*low)?);
-        rest = after;
+        bytes.push(hex_digit(*high)? << 4 | hex_digit(*low)?);
+        rest = unread;
     }
     String::from_utf8(bytes).ok()
 }
 
-fn hex(digit: u8) -> Option<u8> {
+fn hex_digit(digit: u8) -> Option<u8> {
     let value = char::from(digit).to_digit(16)?;
     u8::try_from(value).ok()
 }
--- a/crates/daemon/src/operators/publish.rs
+++ b/crates/daemon/src/operators/publish.rs
@@ -1,4 +1,4 @@
-//! Changes of contracts: appended to the log, settled by reading back.
+//! Publishes contract changes: appends them to the log and waits until they are read back.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
 use sycamorelink_log::{LogError, ReadBack, SettleResult, append_and_settle};
 
 use super::query::OperatorQuery;
-use super::reply::{ApiProblem, json_reply, versioned};
+use super::reply::{ApiProblem, json_reply, with_etag};
 use super::server::OperatorContext;
 
-/// How long a change is waited for until it is read back.
-const SETTLE_LIMIT: Duration = Duration::from_secs(4);
-/// Time between two looks at what became of it.
-const SETTLE_STEP: Duration = Duration::from_millis(10);
-/// How long a lost reply's record is waited for at the end of the log.
-const READ_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a call waits for its change to be read back before the reply is "pending".
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time between two queries for the outcome of a change.
+const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the log is searched for a record whose append got no reply.
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a change is to do.
+/// A contract change that an operator asks for.
 #[derive(Debug)]
-pub enum ChangeWish {
-    /// Put this document into force.
+pub enum ChangeRequest {
+    /// Put this contract document into force.
     Put(Bytes),
-    /// Remove the customer.
+    /// Remove the customer's contract.
     Remove,
-    /// Put the content of an earlier version into force again.
+    /// Put an earlier version into force again; the JSON body names it.
     RollBack(Bytes),
 }
 
@@ -41,8 +41,8 @@
     to: u64,
 }
 
-impl ChangeWish {
-    fn call(&self) -> AccessCall {
+impl ChangeRequest {
+    fn access_call(&self) -> AccessCall {
         match self {
             Self::Put(_) => AccessCall::PutContract,
             Self::Remove => AccessCall::RemoveContract,
@@ -51,47 +51,50 @@
     }
 }
 
-/// Makes one change and waits until it is in force here.
+/// Publishes one change and waits until it is in force on this node.
+///
+/// A change whose id is already known is not appended again. The reply is "pending" when the
+/// outcome is not known within [`OUTCOME_TIMEOUT`].
 ///
 /// # Errors
 ///
-/// Why it was not made, or lost.
-pub async fn make_change(
+/// When the call is invalid or forbidden, the log is unavailable, or the change was rejected.
+pub async fn publish_change(
     context: &OperatorContext,
     account: &AccessAccount,
     headers: &HeaderMap,
     customer: &str,
-    wish: ChangeWish,
+    request: ChangeRequest,
 ) -> Result<Response<Bytes>, ApiProblem> {
     let id = change_id(headers)?;
     let base = base_version(headers)?;
-    let present = context
-        .ask(OperatorQuery::Contract(customer.to_owned()))
+    let current = context
+        .query(OperatorQuery::Contract(customer.to_owned()))
         .await?;
-    let held_by = present["team"].as_str().map(str::to_owned);
-    let call = wish.call();
-    let (action, team) = action_of(context, customer, wish, held_by.as_deref()).await?;
-    let held_by = if present["version"] == 0 {
+    let current_team = current["team"].as_str().map(str::to_owned);
+    let call = request.access_call();
+    let (action, team) = build_action(context, customer, request, current_team.as_deref()).await?;
+    let current_team = if current["version"] == 0 {
         None
     } else {
-        held_by
+        current_team
     };
     let allowed = match &team {
-        Some(team) => authorize_change(account, call, held_by.as_deref(), team),
-        None => authorize(account, call, held_by.as_deref()),
+        Some(team) => authorize_change(account, call, current_team.as_deref(), team),
+        None => authorize(account, call, current_team.as_deref()),
     };
     allowed.map_err(|denial| ApiProblem::new(StatusCode::FORBIDDEN, "forbidden", denial))?;
-    let team = team.or(held_by).unwrap_or_default();
-    let head = present["head"].as_u64().unwrap_or_default();
+    let team = team.or(current_team).unwrap_or_default();
+    let head = current["head"].as_u64().unwrap_or_default();
     let change = ContractChange::builder(id, CustomerName::new(customer), action)
         .base(ContractVersion(base))
         .seen(head)
         .author(&account.name, &team)
         .stamp(context.clock.wall())
         .build();
-    let known = settled(context, id).await?;
-    if known["state"] == "unknown" {
-        append(context, &change, head).await?;
+    let outcome = change_outcome(context, id).await?;
+    if outcome["state"] == "unknown" {
+        append_change(context, &change, head).await?;
     }
     await_outcome(context, customer, id).await
 }
@@ -121,15 +124,15 @@
     ApiProblem::new(StatusCode::BAD_REQUEST, "bad-request", detail)
 }
 
-async fn action_of(
+async fn build_action(
     context: &OperatorContext,
     customer: &str,
-    wish: ChangeWish,
-    held_by: Option<&str>,
+    request: ChangeRequest,
+    current_team: Option<&str>,
 ) -> Result<(ChangeAction, Option<String>), ApiProblem> {
-    match wish {
-        ChangeWish::Remove => Ok((ChangeAction::Remove, None)),
-        ChangeWish::Put(bytes) => {
+    match request {
+        ChangeRequest::Remove => Ok((ChangeAction::Remove, None)),
+        ChangeRequest::Put(bytes) => {
             let contract = parse_contract(&bytes)?;
             if contract.customer.as_str() != customer {
                 return Err(bad_request(
@@ -139,26 +142,26 @@
             let team = contract.team.to_string();
             Ok((ChangeAction::put(&contract), Some(team)))
         }
-        ChangeWish::RollBack(bytes) => {
+        ChangeRequest::RollBack(bytes) => {
             let body: RollBackBody = serde_json::from_slice(&bytes).map_err(bad_request)?;
-            let contract = earlier_content(context, customer, body.to).await?;
+            let contract = read_version(context, customer, body.to).await?;
             let action = ChangeAction::RollBack {
                 to: ContractVersion(body.to),
                 contract: sycamorelink_contract::ContractText::of(&contract),
             };
             let team = Some(contract.team.to_string());
-            Ok((action, team.or(held_by.map(str::to_owned))))
+            Ok((action, team.or(current_team.map(str::to_owned))))
         }
     }
 }
 
 fn parse_contract(bytes: &[u8]) -> Result<CustomerContract, ApiProblem> {
     let text = std::str::from_utf8(bytes).map_err(|_| bad_request("the body is not UTF-8"))?;
-    CustomerContract::from_json(text).map_err(|findings| ApiProblem::findings(&findings))
+    CustomerContract::from_json(text).map_err(|findings| ApiProblem::from_findings(&findings))
 }
 
-/// The content of an earlier version is read back from the log.
-async fn earlier_content(
+/// Reads the content of an earlier version from the log.
+async fn read_version(
     context: &OperatorContext,
     customer: &str,
     version: u64,
@@ -190,13 +193,14 @@
         ApiProblem::not_found("this version removed the customer and has no content")
     })?;
     text.parse()
-        .map_err(|findings| ApiProblem::findings(&findings))
+        .map_err(|findings| ApiProblem::from_findings(&findings))
 }
 
-/// Failure: the append took effect and its reply was lost; sent again, the change would stand in
-/// the log twice. A lost reply is settled by looking for the change's own id instead, and readers
-/// drop a second copy.
-async fn append(
+/// Appends a change to the log.
+///
+/// When the reply to the append is lost, the log is searched for the change's id, because a second
+/// append could store the change twice. Readers drop a second copy all the same.
+async fn append_change(
     context: &OperatorContext,
     change: &ContractChange,
     head: u64,
@@ -205,16 +209,16 @@
     let range = ReadBack {
         stream: &context.stream,
         from: head,
-        patience: READ_PATIENCE,
+        patience: READ_BACK_TIMEOUT,
     };
-    let own = |record: &sycamorelink_log::LogRecord| {
+    let is_same_change = |record: &sycamorelink_log::LogRecord| {
         matches!(
             LogRecord::decode(&record.data),
             Ok(LogRecord::Change(found)) if found.id == id
         )
     };
     let bytes = Bytes::from(change.encode());
-    match append_and_settle(context.log.as_ref(), range, bytes, own).await {
+    match append_and_settle(context.log.as_ref(), range, bytes, is_same_change).await {
         Ok(SettleResult::Taken { .. } | SettleResult::NotSeen { .. })
         | Err(LogError::Uncertain { .. }) => Ok(()),
         Err(error) => Err(log_problem(&error)),
@@ -225,8 +229,8 @@
     ApiProblem::new(StatusCode::SERVICE_UNAVAILABLE, "log-unavailable", error)
 }
 
-async fn settled(context: &OperatorContext, id: ChangeId) -> Result<Value, ApiProblem> {
-    let value = context.ask(OperatorQuery::Change(id)).await?;
+async fn change_outcome(context: &OperatorContext, id: ChangeId) -> Result<Value, ApiProblem> {
+    let value = context.query(OperatorQuery::Change(id)).await?;
     Ok((*value).clone())
 }
 
@@ -235,26 +239,26 @@
     customer: &str,
     id: ChangeId,
 ) -> Result<Response<Bytes>, ApiProblem> {
-    let until = context.clock.now() + SETTLE_LIMIT;
+    let deadline = context.clock.now() + OUTCOME_TIMEOUT;
     loop {
-        let outcome = settled(context, id).await?;
+        let outcome = change_outcome(context, id).await?;
         match outcome["state"].as_str() {
             Some("accepted") => {
                 let version = outcome["version"].as_u64().unwrap_or_default();
                 let body = json!({ "customer": customer, "change": id, "version": version });
-                return Ok(versioned(json_reply(StatusCode::OK, &body), version));
+                return Ok(with_etag(json_reply(StatusCode::OK, &body), version));
             }
-            Some("rejected") => return Err(lost(&outcome)),
-            _ if context.clock.now() >= until => {
+            Some("rejected") => return Err(rejected_problem(&outcome)),
+            _ if context.clock.now() >= deadline => {
                 let body = json!({ "change": id, "customer": customer, "state": "pending" });
                 return Ok(json_reply(StatusCode::ACCEPTED, &body));
             }
-            _ => tokio::time::sleep(SETTLE_STEP).await,
+            _ => tokio::time::sleep(OUTCOME_POLL_INTERVAL).await,
         }
     }
 }
 
-fn lost(outcome: &Value) -> ApiProblem {
+fn rejected_problem(outcome: &Value) -> ApiProblem {
     let reason = outcome["reason"].as_str().unwrap_or("rejected");
     if outcome["winner"].is_null() {
         return ApiProblem::new(StatusCode::CONFLICT, "change-lost", reason);
--- a/crates/daemon/src/operators/query.rs
+++ b/crates/daemon/src/operators/query.rs
@@ -1,4 +1,4 @@
-//! Questions that only the decision thread can answer.
+//! Queries from the operators' port that the decision thread answers.
 
 use std::time::Duration;
 
@@ -8,41 +8,41 @@
 use sycamorelink_engine::{NodeEngine, UpstreamStatus};
 use sycamorelink_telemetry::burn::BurnQuery;
 
-use super::history::history;
+use super::history::contract_history;
 use crate::notes::{AuditNote, NoteKeeper};
 use crate::work::BackendDirectory;
 
-/// One question.
+/// A query to the decision thread.
 #[derive(Clone, Debug)]
 pub enum OperatorQuery {
-    /// This daemon.
+    /// State of this daemon.
     Status,
-    /// The fleet as this daemon sees it.
+    /// Members and their upstreams, as this daemon knows them.
     Fleet,
-    /// One service.
+    /// Upstreams and capacity floor of a service, by its name.
     Service(String),
-    /// The service whose name is nearest to an unknown one.
+    /// Name of the known service that is most similar to an unknown one.
     NearestService(String),
-    /// Service-level burn of the requests that this daemon served.
+    /// Error budget burn of the requests that this daemon took from callers.
     Burn(BurnQuery),
-    /// Customers after a name, up to a count.
+    /// One page of the customers that have a contract, ordered by name.
     Contracts {
-        /// Customers up to this one are passed over.
+        /// Last customer of the previous page; empty for the first page.
         after: String,
-        /// Most customers in the answer.
+        /// Maximum number of customers in the page.
         limit: usize,
     },
-    /// One contract, with what a change needs to name.
+    /// The contract of a customer, with the version and log offset that a change refers to.
     Contract(String),
-    /// The changes of one contract.
+    /// Changes of a customer's contract, newest first.
     History(String),
-    /// What became of a change.
+    /// Outcome of a change.
     Change(ChangeId),
-    /// Not a question: an entry for the audit trail.
+    /// Writes an entry of the audit trail; the answer is always null.
     Audit(Box<AuditNote>),
 }
 
-/// Answers a question; null when the thing asked for does not exist.
+/// Answers a query; null when the requested item does not exist.
 #[must_use]
 pub fn answer_query(
     engine: &NodeEngine,
@@ -57,14 +57,14 @@
         OperatorQuery::Service(name) => service(engine, name),
         OperatorQuery::NearestService(name) => nearest_service(engine, name),
         OperatorQuery::Burn(query) => {
-            serde_json::to_value(notes.burn(now, query)).unwrap_or_default()
+            serde_json::to_value(notes.burn_report(now, query)).unwrap_or_default()
         }
         OperatorQuery::Contracts { after, limit } => contracts(engine, after, *limit),
         OperatorQuery::Contract(customer) => contract(engine, customer),
-        OperatorQuery::History(customer) => history(engine.book(), customer),
+        OperatorQuery::History(customer) => contract_history(engine.book(), customer),
         OperatorQuery::Change(id) => change(engine, *id),
         OperatorQuery::Audit(note) => {
-            notes.audit(note);
+            notes.record_audit(note);
             Value::Null
         }
     }
@@ -86,7 +86,7 @@
                 "service": announced.service,
                 "address": directory.address(slot).map(|address| address.to_string()),
                 "slots": announced.slots,
-                "phase": phase_of(announced.phase),
+                "phase": phase_name(announced.phase),
                 "in_use": load.in_use,
                 "waiting": load.queued,
             })
@@ -110,7 +110,7 @@
     })
 }
 
-fn phase_of(phase: sycamorelink_policy::UpstreamPhase) -> &'static str {
+fn phase_name(phase: sycamorelink_policy::UpstreamPhase) -> &'static str {
     match phase {
         sycamorelink_policy::UpstreamPhase::Starting => "starting",
         sycamorelink_policy::UpstreamPhase::Ready => "ready",
@@ -128,11 +128,11 @@
             let upstreams: Vec<Value> = services
                 .iter()
                 .flat_map(|service| {
-                    let own = service
+                    let hosted = service
                         .upstreams
                         .iter()
                         .filter(|upstream| upstream.id.node == node);
-                    own.map(|upstream| {
+                    hosted.map(|upstream| {
                         json!({
                             "upstream": upstream.id.to_string(),
                             "service": service.service,
--- a/crates/daemon/src/operators/reply.rs
+++ b/crates/daemon/src/operators/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the operators' port.
+//! Builds the replies of the operators' port.
 
 use std::fmt::Display;
 
@@ -8,17 +8,17 @@
 use serde_json::{Value, json};
 use sycamorelink_core::FindingList;
 
-/// A reply with a JSON body.
+/// Builds a reply with a JSON body.
 #[must_use]
 pub fn json_reply(status: StatusCode, body: &Value) -> Response<Bytes> {
     let mut reply = Response::new(Bytes::from(body.to_string()));
     *reply.status_mut() = status;
-    let kind = HeaderValue::from_static("application/json");
-    reply.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/json");
+    reply.headers_mut().insert(CONTENT_TYPE, content_type);
     reply
 }
 
-/// A reply without a body.
+/// Builds a reply without a body.
 #[must_use]
 pub fn empty_reply(status: StatusCode) -> Response<Bytes> {
     let mut reply = Response::new(Bytes::new());
@@ -26,16 +26,16 @@
     reply
 }
 
-/// The same with a contract's version.
+/// Sets the `ETag` header to the contract's version.
 #[must_use]
-pub fn versioned(mut reply: Response<Bytes>, version: u64) -> Response<Bytes> {
+pub fn with_etag(mut reply: Response<Bytes>, version: u64) -> Response<Bytes> {
     if let Ok(tag) = HeaderValue::try_from(format!("\"{version}\"")) {
         reply.headers_mut().insert(ETAG, tag);
     }
     reply
 }
 
-/// A refusal of the operators' port.
+/// An error reply of the operators' port, in the form of RFC 9457 (`application/problem+json`).
 #[derive(Clone, Debug)]
 pub struct ApiProblem {
     status: StatusCode,
@@ -45,7 +45,7 @@
 }
 
 impl ApiProblem {
-    /// A refusal with a stable code and what went wrong with this call.
+    /// Creates a problem with a stable code and a description of what is wrong with this call.
     #[must_use]
     pub fn new<T>(status: StatusCode, code: &'static str, detail: T) -> Self
     where
@@ -59,28 +59,28 @@
         }
     }
 
-    /// A document with findings.
+    /// Creates the problem for a document that has validation findings.
     #[must_use]
-    pub fn findings(findings: &FindingList) -> Self {
+    pub fn from_findings(findings: &FindingList) -> Self {
         let detail = "the document has findings";
         let value = serde_json::to_value(&findings.0).unwrap_or_default();
         Self::new(StatusCode::UNPROCESSABLE_ENTITY, "findings", detail).with("findings", value)
     }
 
-    /// Something that does not exist.
+    /// Creates the problem for an item that does not exist.
     #[must_use]
-    pub fn not_found(what: &str) -> Self {
-        Self::new(StatusCode::NOT_FOUND, "not-found", what)
+    pub fn not_found(detail: &str) -> Self {
+        Self::new(StatusCode::NOT_FOUND, "not-found", detail)
     }
 
-    /// The same with one more member.
+    /// Adds a member to the JSON body.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: Value) -> Self {
         self.extra.push((name, value));
         self
     }
 
-    /// The reply.
+    /// Builds the HTTP reply.
     #[must_use]
     pub fn reply(&self) -> Response<Bytes> {
         let mut body = json!({
@@ -94,8 +94,8 @@
             body[*name] = value.clone();
         }
         let mut reply = json_reply(self.status, &body);
-        let kind = HeaderValue::from_static("application/problem+json");
-        reply.headers_mut().insert(CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("application/problem+json");
+        reply.headers_mut().insert(CONTENT_TYPE, content_type);
         reply
     }
 }
--- a/crates/daemon/src/operators/route.rs
+++ b/crates/daemon/src/operators/route.rs
@@ -1,4 +1,4 @@
-//! Finds what a call of the operators' port asks for.
+//! Routes the calls of the operators' port.
 
 use std::net::SocketAddr;
 
@@ -12,32 +12,32 @@
 use sycamorelink_telemetry::burn::{BurnQuery, ReportDetail};
 use tokio::sync::oneshot;
 
-use super::path::{self, path_segments, plain_path};
-use super::publish::{ChangeWish, make_change};
+use super::path::{self, canonical_path, path_segments};
+use super::publish::{ChangeRequest, publish_change};
 use super::query::OperatorQuery;
-use super::reply::{ApiProblem, empty_reply, json_reply, versioned};
+use super::reply::{ApiProblem, empty_reply, json_reply, with_etag};
 use super::server::OperatorContext;
 use crate::border::AnnouncementCall;
 use crate::inbox::ShellInput;
 use crate::notes::{AuditCall, AuditNote};
 
-/// Customers in one page unless the call says otherwise.
-const PAGE_LENGTH: usize = 100;
-/// Most customers in one page.
-const LONGEST_PAGE: usize = 1000;
+/// Customers in one page when the call sets no `limit`.
+const DEFAULT_PAGE_LENGTH: usize = 100;
+/// Maximum number of customers in one page, whatever `limit` the call sets.
+const MAX_PAGE_LENGTH: usize = 1000;
 
-/// One call with its whole body.
+/// A call of the operators' port, its body read completely.
 #[derive(Debug)]
 pub struct OperatorCall {
     /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, still percent-encoded.
     pub uri: Uri,
-    /// Headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Who calls.
+    /// Address that the call comes from.
     pub peer: SocketAddr,
 }
 
@@ -57,8 +57,8 @@
     phase: AnnouncedPhase,
 }
 
-/// Answers a call.
-pub async fn answer_call(context: &OperatorContext, call: OperatorCall) -> Response<Bytes> {
+/// Handles a call and records it in the audit trail.
+pub async fn handle_call(context: &OperatorContext, call: OperatorCall) -> Response<Bytes> {
     let reply = route(context, &call)
         .await
         .unwrap_or_else(|problem| problem.reply());
@@ -66,18 +66,18 @@
     reply
 }
 
-/// Every call passes here, so that no change can be left out of the audit trail.
+/// Records a call in the audit trail. Runs for every call, so that no route can miss it.
 async fn audit(context: &OperatorContext, call: &OperatorCall, reply: &Response<Bytes>) {
-    let account = context.gate.account(&call.headers, call.peer).ok();
-    let path = plain_path(call.uri.path());
-    let facts = AuditCall {
+    let account = context.gate.authenticate(&call.headers, call.peer).ok();
+    let path = canonical_path(call.uri.path());
+    let audited = AuditCall {
         method: &call.method,
         path: &path,
         headers: &call.headers,
         peer: call.peer,
         operator: account.map(|account| account.name),
     };
-    if let Some(note) = AuditNote::of(&facts, reply) {
+    if let Some(note) = AuditNote::of(&audited, reply) {
         let (reply, _) = oneshot::channel();
         let query = OperatorQuery::Audit(Box::new(note));
         context.inbox.send(ShellInput::Query(query, reply)).await;
@@ -102,13 +102,13 @@
         (_, ["v1", rest @ ..]) => {
             let account = context
                 .gate
-                .account(&call.headers, call.peer)
+                .authenticate(&call.headers, call.peer)
                 .map_err(|denial| {
                     ApiProblem::new(StatusCode::UNAUTHORIZED, "unauthorized", denial)
                 })?;
-            administer(context, &account, call, rest).await
+            route_admin_call(context, &account, call, rest).await
         }
-        _ => announce_otherwise(context, call)
+        _ => announce_through_adapter(context, call)
             .await
             .ok_or_else(|| ApiProblem::not_found("no such call")),
     }
@@ -151,7 +151,7 @@
     let body: AnnouncementBody = serde_json::from_slice(&call.body)
         .map_err(|error| ApiProblem::new(StatusCode::BAD_REQUEST, "bad-request", error))?;
     context.directory.insert(slot, body.address);
-    let announced = UpstreamAnnouncement {
+    let announcement = UpstreamAnnouncement {
         slot,
         service: body.service,
         slots: body.slots,
@@ -165,18 +165,20 @@
     };
     context
         .inbox
-        .send(ShellInput::Event(NodeEvent::UpstreamAnnounced(announced)))
+        .send(ShellInput::Event(NodeEvent::UpstreamAnnounced(
+            announcement,
+        )))
         .await;
     Ok(empty_reply(StatusCode::NO_CONTENT))
 }
 
-/// An announcement in the form of another border.
-async fn announce_otherwise(
+/// Handles an announcement in the platform's own protocol; `None` when the call is not one.
+async fn announce_through_adapter(
     context: &OperatorContext,
     call: &OperatorCall,
 ) -> Option<Response<Bytes>> {
-    let border = context.announcement.as_ref()?;
-    let answer = border.read(AnnouncementCall {
+    let adapter = context.announcement.as_ref()?;
+    let answer = adapter.read(AnnouncementCall {
         method: &call.method,
         path: call.uri.path(),
         body: &call.body,
@@ -201,31 +203,31 @@
     Ok(empty_reply(StatusCode::NO_CONTENT))
 }
 
-async fn administer(
+async fn route_admin_call(
     context: &OperatorContext,
     account: &AccessAccount,
     call: &OperatorCall,
     path: &[&str],
 ) -> Result<Response<Bytes>, ApiProblem> {
     let read = |call: AccessCall, query: OperatorQuery| async move {
-        allow(account, call, None)?;
-        show(context, query).await
+        require_access(account, call, None)?;
+        reply_to_query(context, query).await
     };
     match (call.method.as_str(), path) {
         ("GET", ["status"]) => read(AccessCall::ShowStatus, OperatorQuery::Status).await,
         ("GET", ["fleet"]) => read(AccessCall::ShowFleet, OperatorQuery::Fleet).await,
-        ("GET", ["burn"]) => read(AccessCall::ShowBurn, burn_of(call)).await,
+        ("GET", ["burn"]) => read(AccessCall::ShowBurn, burn_query(call)).await,
         ("GET", ["services", name]) => {
-            allow(account, AccessCall::ShowService, None)?;
+            require_access(account, AccessCall::ShowService, None)?;
             show_service(context, name).await
         }
         ("GET", ["changes", id]) => show_change(context, account, id).await,
         ("GET", ["contracts"]) => {
-            allow(account, AccessCall::ListContracts, None)?;
-            show(context, page_of(call)).await
+            require_access(account, AccessCall::ListContracts, None)?;
+            reply_to_query(context, contracts_query(call)).await
         }
         ("POST", ["drain"]) => {
-            allow(account, AccessCall::DrainDaemon, None)?;
+            require_access(account, AccessCall::DrainDaemon, None)?;
             context
                 .inbox
                 .send(ShellInput::Event(NodeEvent::DrainRequested))
@@ -233,7 +235,7 @@
             context
                 .drain_wanted
                 .store(true, std::sync::atomic::Ordering::Release);
-            let status = context.ask(OperatorQuery::Status).await?;
+            let status = context.query(OperatorQuery::Status).await?;
             let body = serde_json::json!({
                 "state": "draining",
                 "in_flight": status["in_flight"],
@@ -241,39 +243,42 @@
             Ok(json_reply(StatusCode::ACCEPTED, &body))
         }
         (_, ["contracts", customer, rest @ ..]) => {
-            contract_call(context, account, call, customer, rest).await
+            route_contract_call(context, account, call, customer, rest).await
         }
-        _ => announce_otherwise(context, call)
+        _ => announce_through_adapter(context, call)
             .await
             .ok_or_else(|| ApiProblem::not_found("no such call")),
     }
 }
 
-async fn contract_call(
+async fn route_contract_call(
     context: &OperatorContext,
     account: &AccessAccount,
     call: &OperatorCall,
     customer: &str,
     rest: &[&str],
 ) -> Result<Response<Bytes>, ApiProblem> {
-    let wish = match (call.method.as_str(), rest) {
+    let request = match (call.method.as_str(), rest) {
         ("GET", []) => return show_contract(context, account, customer).await,
         ("GET", ["history"]) => {
-            let team = team_of(context, customer).await?;
-            allow(account, AccessCall::ShowHistory, team.as_deref())?;
-            return show(context, OperatorQuery::History(customer.to_owned())).await;
+            let team = contract_team(context, customer).await?;
+            require_access(account, AccessCall::ShowHistory, team.as_deref())?;
+            return reply_to_query(context, OperatorQuery::History(customer.to_owned())).await;
         }
-        ("PUT", []) => ChangeWish::Put(call.body.clone()),
-        ("DELETE", []) => ChangeWish::Remove,
-        ("POST", ["rollback"]) => ChangeWish::RollBack(call.body.clone()),
+        ("PUT", []) => ChangeRequest::Put(call.body.clone()),
+        ("DELETE", []) => ChangeRequest::Remove,
+        ("POST", ["rollback"]) => ChangeRequest::RollBack(call.body.clone()),
         _ => return Err(ApiProblem::not_found("no such call")),
     };
-    make_change(context, account, &call.headers, customer, wish).await
+    publish_change(context, account, &call.headers, customer, request).await
 }
 
-async fn team_of(context: &OperatorContext, customer: &str) -> Result<Option<String>, ApiProblem> {
+async fn contract_team(
+    context: &OperatorContext,
+    customer: &str,
+) -> Result<Option<String>, ApiProblem> {
     let value = context
-        .ask(OperatorQuery::Contract(customer.to_owned()))
+        .query(OperatorQuery::Contract(customer.to_owned()))
         .await?;
     Ok(value["team"].as_str().map(str::to_owned))
 }
@@ -284,14 +289,14 @@
     customer: &str,
 ) -> Result<Response<Bytes>, ApiProblem> {
     let value = context
-        .ask(OperatorQuery::Contract(customer.to_owned()))
+        .query(OperatorQuery::Contract(customer.to_owned()))
         .await?;
-    allow(account, AccessCall::ShowContract, value["team"].as_str())?;
+    require_access(account, AccessCall::ShowContract, value["team"].as_str())?;
     let version = value["version"].as_u64().unwrap_or_default();
     if version == 0 {
         return Err(ApiProblem::not_found("the customer has no contract"));
     }
-    Ok(versioned(
+    Ok(with_etag(
         json_reply(StatusCode::OK, &value["contract"]),
         version,
     ))
@@ -301,13 +306,15 @@
     context: &OperatorContext,
     name: &str,
 ) -> Result<Response<Bytes>, ApiProblem> {
-    let value = context.ask(OperatorQuery::Service(name.to_owned())).await?;
+    let value = context
+        .query(OperatorQuery::Service(name.to_owned()))
+        .await?;
     if !value.is_null() {
         return Ok(json_reply(StatusCode::OK, &value));
     }
     let query = OperatorQuery::NearestService(name.to_owned());
-    let near = context.ask(query).await?;
-    let hint = near
+    let nearest = context.query(query).await?;
+    let hint = nearest
         .as_str()
         .map_or_else(String::new, |near| format!("; did you mean `{near}`?"));
     let detail = format!("no service `{name}` has upstreams here{hint}");
@@ -319,27 +326,28 @@
     account: &AccessAccount,
     id: &str,
 ) -> Result<Response<Bytes>, ApiProblem> {
-    allow(account, AccessCall::ShowChange, None)?;
+    require_access(account, AccessCall::ShowChange, None)?;
     let id = id
         .parse()
         .map_err(|error: sycamorelink_contract::change::ChangeIdError| {
             ApiProblem::new(StatusCode::BAD_REQUEST, "bad-request", error)
         })?;
-    show(context, OperatorQuery::Change(id)).await
+    reply_to_query(context, OperatorQuery::Change(id)).await
 }
 
-fn page_of(call: &OperatorCall) -> OperatorQuery {
+fn contracts_query(call: &OperatorCall) -> OperatorQuery {
     let limit = query_value(call, "limit")
         .and_then(|text| text.parse().ok())
-        .unwrap_or(PAGE_LENGTH);
+        .unwrap_or(DEFAULT_PAGE_LENGTH);
     OperatorQuery::Contracts {
         after: query_value(call, "after").unwrap_or_default(),
-        limit: limit.clamp(1, LONGEST_PAGE),
+        limit: limit.clamp(1, MAX_PAGE_LENGTH),
     }
 }
 
-/// Windows of all rows, unless the call asks for one customer or service or for the points of plots.
-fn burn_of(call: &OperatorCall) -> OperatorQuery {
+/// Builds the burn query: all customers and services, and windows without the points of plots,
+/// unless the call's parameters select otherwise.
+fn burn_query(call: &OperatorCall) -> OperatorQuery {
     let detail = match query_value(call, "points").as_deref() {
         Some("true") => ReportDetail::Points,
         _ => ReportDetail::Windows,
@@ -359,16 +367,20 @@
     path::query_value(call.uri.query().unwrap_or_default(), name)
 }
 
-fn allow(account: &AccessAccount, call: AccessCall, team: Option<&str>) -> Result<(), ApiProblem> {
+fn require_access(
+    account: &AccessAccount,
+    call: AccessCall,
+    team: Option<&str>,
+) -> Result<(), ApiProblem> {
     authorize(account, call, team)
         .map_err(|denial| ApiProblem::new(StatusCode::FORBIDDEN, "forbidden", denial))
 }
 
-async fn show(
+async fn reply_to_query(
     context: &OperatorContext,
     query: OperatorQuery,
 ) -> Result<Response<Bytes>, ApiProblem> {
-    let value = context.ask(query).await?;
+    let value = context.query(query).await?;
     if value.is_null() {
         return Err(ApiProblem::not_found("there is no such thing here"));
     }
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -1,4 +1,4 @@
-//! The listening side of the operators' port.
+//! HTTP server of the operators' port.
 
 use std::net::{IpAddr, TcpListener};
 use std::sync::Arc;
@@ -17,52 +17,52 @@
 use super::access::OperatorGate;
 use super::query::OperatorQuery;
 use super::reply::ApiProblem;
-use super::route::{OperatorCall, answer_call};
+use super::route::{OperatorCall, handle_call};
 use crate::border::AnnouncementBorder;
 use crate::http_server::PortServer;
 use crate::inbox::ShellInput;
 use crate::ring::RingSender;
 use crate::work::BackendDirectory;
 
-/// Greatest body of a call, in bytes.
-const BODY_LIMIT: usize = 2 << 20;
-/// Longest wait for the decision thread's answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum size of a call's body, in bytes.
+const MAX_BODY_BYTES: usize = 2 << 20;
+/// Maximum wait for the decision thread's answer to a query.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What every call needs.
+/// State shared by all calls of the operators' port.
 pub struct OperatorContext {
-    /// Where events and questions go.
+    /// Ring of the decision thread, for events and queries.
     pub inbox: RingSender<ShellInput>,
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
     /// Name of the stream of contract changes.
     pub stream: Arc<str>,
-    /// Who may call what.
+    /// Accounts that may call the port.
     pub gate: OperatorGate,
-    /// Time.
+    /// Clock for the stamps of changes and for timeouts.
     pub clock: Arc<dyn NodeClock>,
-    /// Where the backend servers listen.
+    /// Addresses of the backend servers of this instance.
     pub directory: BackendDirectory,
     /// Set while requests can be served.
     pub ready: Arc<AtomicBool>,
-    /// Set when an operator asks the daemon to leave.
+    /// Set when an operator requests a drain.
     pub drain_wanted: Arc<AtomicBool>,
-    /// Another form in which backend servers announce themselves.
+    /// Adapter for announcements in the platform's own protocol, if there is one.
     pub announcement: Option<Arc<dyn AnnouncementBorder>>,
-    /// Address that this port listens on.
+    /// Address that this port listens on; calls from it count as local.
     pub own_ip: IpAddr,
 }
 
 impl OperatorContext {
-    /// Asks the decision thread.
+    /// Sends a query to the decision thread and waits for the answer.
     ///
     /// # Errors
     ///
-    /// When it does not answer in time.
-    pub async fn ask(&self, query: OperatorQuery) -> Result<Arc<Value>, ApiProblem> {
+    /// When no answer arrives within [`ANSWER_TIMEOUT`].
+    pub async fn query(&self, query: OperatorQuery) -> Result<Arc<Value>, ApiProblem> {
         let (reply, answer) = oneshot::channel();
         self.inbox.send(ShellInput::Query(query, reply)).await;
-        let answer = tokio::time::timeout(ANSWER_LIMIT, answer).await;
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
         answer.ok().and_then(Result::ok).ok_or_else(|| {
             ApiProblem::new(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -73,20 +73,20 @@
     }
 }
 
-/// Serves the operators' port.
+/// Adds the operators' port to an HTTP server.
 pub fn serve_operators(
     server: PortServer,
     listener: TcpListener,
     context: Arc<OperatorContext>,
 ) -> PortServer {
-    let answer = move |request| {
+    let handler = move |request| {
         let context = Arc::clone(&context);
-        async move { answer_request(&context, request).await }
+        async move { handle_request(&context, request).await }
     };
-    server.port("operators", listener, answer)
+    server.port("operators", listener, handler)
 }
 
-async fn answer_request(context: &OperatorContext, request: WebRequest) -> Response<ResponseBody> {
+async fn handle_request(context: &OperatorContext, request: WebRequest) -> Response<ResponseBody> {
     let (head, body) = request.into_parts();
     let peer = *body.socket_addr();
     let (_, body) = body.replace_body(());
@@ -100,7 +100,7 @@
         },
         Err(problem) => return problem.reply().map(ResponseBody::bytes),
     };
-    answer_call(context, call).await.map(ResponseBody::bytes)
+    handle_call(context, call).await.map(ResponseBody::bytes)
 }
 
 async fn read_body(mut body: RequestBody) -> Result<Bytes, ApiProblem> {
@@ -110,8 +110,8 @@
             ApiProblem::new(StatusCode::BAD_REQUEST, "bad-request", error.to_string())
         })?;
         bytes.extend_from_slice(&chunk);
-        if bytes.len() > BODY_LIMIT {
-            let detail = format!("the body is larger than {BODY_LIMIT} bytes");
+        if bytes.len() > MAX_BODY_BYTES {
+            let detail = format!("the body is larger than {MAX_BODY_BYTES} bytes");
             return Err(ApiProblem::new(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Rules that a type cannot state: what must be given, what must agree, what is in range.
+//! Validation rules that types cannot express: required values, ranges, and values that must agree.
 
 use std::collections::BTreeSet;
 
@@ -9,21 +9,21 @@
 use super::model::{DaemonSettings, FleetKey, OperatorAccount, OperatorRole};
 use super::sections::check_sections;
 
-/// Shortest secret of the fleet, in characters.
-const SECRET_LENGTH: usize = 32;
-/// Length of a SHA-256 in hexadecimal characters.
+/// Minimum length of a fleet key's secret, in bytes.
+const MIN_SECRET_LENGTH: usize = 32;
+/// Length of a SHA-256 digest in hexadecimal characters.
 const DIGEST_LENGTH: usize = 64;
-/// Most threads that serve HTTP on one instance.
-const WORKER_LIMIT: usize = 16;
-/// Smallest limit on headers, in bytes; less would refuse ordinary requests.
-const SMALLEST_HEADER_LIMIT: usize = 1 << 10;
+/// Maximum number of threads that serve HTTP on one instance.
+const MAX_HTTP_WORKERS: usize = 16;
+/// Minimum value of `header_limit`, in bytes; a smaller one would refuse ordinary requests.
+const MIN_HEADER_LIMIT: usize = 1 << 10;
 
 impl DaemonSettings {
-    /// Reads and checks settings. `file` names the document in findings.
+    /// Parses and checks settings. `file` names the document in findings.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, each with its file and JSON path.
+    /// Every invalid setting, each with its file and JSON path.
     pub fn from_json(text: &str, file: &str) -> Result<Self, FindingList> {
         let value: Value = match serde_json::from_str(text) {
             Ok(value) => value,
@@ -37,8 +37,8 @@
             document,
             mut findings,
         } = collect_document::<Self>(value);
-        document.add_missing(&mut findings);
-        in_file(findings, file).into_result()?;
+        document.add_rule_findings(&mut findings);
+        with_file(findings, file).into_result()?;
         Ok(document)
     }
 
@@ -46,38 +46,42 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, each with its JSON path.
+    /// Every invalid setting, each with its JSON path.
     pub fn check(&self) -> Result<(), FindingList> {
         let mut findings = FindingList::default();
         self.add_findings(&mut findings);
         findings.into_result()
     }
 
-    /// Adds what the rules find, except at or below a place that already has a finding: its value
-    /// was replaced by the default, which would only repeat the same matter.
-    fn add_missing(&self, findings: &mut FindingList) {
-        let reported: Vec<String> = findings.0.iter().map(|each| each.place.clone()).collect();
-        let mut rules = FindingList::default();
-        self.add_findings(&mut rules);
-        let fresh = rules
+    /// Adds the findings of the rules, except at or below a path that already has a finding. The
+    /// value there was replaced by its default, so a rule would only report the same fault again.
+    fn add_rule_findings(&self, findings: &mut FindingList) {
+        let reported: Vec<String> = findings
+            .0
+            .iter()
+            .map(|finding| finding.place.clone())
+            .collect();
+        let mut rule_findings = FindingList::default();
+        self.add_findings(&mut rule_findings);
+        let unreported = rule_findings
             .0
             .into_iter()
-            .filter(|each| !reported.iter().any(|place| covers(place, &each.place)));
-        findings.0.extend(fresh);
+            .filter(|finding| !reported.iter().any(|place| covers(place, &finding.place)));
+        findings.0.extend(unreported);
     }
 
     fn add_findings(&self, findings: &mut FindingList) {
         findings.expect(
-            is_name(&self.instance),
+            is_valid_name(&self.instance),
             "instance",
             "needs a name of letters, digits, `-`, `_` and `.`",
         );
         findings.expect(
-            is_name(self.domain.as_str()),
+            is_valid_name(self.domain.as_str()),
             "domain",
             "needs the name of a failure domain",
         );
-        findings.expect(is_name(&self.region), "region", "needs a name");
+        findings.expect(is_valid_name(&self.region), "region", "needs a name");
         self.add_address_findings(findings);
         self.add_size_findings(findings);
         self.add_key_findings(findings);
@@ -100,9 +104,9 @@
             let place = format!("seeds[{index}]");
             findings.expect(seed.port() != 0, &place, "port 0 cannot be reached");
         }
-        let every = self.listen.peers.ip().is_unspecified();
+        let takes_every_address = self.listen.peers.ip().is_unspecified();
         findings.expect(
-            !every || self.advertise.is_some(),
+            !takes_every_address || self.advertise.is_some(),
             "advertise",
             "needs an address for peers, because `listen.peers` takes every address",
         );
@@ -114,12 +118,12 @@
 
     fn add_size_findings(&self, findings: &mut FindingList) {
         findings.expect(
-            (1..=WORKER_LIMIT).contains(&self.http_workers),
+            (1..=MAX_HTTP_WORKERS).contains(&self.http_workers),
             "http_workers",
             "must be between 1 and 16",
         );
         findings.expect(
-            self.header_limit >= SMALLEST_HEADER_LIMIT,
+            self.header_limit >= MIN_HEADER_LIMIT,
             "header_limit",
             "must be at least 1KB",
         );
@@ -168,30 +172,35 @@
 
 fn add_key(place: &str, key: &FleetKey, findings: &mut FindingList) {
     let id = format!("{place}.id");
-    findings.expect(is_name(&key.id), &id, "needs a name for the key");
+    findings.expect(is_valid_name(&key.id), &id, "needs a name for the key");
     let secret = format!("{place}.secret");
-    let long = key.secret.len() >= SECRET_LENGTH;
-    findings.expect(long, &secret, "needs at least 32 characters");
+    let is_long_enough = key.secret.len() >= MIN_SECRET_LENGTH;
+    findings.expect(is_long_enough, &secret, "needs at least 32 characters");
 }
 
 fn add_account(place: &str, account: &OperatorAccount, findings: &mut FindingList) {
     let name = format!("{place}.name");
-    findings.expect(is_name(&account.name), &name, "needs a name");
+    findings.expect(is_valid_name(&account.name), &name, "needs a name");
     let digest = &account.token_sha256;
-    let hex = digest.len() == DIGEST_LENGTH && digest.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let is_digest =
+        digest.len() == DIGEST_LENGTH && digest.bytes().all(|byte| byte.is_ascii_hexdigit());
     let token = format!("{place}.token_sha256");
-    findings.expect(hex, &token, "needs a SHA-256 of 64 hexadecimal characters");
+    findings.expect(
+        is_digest,
+        &token,
+        "needs a SHA-256 of 64 hexadecimal characters",
+    );
     let team = format!("{place}.team");
-    let named = account.role != OperatorRole::Publisher || account.team.is_some();
-    findings.expect(named, &team, "a publisher needs a team");
+    let has_required_team = account.role != OperatorRole::Publisher || account.team.is_some();
+    findings.expect(has_required_team, &team, "a publisher needs a team");
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
     !text.is_empty() && text.chars().all(allowed)
 }
 
-/// Whether a finding at `place` already speaks for the value at `other`.
+/// Returns whether the JSON path `place` equals `other` or is a parent of it.
 fn covers(place: &str, other: &str) -> bool {
     place == "."
         || other
@@ -199,7 +208,7 @@
             .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
-fn in_file(mut findings: FindingList, file: &str) -> FindingList {
+fn with_file(mut findings: FindingList, file: &str) -> FindingList {
     for finding in &mut findings.0 {
         finding.place = format!("{file}: {}", finding.place);
     }
--- a/crates/daemon/src/settings/collect.rs
+++ b/crates/daemon/src/settings/collect.rs
@@ -1,37 +1,37 @@
-//! Reads a typed document and goes on after each error, so that all findings come together.
+//! Deserializes a document and continues after each error, so that one run reports all findings.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use serde_path_to_error::Segment;
 use sycamorelink_core::{FindingList, nearest_name};
 
-/// Most findings reported for one document; more would hide the first ones.
-const FINDING_LIMIT: usize = 100;
+/// Maximum number of findings reported for one document; more would hide the first ones.
+const MAX_FINDINGS: usize = 100;
 
-/// Stands for a refused element in a list of addresses.
+/// Replacement for an invalid element in a list of addresses.
 const PLACEHOLDER_ADDRESS: &str = "127.0.0.1:1";
 
-/// A document as far as it could be read, with what was wrong about the rest.
+/// A document with defaults for its invalid values, and the findings about them.
 #[derive(Debug)]
 pub(super) struct CollectedDocument<T> {
     pub(super) document: T,
     pub(super) findings: FindingList,
 }
 
-/// Reads the value. Whatever is wrong becomes a finding and is left at its default.
+/// Deserializes the value. Each invalid part becomes a finding and keeps its default.
 pub(super) fn collect_document<T>(mut value: Value) -> CollectedDocument<T>
 where
     T: DeserializeOwned + Default,
 {
     let mut findings = FindingList::default();
-    while findings.0.len() < FINDING_LIMIT {
+    while findings.0.len() < MAX_FINDINGS {
         let error = match serde_path_to_error::deserialize::<_, T>(&value) {
             Ok(document) => return CollectedDocument { document, findings },
             Err(error) => error,
         };
         let place = error.path().to_string();
-        let seen = findings.0.iter().any(|finding| finding.place == place);
-        if !seen {
+        let is_reported = findings.0.iter().any(|finding| finding.place == place);
+        if !is_reported {
             findings.add(place, describe_error(&error));
         }
         let segments: Vec<&Segment> = error.path().iter().collect();
@@ -45,7 +45,7 @@
     }
 }
 
-/// Text of the error, with the nearest known name when a name is unknown.
+/// Returns the text of the error; for an unknown name, with the most similar known name.
 fn describe_error(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
     let text = error.inner().to_string();
     if text.starts_with("invalid socket address") {
@@ -55,12 +55,12 @@
         return text;
     };
     match nearest_name(unknown, known.iter().copied()) {
-        Some(near) => format!("unknown `{unknown}`; did you mean `{near}`?"),
+        Some(nearest) => format!("unknown `{unknown}`; did you mean `{nearest}`?"),
         None => format!("unknown `{unknown}`; known are {}", known.join(", ")),
     }
 }
 
-/// Takes the unknown name and the known ones from the text that serde's derive writes, such as
+/// Extracts the unknown name and the known ones from the error text of serde's derive, such as
 /// ``unknown field `lisen`, expected one of `listen`, `log` ``.
 fn unknown_name(text: &str) -> Option<(&str, Vec<&str>)> {
     if !text.starts_with("unknown field") && !text.starts_with("unknown variant") {
@@ -71,7 +71,7 @@
     Some((unknown, quoted.collect()))
 }
 
-/// Removes the value at the path. False when there is nothing left to remove.
+/// Removes the value at the path. Returns `false` when nothing is left to remove.
 fn remove_value(root: &mut Value, segments: &[&Segment]) -> bool {
     let Some((last, parents)) = segments.split_last() else {
         return false;
@@ -100,8 +100,9 @@
     }
 }
 
-/// Puts a placeholder where an element was refused, so that the elements after it keep their
-/// index in later findings. False when the last placeholder was refused too.
+/// Replaces an invalid array element by a placeholder, so that the elements after it keep their
+/// index in later findings. Tries an empty object first, then an address. Returns `false` when both
+/// were invalid.
 fn replace_element(element: &mut Value) -> bool {
     let object = Value::Object(serde_json::Map::new());
     let address = Value::from(PLACEHOLDER_ADDRESS);
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, read from JSON and checked as a whole.
+//! Settings of one daemon, parsed from JSON and validated as a whole.
 //!
 //! ```text
 //! text --parse--> JSON value --collect--> DaemonSettings --check--> DaemonSettings
@@ -6,8 +6,8 @@
 //!                     +------ FindingList ---+----------------+
 //! ```
 //!
-//! Every step goes on after a finding, so that one run names everything there is to mend. Each
-//! finding carries the file and the JSON path of the value. `docs/settings.md` lists every key.
+//! Every step continues after a finding, so that one run reports all invalid settings. Each finding
+//! carries the file and the JSON path of the value. `docs/settings.md` lists every key.
 
 mod builder;
 mod check;
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -1,4 +1,5 @@
-//! The settings as types. Every key has a default here; [`super::check`] says which must be given.
+//! Types of the settings. Every key has a default here; [`super::check`] rejects settings that lack
+//! a required one.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -14,74 +15,75 @@
 
 use super::units::{UnitBytes, UnitDuration};
 
-/// Region of a daemon whose settings name none.
+/// Default region of a daemon.
 const DEFAULT_REGION: &str = "r1";
-/// Stream of contract changes unless the settings name another.
+/// Default name of the log stream that carries contract changes.
 const DEFAULT_STREAM: &str = "contracts";
-/// Greatest request body unless a contract sets a smaller one, in bytes.
+/// Default maximum size of a request body, in bytes. A contract can set a smaller one.
 const DEFAULT_BODY_LIMIT: usize = 64 << 20;
-/// Greatest header block of a request, in bytes.
+/// Default maximum size of a request's header block, in bytes.
 const DEFAULT_HEADER_LIMIT: usize = 16 << 10;
-/// Bytes of a reply held back before its head goes to the caller.
+/// Default number of reply bytes buffered before the reply's head is sent to the caller.
 const DEFAULT_REPLY_BUFFER: usize = 64 << 10;
-/// How long a drain waits for requests in flight.
+/// Default time that a drain waits for requests in flight.
 const DEFAULT_DRAIN_LIMIT: Duration = Duration::from_secs(30);
 
-/// Everything that one daemon learns at its start.
+/// Settings of one daemon, read at its start.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DaemonSettings {
     /// Name of this instance, unique in the fleet.
     pub instance: Arc<str>,
-    /// Failure domain that this instance stands in.
+    /// Failure domain that this instance belongs to.
     pub domain: DomainName,
     /// Region that the failure domain belongs to.
     pub region: Arc<str>,
-    /// Which forms the daemon speaks towards callers, backend servers and the platform.
+    /// Protocols that the daemon uses with callers, backend servers and the platform.
     pub interface: InterfaceForm,
-    /// Service that the backend server beside this instance runs, where its requests are counted
-    /// under it.
+    /// Service of this instance's backend server. When set, requests that the backend server sends
+    /// are counted under it.
     pub service: Option<ServiceName>,
-    /// Where the daemon listens.
+    /// Addresses that the daemon listens on.
     pub listen: ListenAddresses,
-    /// Address that peers are told, when it differs from the one listened on.
+    /// IP address advertised to peers, when it differs from the listening one.
     pub advertise: Option<IpAddr>,
-    /// Whether the whole fleet starts for the first time, so that no earlier life of this instance
-    /// can have left anything.
+    /// Whether the whole fleet starts for the first time, so that no earlier incarnation of this
+    /// instance can have left any state.
     pub first_start: bool,
-    /// Gossip addresses of some other daemons.
+    /// Gossip addresses of some other daemons to join through.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's log service.
+    /// Address and stream of the platform's log service.
     pub log: PlatformLog,
-    /// Keys that daemons prove to each other.
+    /// Shared keys that daemons authenticate each other with.
     pub fleet_keys: FleetKeyring,
-    /// Threads that serve HTTP.
+    /// Number of threads that serve HTTP to callers.
     pub http_workers: usize,
-    /// Greatest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde_as(as = "UnitBytes")]
     pub body_limit: usize,
-    /// Greatest header block of a request, in bytes.
+    /// Maximum size of a request's header block, in bytes.
     #[serde_as(as = "UnitBytes")]
     pub header_limit: usize,
-    /// Bytes of a reply held back before its head goes to the caller.
+    /// Number of reply bytes buffered before the reply's head is sent to the caller.
     #[serde_as(as = "UnitBytes")]
     pub reply_buffer: usize,
-    /// How the daemon leaves.
+    /// Timeouts of a drain.
     pub drain: DrainSettings,
-    /// Logs and metrics.
+    /// Output of logs and metrics.
     pub telemetry: TelemetrySettings,
-    /// Who may use the operators' API.
+    /// Accounts of the operators' API.
     pub operators: Vec<OperatorAccount>,
-    /// Settings of limits, read by that package.
+    /// Section of the package `sycamorelink-limits`.
     pub limits: Value,
-    /// Settings of at-most-once execution, read by that package.
+    /// Section of the package `sycamorelink-guard`, for at-most-once execution.
     pub guard: Value,
-    /// Settings of the roster, read by that package.
+    /// Section of the package `sycamorelink-roster`, for membership.
     pub roster: Value,
-    /// Which mechanisms decide on requests, read by that package.
+    /// Section of the package `sycamorelink-policy`, which selects the mechanisms that decide on
+    /// requests.
     pub policy: Value,
-    /// What the platform tells about the deployment, read by the package that speaks its forms.
+    /// Deployment facts for the platform's own protocols, read by the package that implements them.
     pub platform: Value,
 }
 
@@ -122,32 +124,32 @@
 /// Any free port on the loopback interface.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Where a daemon listens. Port 0 takes any free port.
+/// Addresses that a daemon listens on. Port 0 takes any free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenAddresses {
-    /// Callers, HTTP.
+    /// HTTP port for callers.
     pub callers: SocketAddr,
-    /// Operators and the backend servers of this instance, HTTP.
+    /// HTTP port for operators and the backend servers of this instance.
     pub operators: SocketAddr,
-    /// Other daemons, inner protocol over TCP.
+    /// TCP port for the peer protocol between daemons.
     pub peers: SocketAddr,
-    /// Other daemons, gossip over UDP.
+    /// UDP port for gossip between daemons.
     pub gossip: SocketAddr,
-    /// Whoever asks whether the daemon takes requests, HTTP; no port of its own without it.
+    /// Separate HTTP port for readiness probes; none when absent.
     pub ready: Option<SocketAddr>,
-    /// Whoever reads the metrics as text, HTTP; not served without it.
+    /// HTTP port that serves the metrics as text; none when absent.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Forms spoken towards callers, backend servers and the platform.
+/// Set of protocols used with callers, backend servers and the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InterfaceForm {
-    /// The product's own.
+    /// Native protocols of this project.
     #[default]
     Own,
-    /// Those of the platform that the instances run on.
+    /// Protocols of the platform that the instances run on.
     Platform,
 }
 
@@ -164,13 +166,13 @@
     }
 }
 
-/// The platform's log service.
+/// Location of the platform's log service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformLog {
-    /// Its address.
+    /// Address of the service; its port must not be 0.
     pub address: SocketAddr,
-    /// Stream of contract changes.
+    /// Name of the stream that carries contract changes.
     pub stream: Arc<str>,
 }
 
@@ -183,7 +185,8 @@
     }
 }
 
-/// Keys that daemons prove to each other. Two at once allow a change of key without a stop.
+/// Shared keys that daemons authenticate each other with. Two keys can be valid at once, so that a
+/// key can be rotated without downtime.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetKeyring {
@@ -193,13 +196,13 @@
     pub previous: Option<FleetKey>,
 }
 
-/// One key of the fleet.
+/// A secret shared by all daemons of the fleet.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetKey {
-    /// Name of the key, sent in the clear.
+    /// Name of the key, sent unencrypted.
     pub id: Arc<str>,
-    /// The key itself, never logged.
+    /// Secret of the key, never logged.
     pub secret: Arc<str>,
 }
 
@@ -211,15 +214,15 @@
     }
 }
 
-/// How a daemon leaves.
+/// Timeouts of a drain.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DrainSettings {
-    /// How long requests in flight may take before the daemon stops regardless.
+    /// How long requests in flight may take before the daemon stops and cuts them off.
     #[serde_as(as = "UnitDuration")]
     pub limit: Duration,
-    /// How long callers' requests are still taken while the daemon leaves.
+    /// How long the daemon still accepts callers' requests after the drain began.
     #[serde_as(as = "UnitDuration")]
     pub serving: Duration,
 }
@@ -233,47 +236,47 @@
     }
 }
 
-/// Logs and metrics.
+/// Output of logs and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TelemetrySettings {
-    /// Form of the log.
+    /// Format, level and destination of the log.
     pub log: LogOutput,
-    /// Address that takes metrics by UDP; none are sent without it.
+    /// UDP address that metrics are sent to; none are sent when absent.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Form of the log, and where it goes.
+/// Format, level and destination of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogOutput {
-    /// One line of text or of JSON for each event.
+    /// Format of each line: text or JSON.
     pub format: LogFormat,
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
-    /// Standard error or standard output.
+    /// Destination: standard error or standard output.
     pub output: LogTarget,
 }
 
-/// Least severe level that is written.
+/// Least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Failures that need a person.
+    /// Failures that need an operator.
     Error,
     /// Faults that the fleet handles.
     Warn,
-    /// Changes of state.
+    /// State changes.
     #[default]
     Info,
-    /// Decisions.
+    /// Individual decisions.
     Debug,
-    /// Everything.
+    /// All details.
     Trace,
 }
 
 impl LogLevel {
-    /// The level as a filter directive.
+    /// Returns the level as a `tracing` filter directive.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -286,29 +289,29 @@
     }
 }
 
-/// One operator or team account of the operators' API.
+/// An account of the operators' API, for an operator or a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorAccount {
     /// Name that changes are recorded under.
     pub name: Arc<str>,
-    /// SHA-256 of the account's bearer token, in hexadecimal.
+    /// SHA-256 digest of the account's bearer token, in hexadecimal.
     pub token_sha256: Arc<str>,
-    /// What the account may do.
+    /// Role that sets which calls the account may make.
     pub role: OperatorRole,
     /// Team whose contracts a publisher may change; all teams when absent.
     pub team: Option<Arc<str>>,
 }
 
-/// What an operator may do.
+/// Role of an account, from the fewest to the most permissions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRole {
-    /// Reads everything, changes nothing.
+    /// May read everything and change nothing.
     #[default]
     Reader,
-    /// Publishes contracts of the account's team besides.
+    /// May also publish contracts of the account's team.
     Publisher,
-    /// Publishes any contract and drains daemons.
+    /// May also publish any contract and drain daemons.
     Admin,
 }
--- a/crates/daemon/src/settings/sections.rs
+++ b/crates/daemon/src/settings/sections.rs
@@ -1,8 +1,8 @@
-//! Checks the sections that the packages of the decision logic read.
+//! Checks the sections that belong to the packages of the decision logic.
 //!
-//! They stay JSON in [`DaemonSettings`]; here each is read the way its package reads it, so that a
-//! slip in a section is found together with all others. There is none for detection: it follows from
-//! the customers' contracts.
+//! The sections stay JSON in [`DaemonSettings`]. Each is deserialized here as its package does it,
+//! so that its faults are reported together with all others. Failure detection has no section,
+//! because the customers' contracts determine its settings.
 
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -15,10 +15,10 @@
 use super::collect::collect_document;
 use super::model::DaemonSettings;
 
-/// Parts of the section `limits`.
+/// Names of the parts of the section `limits`.
 const LIMIT_PARTS: [&str; 4] = ["share", "crash", "gate", "quota"];
 
-/// The defaults of every section, as one object.
+/// Returns the defaults of every section as one JSON object.
 #[must_use]
 pub fn section_defaults() -> Value {
     json!({
@@ -34,7 +34,7 @@
     })
 }
 
-/// Adds what is wrong in the sections.
+/// Adds the findings about all sections.
 pub(super) fn check_sections(settings: &DaemonSettings, findings: &mut FindingList) {
     if let Some(roster) = read_section::<RosterSettings>("roster", &settings.roster, findings) {
         add_under("roster", roster.validate(), findings);
@@ -71,7 +71,7 @@
 
 fn unknown_part(name: &str) -> String {
     match nearest_name(name, LIMIT_PARTS) {
-        Some(near) => format!("unknown `{name}`; did you mean `{near}`?"),
+        Some(nearest) => format!("unknown `{name}`; did you mean `{nearest}`?"),
         None => format!("unknown `{name}`; known are {}", LIMIT_PARTS.join(", ")),
     }
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Reads a section; none when it has findings of its own, which are added.
+/// Deserializes a section. Adds its findings and returns `None` if there are any.
 fn read_section<T>(place: &str, value: &Value, findings: &mut FindingList) -> Option<T>
 where
     T: DeserializeOwned + Default,
@@ -99,9 +99,9 @@
         return None;
     }
     let collected = collect_document::<T>(value.clone());
-    let clean = collected.findings.0.is_empty();
+    let is_valid = collected.findings.0.is_empty();
     add_under(place, collected.findings, findings);
-    clean.then_some(collected.document)
+    is_valid.then_some(collected.document)
 }
 
 fn add_under(place: &str, found: FindingList, findings: &mut FindingList) {
--- a/crates/daemon/src/settings/units.rs
+++ b/crates/daemon/src/settings/units.rs
@@ -1,17 +1,17 @@
-//! Values with units as people type them in settings and arguments.
+//! Durations and sizes with units, as written in settings and command-line arguments.
 
 use std::time::Duration;
 
 use sycamorelink_core::unit;
 use sycamorelink_core::{DurationText, SizeText, SpacedForm, UnitError};
 
-/// Adapter for a duration such as `"250ms"`; blanks may stand around the number.
+/// `serde_with` adapter for a duration such as `"250ms"`; spaces around the number are allowed.
 pub type UnitDuration = DurationText<SpacedForm>;
 
-/// Adapter for a size in bytes such as `"64KB"`; blanks may stand around the number.
+/// `serde_with` adapter for a size in bytes such as `"64KB"`; spaces around the number are allowed.
 pub type UnitBytes = SizeText<SpacedForm>;
 
-/// Reads a duration such as `"250ms"`.
+/// Parses a duration such as `"250ms"`.
 ///
 /// # Errors
 ///
