--- a/crates/daemon/tests/telemetry/events.rs
+++ b/crates/daemon/tests/telemetry/events.rs
@@ -1,4 +1,4 @@
-//! Events of facts that the daemon knows.
+//! Tests of numbered events.
 
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -7,22 +7,22 @@
 use crate::http::call;
 use crate::node::{NodeFixture, wait_event};
 
-/// The life of a backend server can be read from the log: announced, ready, leaving, gone.
+/// Checks that the log shows every phase of a backend server: announced, ready, leaving and gone.
 #[test]
-fn the_life_of_a_backend_server_is_told() {
+fn backend_server_phases_are_logged() {
     let node = NodeFixture::start("announcer");
     let address = node.operators();
-    let slot = "PUT /v1/local/upstreams/7";
+    let announce = "PUT /v1/local/upstreams/7";
     let body = |phase: &str| {
         format!(
             r#"{{"service":"told-{phase}","address":"127.0.0.1:9","slots":2,"phase":"{phase}"}}"#
         )
     };
-    assert_eq!(call(address, slot, &[], &body("starting")).status, 204);
+    assert_eq!(call(address, announce, &[], &body("starting")).status, 204);
     wait_event("SL1010", "service", "told-starting");
-    assert_eq!(call(address, slot, &[], &body("ready")).status, 204);
+    assert_eq!(call(address, announce, &[], &body("ready")).status, 204);
     wait_event("SL1011", "service", "told-ready");
-    assert_eq!(call(address, slot, &[], &body("leaving")).status, 204);
+    assert_eq!(call(address, announce, &[], &body("leaving")).status, 204);
     wait_event("SL1012", "service", "told-leaving");
     assert_eq!(
         call(address, "DELETE /v1/local/upstreams/7", &[], "").status,
@@ -35,25 +35,25 @@
     node.handle.stop();
 }
 
-/// Something on the network talks to the ports of the fleet and is not of it. The operator sees
-/// from where, and that nothing of it was used.
+/// Checks that bytes sent to the peer and gossip ports by a sender that is not part of the fleet
+/// are logged with the sender's address.
 #[test]
-fn strangers_on_the_fleets_ports_are_told() {
+fn foreign_traffic_on_peer_ports_is_logged() {
     let node = NodeFixture::start("gatekeeper");
     let addresses = node.handle.addresses();
     let mut stream = TcpStream::connect(addresses.peers).expect("the daemon listens");
     let limit = Some(Duration::from_secs(10));
     stream.set_read_timeout(limit).expect("a limit is set");
-    let own = stream.local_addr().expect("an address").to_string();
+    let local_address = stream.local_addr().expect("an address").to_string();
     stream.write_all(&[0xff; 64]).expect("bytes are sent");
     let _ = stream.read(&mut [0; 16]);
-    wait_event("SL9002", "address", &own);
+    wait_event("SL9002", "address", &local_address);
 
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let own = socket.local_addr().expect("an address").to_string();
+    let local_address = socket.local_addr().expect("an address").to_string();
     socket
         .send_to(&[0xff; 80], addresses.gossip)
         .expect("a datagram is sent");
-    wait_event("SL9016", "address", &own);
+    wait_event("SL9016", "address", &local_address);
     node.handle.stop();
 }
--- a/crates/daemon/tests/telemetry/log.rs
+++ b/crates/daemon/tests/telemetry/log.rs
@@ -1,4 +1,5 @@
-//! A log service in memory, on a thread: no limits, no faults, no end.
+//! An in-memory log service on its own threads, without limits or injected faults. It runs until
+//! the process ends.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,13 +9,15 @@
 
 use serde_json::json;
 
-const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-/// Pause of a read that finds nothing new.
-const EMPTY_PAUSE: Duration = Duration::from_millis(20);
+const BASE64_DIGITS: &[u8; 64] =
+    b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+/// Delay of the reply to a read that finds no new records, so that clients do not poll in a tight
+/// loop.
+const EMPTY_READ_DELAY: Duration = Duration::from_millis(20);
 
 type Records = Arc<Mutex<Vec<(String, Vec<u8>)>>>;
 
-/// Starts the service.
+/// Starts the service and returns its address.
 pub fn start_log() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
@@ -31,9 +34,9 @@
 fn serve(mut stream: TcpStream, records: &Records) -> Option<()> {
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     loop {
-        let mut head = String::new();
+        let mut request_line = String::new();
         reader
-            .read_line(&mut head)
+            .read_line(&mut request_line)
             .ok()
             .filter(|length| *length > 0)?;
         let mut length = 0;
@@ -49,61 +52,61 @@
         }
         let mut body = vec![0; length];
         reader.read_exact(&mut body).ok()?;
-        let answer = answer(&head, body, records)?.to_string();
-        let top = format!(
+        let answer = answer(&request_line, body, records)?.to_string();
+        let reply_head = format!(
             "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
             answer.len()
         );
-        stream.write_all((top + &answer).as_bytes()).ok()?;
+        stream.write_all((reply_head + &answer).as_bytes()).ok()?;
     }
 }
 
-fn answer(head: &str, body: Vec<u8>, records: &Records) -> Option<serde_json::Value> {
-    let target = head.split(' ').nth(1)?;
+fn answer(request_line: &str, body: Vec<u8>, records: &Records) -> Option<serde_json::Value> {
+    let target = request_line.split(' ').nth(1)?;
     let name = target.strip_prefix("/v1/logs/")?.split('/').next()?;
-    if head.starts_with("POST") {
-        let mut kept = records.lock().ok()?;
-        let offset = kept.iter().filter(|(stream, _)| stream == name).count();
-        kept.push((name.to_owned(), body));
+    if request_line.starts_with("POST") {
+        let mut stored = records.lock().ok()?;
+        let offset = stored.iter().filter(|(stream, _)| stream == name).count();
+        stored.push((name.to_owned(), body));
         return Some(json!({ "offset": offset }));
     }
     let from = target.split_once("from=")?.1.split('&').next()?;
     let from: usize = from.parse().ok()?;
-    let kept: Vec<Vec<u8>> = records
+    let stored: Vec<Vec<u8>> = records
         .lock()
         .ok()?
         .iter()
         .filter(|(stream, _)| stream == name)
         .map(|(_, data)| data.clone())
         .collect();
-    let page: Vec<_> = kept
+    let page: Vec<_> = stored
         .iter()
         .enumerate()
         .skip(from)
         .map(|(offset, data)| json!({ "offset": offset, "wall_ms": 0, "data": base64(data) }))
         .collect();
     if page.is_empty() {
-        thread::sleep(EMPTY_PAUSE);
+        thread::sleep(EMPTY_READ_DELAY);
     }
-    Some(json!({ "first": 0, "next": kept.len(), "records": page }))
+    Some(json!({ "first": 0, "next": stored.len(), "records": page }))
 }
 
 fn base64(data: &[u8]) -> String {
     let mut text = String::new();
-    for part in data.chunks(3) {
+    for chunk in data.chunks(3) {
         let bytes = [
-            part[0],
-            *part.get(1).unwrap_or(&0),
-            *part.get(2).unwrap_or(&0),
+            chunk[0],
+            *chunk.get(1).unwrap_or(&0),
+            *chunk.get(2).unwrap_or(&0),
         ];
-        let whole = u32::from_be_bytes([0, bytes[0], bytes[1], bytes[2]]);
-        for place in 0..4 {
-            let digit = (whole >> (18 - 6 * place)) & 63;
-            let padding = place > part.len();
+        let bits = u32::from_be_bytes([0, bytes[0], bytes[1], bytes[2]]);
+        for position in 0..4 {
+            let digit = (bits >> (18 - 6 * position)) & 63;
+            let padding = position > chunk.len();
             text.push(if padding {
                 '='
             } else {
-                char::from(DIGITS[digit as usize])
+                char::from(BASE64_DIGITS[digit as usize])
             });
         }
     }
--- a/crates/daemon/tests/telemetry/main.rs
+++ b/crates/daemon/tests/telemetry/main.rs
@@ -1,4 +1,4 @@
-//! What operators get from a running daemon: metrics, numbered events, the audit trail, the burn.
+//! Telemetry of a running daemon: metrics, numbered events, the audit trail and the burn report.
 
 mod http;
 mod log;
--- a/crates/daemon/tests/telemetry/metrics.rs
+++ b/crates/daemon/tests/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics and the burn report.
+//! Tests of metrics and of the burn report.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -12,13 +12,14 @@
 use crate::http::call;
 use crate::node::{NodeFixture, wait_event, wait_for};
 
-/// Longer than the objective of the sample's documents, one second, and far below their deadline.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// How long the caller waits before it gives up: longer than the latency objective of the sample's
+/// documents service, one second, and far below its deadline.
+const CALLER_WAIT: Duration = Duration::from_millis(1500);
 
-/// A service without upstreams refuses its callers. The receiver of metrics sees the refusal by
-/// customer, service and code, and so does the burn report, judged by the contract's objective.
+/// Checks that a request refused for lack of upstreams is counted in the metrics by customer,
+/// service and code, and in the burn report against the contract's objective.
 #[test]
-fn a_refused_request_is_counted_and_burns() {
+fn refused_request_is_counted_and_burns_budget() {
     let mut node = NodeFixture::start("counter");
     node.wait_metric("sycamorelink.log_reachable:1|g");
     node.publish("018f9c2e-0000-7000-8000-000000000003");
@@ -33,31 +34,30 @@
     node.wait_metric("sycamorelink.contract_version:1|g");
     wait_event("SL2015", "customer", "brannock");
 
-    let report = burn(&node, "");
+    let report = burn_report(&node, "");
     assert_eq!(report.rows.len(), 1);
     assert_eq!(report.rows[0].version, 1);
     assert_eq!(report.rows[0].windows[0].bad(), 1);
     assert!(report.rows[0].recent.is_empty());
-    assert_eq!(burn(&node, "?points=true").rows[0].recent.len(), 1);
-    assert!(burn(&node, "?customer=nobody").rows.is_empty());
+    assert_eq!(burn_report(&node, "?points=true").rows[0].recent.len(), 1);
+    assert!(burn_report(&node, "?customer=nobody").rows.is_empty());
     node.handle.stop();
 }
 
-fn burn(node: &NodeFixture, query: &str) -> BurnReport {
+fn burn_report(node: &NodeFixture, query: &str) -> BurnReport {
     let reply = node.admin(&format!("GET /v1/burn{query}"), &[], "");
     serde_json::from_value(reply.body).expect("a burn report")
 }
 
-/// A backend server stalls and its callers lose patience before any deadline. Each of them waited
-/// longer than the objective allows, so each counts as late; without them the service would look
-/// well, since nobody waits for it.
+/// Guards against a stalled backend server that looks healthy because its callers give up before
+/// any deadline. A caller that waited longer than the objective allows counts as late.
 #[test]
-fn a_caller_that_gave_up_counts_as_late() {
+fn abandoned_request_counts_as_late() {
     let mut node = NodeFixture::start("patient");
     node.publish("018f9c2e-0000-7000-8000-000000000004");
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    silent.set_nonblocking(true).expect("the listener is set");
-    let address = silent.local_addr().expect("the listener has an address");
+    let server = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    server.set_nonblocking(true).expect("the listener is set");
+    let address = server.local_addr().expect("the listener has an address");
     let body = format!(
         r#"{{"service":"depot-documents","address":"{address}","slots":2,"phase":"ready"}}"#
     );
@@ -76,13 +76,13 @@
     stream
         .write_all(head.as_bytes())
         .expect("the request is sent");
-    let stalled = wait_for("the request at the backend server", || silent.accept().ok());
-    thread::sleep(PATIENCE);
+    let connection = wait_for("the request at the backend server", || server.accept().ok());
+    thread::sleep(CALLER_WAIT);
     drop(stream);
     node.wait_metric("sycamorelink.refusals:1|c|#refusal:caller-gone,service:depot-documents");
-    drop(stalled);
+    drop(connection);
 
-    let report = burn(&node, "?service=depot-documents");
+    let report = burn_report(&node, "?service=depot-documents");
     let counts = report.rows[0].counts(BurnWindow::FiveMinutes);
     assert_eq!(counts.get(BurnOutcome::Late), 1, "{counts:?}");
     node.handle.stop();
--- a/crates/daemon/tests/telemetry/node.rs
+++ b/crates/daemon/tests/telemetry/node.rs
@@ -1,4 +1,5 @@
-//! A daemon with a log service, a receiver of its metrics, and all events of the process.
+//! Test fixture: a daemon with a log service, a metrics receiver, and the captured events of the
+//! process.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -15,34 +16,37 @@
 use super::http::{HttpReply, call};
 use super::log::start_log;
 
-/// Longest wait for anything.
-const LIMIT: Duration = Duration::from_secs(20);
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Greatest datagram of metrics, in bytes.
-const DATAGRAM_BYTES: usize = 65536;
-/// Token of the administrator that every daemon here knows.
+/// Maximum wait for any condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum size of a metrics datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65536;
+/// `Authorization` header of the administrator account of every fixture.
 pub const ADMIN_TOKEN: &str = "authorization: Bearer admin-token";
 
-/// Looks until something is there.
-pub fn wait_for<T, F>(what: &str, mut look: F) -> T
+/// Polls until a value is present; panics after [`WAIT_TIMEOUT`].
+pub fn wait_for<T, F>(description: &str, mut poll: F) -> T
 where
     F: FnMut() -> Option<T>,
 {
-    let until = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < until, "gave up waiting for {what}");
-        thread::sleep(PAUSE);
+        assert!(
+            Instant::now() < deadline,
+            "gave up waiting for {description}"
+        );
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 #[derive(Clone, Default)]
-struct LineKeeper(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for LineKeeper {
+impl io::Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no writer panics").extend(bytes);
         Ok(bytes.len())
@@ -53,11 +57,11 @@
     }
 }
 
-fn keeper() -> &'static LineKeeper {
-    static KEEPER: OnceLock<LineKeeper> = OnceLock::new();
-    KEEPER.get_or_init(|| {
-        let keeper = LineKeeper::default();
-        let writer = keeper.clone();
+fn log_buffer() -> &'static LogBuffer {
+    static LOG_BUFFER: OnceLock<LogBuffer> = OnceLock::new();
+    LOG_BUFFER.get_or_init(|| {
+        let log_buffer = LogBuffer::default();
+        let writer = log_buffer.clone();
         let settings = LogSettings {
             format: LogFormat::Json,
             level: "off,sycamorelink::event=debug".to_owned(),
@@ -66,14 +70,14 @@
         let subscriber = settings.subscriber(move || writer.clone());
         let subscriber = subscriber.expect("the level is valid");
         tracing::subscriber::set_global_default(subscriber).expect("set once");
-        keeper
+        log_buffer
     })
 }
 
-/// The first event with this code whose field has this value.
+/// Waits for an event with this code and field value, and returns the first one.
 pub fn wait_event(code: &str, field: &str, value: &str) -> Value {
     wait_for(&format!("{code} with {field} {value}"), || {
-        let bytes = keeper().0.lock().expect("no writer panics").clone();
+        let bytes = log_buffer().0.lock().expect("no writer panics").clone();
         let text = String::from_utf8_lossy(&bytes).into_owned();
         text.lines()
             .filter_map(|line| serde_json::from_str::<Value>(line).ok())
@@ -81,7 +85,7 @@
     })
 }
 
-/// One running daemon.
+/// A running daemon and the metrics that it sent.
 pub struct NodeFixture {
     pub handle: DaemonHandle,
     receiver: UdpSocket,
@@ -89,16 +93,16 @@
 }
 
 impl NodeFixture {
-    /// Starts a daemon that has an administrator of this name.
+    /// Starts a daemon whose instance and administrator account are both named `operator`.
     pub fn start(operator: &str) -> Self {
-        keeper();
+        log_buffer();
         let receiver = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
         receiver.set_nonblocking(true).expect("the socket is set");
         let metrics = receiver.local_addr().expect("the socket has an address");
-        let hash = ContentDigest::of(b"admin-token").to_string();
+        let digest = ContentDigest::of(b"admin-token").to_string();
         let account = OperatorAccount {
             name: Arc::from(operator),
-            token_sha256: Arc::from(hash),
+            token_sha256: Arc::from(digest),
             role: OperatorRole::Admin,
             team: None,
         };
@@ -116,19 +120,19 @@
         }
     }
 
-    /// Calls the operators' port as the administrator.
+    /// Calls the operators' port with the administrator's token.
     pub fn admin(&self, head: &str, headers: &[&str], body: &str) -> HttpReply {
         let mut all = vec![ADMIN_TOKEN];
         all.extend(headers);
         call(self.operators(), head, &all, body)
     }
 
-    /// Address of the operators' port.
+    /// Returns the address of the operators' port.
     pub fn operators(&self) -> SocketAddr {
         self.handle.addresses().operators
     }
 
-    /// Publishes the sample contract under this id.
+    /// Publishes the sample contract as the change with this id.
     pub fn publish(&self, id: &str) {
         let contract = sycamorelink_contract::samples::brannock_json();
         let key = format!("idempotency-key: {id}");
@@ -137,10 +141,10 @@
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// Waits for a line of the metrics.
+    /// Waits until the daemon has sent this line of metrics.
     pub fn wait_metric(&mut self, line: &str) {
         wait_for(line, || {
-            let mut buffer = vec![0; DATAGRAM_BYTES];
+            let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
             while let Ok(length) = self.receiver.recv(&mut buffer) {
                 self.received
                     .push_str(&String::from_utf8_lossy(&buffer[..length]));
