--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -1,6 +1,7 @@
 //! Service-level burn: how fast a service uses up the failures its objective allows.
 
 mod alert;
+mod classify;
 mod counts;
 mod html;
 mod ledger;
@@ -10,11 +11,11 @@
 mod summary;
 mod table;
 mod time;
-mod verdict;
 mod watch;
 mod window;
 
 pub use alert::{BurnAlert, BurnRule, burn_rate};
+pub use classify::RequestEnd;
 pub use counts::{BurnCounts, BurnOutcome};
 pub use html::BurnPage;
 pub use ledger::{BurnLedger, OTHER_NAME, ObjectiveSource, ObjectiveTerm};
@@ -23,6 +24,5 @@
 pub use summary::{BurnSummary, SummaryPoint, SummaryRow, SummaryWindow};
 pub use table::BurnTable;
 pub use time::UtcTime;
-pub use verdict::RequestEnd;
 pub use watch::{BurnChange, BurnWatch};
 pub use window::{BurnWindow, WindowCoverage};
--- a/crates/telemetry/src/event/entries/mod.rs
+++ b/crates/telemetry/src/event/entries/mod.rs
@@ -1,27 +1,27 @@
 //! The texts of the catalogue, one file a group, joined and checked at compile time.
 
+mod at_most_once;
 mod contract;
-mod detect;
+mod detection;
+mod lifecycle;
 mod load;
-mod log;
-mod once;
 mod peer;
+mod platform_log;
 mod request;
 mod roster;
-mod start;
 
 use super::{EventCode, EventEntry};
 
 const COUNT: usize = EventCode::ALL.len();
 
 const GROUPS: [&[EventEntry]; 9] = [
-    start::ENTRIES,
+    lifecycle::ENTRIES,
     request::ENTRIES,
-    detect::ENTRIES,
-    once::ENTRIES,
+    detection::ENTRIES,
+    at_most_once::ENTRIES,
     contract::ENTRIES,
     roster::ENTRIES,
-    log::ENTRIES,
+    platform_log::ENTRIES,
     load::ENTRIES,
     peer::ENTRIES,
 ];
