--- a/crates/telemetry/examples/cost.rs
+++ b/crates/telemetry/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Measures what telemetry costs on the request path and how large a burn report is.
+//! Measures the cost of telemetry on the request path, and the size of burn reports.
 //!
 //! Run it with `cargo run --release -p sycamorelink-telemetry --example cost`.
 
@@ -15,39 +15,39 @@
     MetricName, MetricRegistry, MetricSettings, MetricTags, NoopSink,
 };
 
-/// Operations of one measurement.
-const OPERATIONS: u32 = 2_000_000;
-/// Series of the measured ledger: its bound unless told otherwise.
-const SERIES: u32 = 128;
-/// Daemons whose reports are added up.
-const DAEMONS: u64 = 2_300;
+/// Number of operations per measurement.
+const OPERATION_COUNT: u32 = 2_000_000;
+/// Number of series in the measured ledger, equal to its default maximum.
+const SERIES_COUNT: u32 = 128;
+/// Number of daemons whose reports are merged.
+const DAEMON_COUNT: u64 = 2_300;
 
-/// No contract says anything.
-struct UsualObjective;
+/// Source without any contracts, so that the default objective applies.
+struct NoObjectives;
 
-impl ObjectiveSource for UsualObjective {
+impl ObjectiveSource for NoObjectives {
     fn objective(&self, _: &CustomerName, _: &ServiceName) -> Option<ObjectiveTerm> {
         None
     }
 }
 
 fn main() {
-    measure_path();
+    measure_request_path();
     let ledger = measure_ledger();
     measure_reports(&ledger);
 }
 
-fn measure_path() {
+fn measure_request_path() {
     let registry = MetricRegistry::new(&MetricSettings::default());
     let tags = MetricTags::new().with("service", "orders");
     let counter = registry.counter(MetricName::Attempts, &tags);
     let timer = registry.timer(MetricName::Latency, &tags);
     let throttle = EventThrottle::new(Duration::from_secs(10), 5);
-    each("counter", |_| counter.add(1));
-    each("timer", |number| {
+    time_operation("counter", |_| counter.add(1));
+    time_operation("timer", |number| {
         timer.record(Duration::from_micros(u64::from(number % 9_000)));
     });
-    each("suppressed event", |_| {
+    time_operation("suppressed event", |_| {
         let _ = black_box(throttle.admit(Duration::ZERO, EventCode::ReplyTruncated));
     });
     for number in 0..1_000 {
@@ -67,16 +67,16 @@
 fn measure_ledger() -> BurnLedger {
     let instance = instance(0);
     let mut ledger = BurnLedger::new(instance, Duration::from_hours(480_000));
-    let names: Vec<_> = (0..SERIES)
+    let names: Vec<_> = (0..SERIES_COUNT)
         .map(|number| {
             let customer = CustomerName::new(&format!("customer-{:03}", number / 4));
             let service = ServiceName::new(&format!("service-{:03}", number % 4));
             (customer, service)
         })
         .collect();
-    each("burn record", |number| {
-        let (customer, service) = &names[(number % SERIES) as usize];
-        // Three days pass, so that every bucket is in use at the end.
+    time_operation("burn record", |number| {
+        let (customer, service) = &names[(number % SERIES_COUNT) as usize];
+        // The operations cover three days, so that every bucket is in use at the end.
         let now = Duration::from_millis(u64::from(number) * 130);
         let outcome = BurnOutcome::ALL[(number % 6) as usize];
         ledger.record(now, customer, service, outcome);
@@ -85,28 +85,28 @@
 }
 
 fn measure_reports(ledger: &BurnLedger) {
-    let now = Duration::from_millis(u64::from(OPERATIONS) * 130);
+    let now = Duration::from_millis(u64::from(OPERATION_COUNT) * 130);
     for detail in [ReportDetail::Windows, ReportDetail::Points] {
         let start = Instant::now();
-        let report = ledger.report(now, detail, &UsualObjective);
-        let made = start.elapsed();
+        let report = ledger.report(now, detail, &NoObjectives);
+        let elapsed = start.elapsed();
         let text = serde_json::to_string(&report).unwrap_or_default();
         let rows = report.rows.len();
         println!(
-            "{detail:?} of {rows} rows: made in {made:?}, {} bytes of JSON",
+            "{detail:?} of {rows} rows: made in {elapsed:?}, {} bytes of JSON",
             text.len()
         );
     }
-    let report = ledger.report(now, ReportDetail::Points, &UsualObjective);
+    let report = ledger.report(now, ReportDetail::Points, &NoObjectives);
     let start = Instant::now();
     let mut sum = BurnReport::default();
-    for number in 0..DAEMONS {
+    for number in 0..DAEMON_COUNT {
         let mut next = report.clone();
         next.sources[0].instance = self::instance(number);
         sum.merge(&next);
     }
     println!(
-        "merge of {DAEMONS} reports with points: {:?}",
+        "merge of {DAEMON_COUNT} reports with points: {:?}",
         start.elapsed()
     );
     let start = Instant::now();
@@ -121,13 +121,13 @@
     }
 }
 
-fn each<F>(name: &str, mut operation: F)
+fn time_operation<F>(name: &str, mut operation: F)
 where
     F: FnMut(u32),
 {
     let start = Instant::now();
-    for number in 0..OPERATIONS {
+    for number in 0..OPERATION_COUNT {
         operation(number);
     }
-    println!("{name}: {:?} each", start.elapsed() / OPERATIONS);
+    println!("{name}: {:?} each", start.elapsed() / OPERATION_COUNT);
 }
--- a/crates/telemetry/src/burn/alert.rs
+++ b/crates/telemetry/src/burn/alert.rs
@@ -1,11 +1,12 @@
-//! Whether a burn deserves somebody's attention, by two windows at once.
+//! Burn rate alerts over two windows each.
 //!
 //! The burn rate is the share of bad requests over the share that the objective allows: at 1 the
-//! budget lasts exactly for its window, at 14.4 a budget for 30 days is gone in 50 hours. The rules
-//! follow the way that the Site Reliability Workbook made widely known: a long window says that the
-//! burn matters, a short one that it still goes on, and both must be over the threshold.
+//! budget lasts exactly for its window, at 14.4 a budget for 30 days is used up in 50 hours. The
+//! rules are the multi-window alerts of the Site Reliability Workbook: the long window shows that
+//! the burn is significant, the short one that it is still going on, and both must be at or over
+//! the threshold.
 //!
-//! | Rule | Long | Short | Threshold | Of a budget for 30 days, gone meanwhile |
+//! | Rule | Long | Short | Threshold | Part of a 30-day budget used in the long window |
 //! |---|---|---|---|---|
 //! | fast | 1 h | 5 min | 14.4 | 2% |
 //! | slow | 6 h | 30 min | 6 | 5% |
@@ -19,14 +20,13 @@
 use super::report::BurnRow;
 use super::{BurnCounts, BurnObjective, BurnWindow, WindowCoverage};
 
-/// Bad requests that a long window must have before a rule holds.
+/// Minimum number of bad requests in the long window for a rule to hold.
 ///
-/// Failure: a service with one request a minute has one bad one. Symptom: its burn rate is far
-/// over every threshold and somebody is woken for a single request. Three in the window suffice,
-/// since thresholds are reached by more than that wherever requests are frequent.
-const LEAST_BAD: u64 = 3;
+/// With one request a minute, a single bad request puts the burn rate far over every threshold.
+/// Services with frequent requests have more than three bad ones at any threshold.
+const MIN_BAD_REQUESTS: u64 = 3;
 
-/// How serious a burn is.
+/// Severity of a burn.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -35,19 +35,19 @@
     /// Within the budget.
     #[default]
     Quiet,
-    /// The budget will not last; a task for working hours.
+    /// The budget will not last for its window; can wait for working hours.
     Drift,
-    /// A large part of the budget is gone within a day or so.
+    /// A large part of the budget is used up within about a day.
     Slow,
-    /// Callers are hurt now.
+    /// Callers are affected now.
     Fast,
 }
 
 impl BurnAlert {
-    /// Every state, the most serious first.
+    /// Every state, most severe first.
     pub const ALL: [Self; 4] = [Self::Fast, Self::Slow, Self::Drift, Self::Quiet];
 
-    /// The state as text.
+    /// Returns the name used in reports and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The state of a row: the most serious rule that holds.
+    /// Returns the state of the most severe rule that holds for the row.
     #[must_use]
     pub fn of(row: &BurnRow, coverage: &WindowCoverage) -> Self {
         BurnRule::ALL
@@ -74,92 +74,97 @@
     }
 }
 
-/// One rule over two windows.
+/// A burn rate threshold that two windows must reach.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BurnRule {
-    /// What it raises.
+    /// State raised while the rule holds.
     pub alert: BurnAlert,
-    /// The window that says that it matters.
+    /// Window that shows that the burn is significant.
     pub long: BurnWindow,
-    /// The window that says that it goes on.
+    /// Window that shows that the burn is still going on.
     pub short: BurnWindow,
-    /// Burn rate from which it holds.
+    /// Burn rate from which the rule holds, before [`Self::threshold`] adapts it.
     rate: f64,
-    /// Share of bad requests that is always enough.
+    /// Share of bad requests that always reaches the threshold.
     ///
-    /// Failure: an objective of 90% can burn at 10 at most. Symptom: a threshold of 14.4 never
-    /// holds, even when every request fails. A bound by the share itself can always be reached.
-    enough: f64,
-    /// Whether time that no daemon counted is taken as good.
+    /// An objective of 90% burns at 10 at most, so a threshold of 14.4 would not be reached even if
+    /// every request failed.
+    sufficient_bad_share: f64,
+    /// Whether time that no daemon counted is taken to have only good requests.
     ///
-    /// Failure: a daemon that started ten minutes ago has a few bad requests. Symptom: its rate
-    /// over six hours is that of ten minutes, and every replacement calls somebody. Taken as good,
-    /// the rest of the window dilutes the rate. A fast burn is raised without, since it must not
-    /// wait for an hour after each start; its short window is the whole of what it claims.
-    gaps_are_good: bool,
+    /// Otherwise a daemon started ten minutes ago with a few bad requests would show the rate of
+    /// these ten minutes as that of six hours, and every replacement of a daemon could raise an
+    /// alert. The fast rule does not do so, because it must not wait for an hour after each start.
+    assume_uncounted_good: bool,
 }
 
 impl BurnRule {
-    /// Every rule, the most serious first.
+    /// Every rule, most severe first.
     pub const ALL: [Self; 3] = [
         Self {
             alert: BurnAlert::Fast,
             long: BurnWindow::OneHour,
             short: BurnWindow::FiveMinutes,
             rate: 14.4,
-            enough: 0.5,
-            gaps_are_good: false,
+            sufficient_bad_share: 0.5,
+            assume_uncounted_good: false,
         },
         Self {
             alert: BurnAlert::Slow,
             long: BurnWindow::SixHours,
             short: BurnWindow::HalfHour,
             rate: 6.0,
-            enough: 0.25,
-            gaps_are_good: true,
+            sufficient_bad_share: 0.25,
+            assume_uncounted_good: true,
         },
         Self {
             alert: BurnAlert::Drift,
             long: BurnWindow::ThreeDays,
             short: BurnWindow::SixHours,
             rate: 1.0,
-            enough: 0.25,
-            gaps_are_good: true,
+            sufficient_bad_share: 0.25,
+            assume_uncounted_good: true,
         },
     ];
 
-    /// Burn rate from which the rule holds: never under 1, which the budget bears.
+    /// Returns the burn rate from which the rule holds for an objective.
+    ///
+    /// At least 1, the rate at which the budget lasts exactly for its window.
     #[must_use]
     pub fn threshold(&self, objective: &BurnObjective) -> f64 {
-        let reachable = self.enough / objective.error_budget();
+        let reachable = self.sufficient_bad_share / objective.error_budget();
         self.rate.min(reachable).max(1.0)
     }
 
-    /// Whether both windows of the row are at the threshold.
+    /// Returns whether both windows of the row reach the threshold.
     #[must_use]
     pub fn holds(&self, row: &BurnRow, coverage: &WindowCoverage) -> bool {
         let threshold = self.threshold(&row.objective);
-        let counted = if self.gaps_are_good {
+        let counted_part = if self.assume_uncounted_good {
             coverage.get(self.long)
         } else {
             1.0
         };
         let long = row.counts(self.long);
         let short = row.counts(self.short);
-        long.bad() >= LEAST_BAD
-            && reaches(long, &row.objective, threshold / counted.max(f64::EPSILON))
-            && reaches(short, &row.objective, threshold)
+        long.bad() >= MIN_BAD_REQUESTS
+            && reaches_threshold(
+                long,
+                &row.objective,
+                threshold / counted_part.max(f64::EPSILON),
+            )
+            && reaches_threshold(short, &row.objective, threshold)
     }
 }
 
-/// Share of bad requests over the share that the objective allows.
+/// Returns the share of bad requests divided by the share that the objective allows.
 #[must_use]
 pub fn burn_rate(counts: &BurnCounts, objective: &BurnObjective) -> f64 {
     counts.bad_share() / objective.error_budget()
 }
 
-/// Whether the burn rate is at the threshold, allowing for the rounding of floats.
-fn reaches(counts: &BurnCounts, objective: &BurnObjective, threshold: f64) -> bool {
+/// Returns whether the burn rate reaches the threshold, with a tolerance for rounding errors.
+fn reaches_threshold(counts: &BurnCounts, objective: &BurnObjective, threshold: f64) -> bool {
     let allowed = threshold * objective.error_budget() * as_float(counts.total());
     counts.bad() > 0 && as_float(counts.bad()) >= allowed * (1.0 - 1e-9)
 }
--- a/crates/telemetry/src/burn/classify.rs
+++ b/crates/telemetry/src/burn/classify.rs
@@ -1,4 +1,4 @@
-//! What the end of a request counts as.
+//! Classification of finished requests by outcome.
 
 use std::time::Duration;
 
@@ -6,38 +6,39 @@
 
 use super::{BurnObjective, BurnOutcome};
 
-/// First status of a reply that says that the backend server failed.
-const FIRST_FAILURE: u16 = 500;
+/// Lowest HTTP status that counts as a failure of the backend server.
+const FIRST_SERVER_ERROR: u16 = 500;
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With a whole reply of a backend server, of this HTTP status.
+    /// A complete reply of a backend server with this HTTP status.
     Reply(u16),
-    /// With a refusal of the fleet.
+    /// A refusal by a daemon of the fleet.
     Refusal(RequestRefusal),
 }
 
 impl BurnObjective {
-    /// What a request counts as that ended `latency` after it came. None when the caller brought
-    /// the end about: nobody's budget burns for a malformed request or one over the contract.
+    /// Returns the outcome of a request that ended `latency` after it arrived, or `None` when it is
+    /// not counted.
     ///
-    /// A caller that went away counts as late once the objective's latency had passed.
-    /// Failure: replies take so long that callers give up. Symptom: without those requests a
-    /// service looks well because nobody waits for it. The wait is known, so it can be judged.
+    /// Refusals that the caller caused, such as for a malformed request or one over the limits of
+    /// its contract, are not counted. A request whose caller disconnected counts as late once the
+    /// latency of the objective had passed; otherwise a service would look healthy because its
+    /// callers give up before the slow replies arrive.
     #[must_use]
     pub fn judge(&self, latency: Duration, end: &RequestEnd) -> Option<BurnOutcome> {
         let late = latency > self.latency;
         match end {
-            RequestEnd::Reply(status) if *status >= FIRST_FAILURE => Some(BurnOutcome::Failed),
+            RequestEnd::Reply(status) if *status >= FIRST_SERVER_ERROR => Some(BurnOutcome::Failed),
             RequestEnd::Reply(_) if late => Some(BurnOutcome::Late),
             RequestEnd::Reply(_) => Some(BurnOutcome::Good),
-            RequestEnd::Refusal(refusal) => of_refusal(refusal, late),
+            RequestEnd::Refusal(refusal) => classify_refusal(refusal, late),
         }
     }
 }
 
-fn of_refusal(refusal: &RequestRefusal, late: bool) -> Option<BurnOutcome> {
+fn classify_refusal(refusal: &RequestRefusal, late: bool) -> Option<BurnOutcome> {
     match refusal.code {
         RefusalCode::CallerGone => late.then_some(BurnOutcome::Late),
         RefusalCode::ReplyRejected => Some(BurnOutcome::Wrong),
--- a/crates/telemetry/src/burn/counts.rs
+++ b/crates/telemetry/src/burn/counts.rs
@@ -1,4 +1,4 @@
-//! What became of requests, as counts by outcome.
+//! Requests counted by outcome.
 
 use std::fmt;
 use std::ops::AddAssign;
@@ -7,26 +7,26 @@
 
 use crate::event::EventCode;
 
-/// What one request counts as.
+/// Outcome of a request, as counted against the error budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BurnOutcome {
-    /// Answered whole, right and in time.
+    /// Answered with a complete and correct reply, in time.
     Good,
-    /// Refused although the customer was within its contract: overload, no upstream, drain.
+    /// Refused although the customer was within its contract: overload, no upstream or drain.
     Refused,
-    /// The backend server failed or its reply was cut short.
+    /// The backend server failed or its reply was truncated.
     Failed,
     /// Answered, but later than the objective's latency.
     Late,
-    /// The caller was told that it may have run.
+    /// Answered with a refusal that says that the request may have run.
     Unknown,
-    /// A reply that is not the caller's or is malformed was met.
+    /// The reply belonged to another request or was malformed, and was dropped.
     Wrong,
 }
 
 impl BurnOutcome {
-    /// Every outcome, the good one first.
+    /// Every outcome, [`Self::Good`] first.
     pub const ALL: [Self; 6] = [
         Self::Good,
         Self::Refused,
@@ -36,7 +36,7 @@
         Self::Wrong,
     ];
 
-    /// The outcomes that burn the error budget.
+    /// The outcomes that use up the error budget.
     pub const BAD: [Self; 5] = [
         Self::Refused,
         Self::Failed,
@@ -45,7 +45,7 @@
         Self::Wrong,
     ];
 
-    /// The outcome as text.
+    /// Returns the name used in reports and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Events to look for when this is the main cause of a burn.
+    /// Returns the events to look for when this is the main cause of a burn.
     #[must_use]
     pub const fn events(self) -> &'static [EventCode] {
         match self {
@@ -92,19 +92,19 @@
 pub struct BurnCounts([u64; 6]);
 
 impl BurnCounts {
-    /// How many had this outcome.
+    /// Returns the number of requests with this outcome.
     #[must_use]
     pub const fn get(&self, outcome: BurnOutcome) -> u64 {
         self.0[outcome as usize]
     }
 
-    /// Adds requests.
+    /// Adds `count` requests with this outcome, saturating.
     pub const fn add(&mut self, outcome: BurnOutcome, count: u64) {
-        let place = outcome as usize;
-        self.0[place] = self.0[place].saturating_add(count);
+        let index = outcome as usize;
+        self.0[index] = self.0[index].saturating_add(count);
     }
 
-    /// All requests.
+    /// Returns the number of all requests.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.0
@@ -112,19 +112,19 @@
             .fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Requests that burn the error budget.
+    /// Returns the number of requests that use up the error budget.
     #[must_use]
     pub fn bad(&self) -> u64 {
         self.total() - self.get(BurnOutcome::Good)
     }
 
-    /// Bad requests of all, from 0 to 1. Zero when there were none.
+    /// Returns the share of bad requests, from 0 to 1; 0 when there were no requests.
     #[must_use]
     pub fn bad_share(&self) -> f64 {
         share(self.bad(), self.total())
     }
 
-    /// The bad outcome met most, when there was one.
+    /// Returns the most frequent bad outcome, or `None` without bad requests.
     #[must_use]
     pub fn main_cause(&self) -> Option<BurnOutcome> {
         BurnOutcome::BAD
@@ -142,7 +142,7 @@
     }
 }
 
-/// `part` of `whole`, from 0 to 1. Zero of nothing is zero.
+/// Returns `part` divided by `whole`, or 0 when `whole` is 0.
 pub(super) fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 0.0;
@@ -150,7 +150,7 @@
     as_float(part) / as_float(whole)
 }
 
-/// A count as a float: exact up to 2^53, which no count here reaches.
+/// Converts a count to a float; exact up to 2^53, which no count here reaches.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^53")]
 pub(super) fn as_float(count: u64) -> f64 {
     count as f64
--- a/crates/telemetry/src/burn/html/budget.rs
+++ b/crates/telemetry/src/burn/html/budget.rs
@@ -1,4 +1,4 @@
-//! The bar that shows how much of the error budget is left.
+//! Bar of the used and remaining error budget.
 
 use std::fmt;
 
@@ -6,12 +6,13 @@
 
 use crate::burn::summary::SummaryRow;
 
-/// Width of the bar in its own units; the page stretches it.
+/// Width of the bar in SVG units; the page stretches it.
 const WIDTH: f64 = 100.0;
-/// Height of the bar in its own units.
+/// Height of the bar in SVG units.
 const HEIGHT: f64 = 1.0;
 
-/// Budget used by the counted part of a window, and what is left of it at most.
+/// Displays the part of the budget used in the counted part of a window, and the maximum that is
+/// left.
 pub(super) struct BudgetBar<'a> {
     pub id: &'a str,
     pub row: &'a SummaryRow,
@@ -29,14 +30,14 @@
             used * 100.0,
             id = self.id,
         )?;
-        let split = WIDTH * used.clamp(0.0, 1.0);
+        let boundary = WIDTH * used.clamp(0.0, 1.0);
         let class = if used >= 1.0 {
             "budget-over"
         } else {
             "budget-used"
         };
-        write_part(f, class, 0.0, split)?;
-        write_part(f, "budget-left", split, WIDTH)?;
+        write_segment(f, class, 0.0, boundary)?;
+        write_segment(f, "budget-left", boundary, WIDTH)?;
         writeln!(f, "</svg></figure>")
     }
 }
@@ -46,18 +47,18 @@
         let used = self.row.budget_used;
         let counted = self.row.budget_window;
         let window = format_duration(self.row.objective.window);
-        let part = format!(
+        let text = format!(
             "The last {counted} used at least {:.1}% of the error budget for {window}",
             used * 100.0
         );
         if used >= 1.0 {
-            return format!("{part}: nothing is left");
+            return format!("{text}: nothing is left");
         }
-        format!("{part}; at most {:.1}% is left", (1.0 - used) * 100.0)
+        format!("{text}; at most {:.1}% is left", (1.0 - used) * 100.0)
     }
 }
 
-fn write_part(f: &mut fmt::Formatter<'_>, class: &str, from: f64, to: f64) -> fmt::Result {
+fn write_segment(f: &mut fmt::Formatter<'_>, class: &str, from: f64, to: f64) -> fmt::Result {
     writeln!(
         f,
         "<rect class=\"{class}\" x=\"{from:.1}\" y=\"0\" width=\"{:.1}\" height=\"{HEIGHT}\"/>",
--- a/crates/telemetry/src/burn/html/causes.rs
+++ b/crates/telemetry/src/burn/html/causes.rs
@@ -1,25 +1,25 @@
-//! The plot of bad requests by cause over the last three days.
+//! Plot of bad requests by cause over the last three days.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use super::frame::{BOTTOM, PlotFrame, TOP, write_level, write_open};
+use super::frame::{BOTTOM, PlotFrame, TOP, write_grid_line, write_plot_start};
 use crate::burn::counts::as_float;
 use crate::burn::summary::{SummaryPoint, SummaryRow};
 use crate::burn::{BurnOutcome, BurnWindow, UtcTime};
 
-/// Seconds shown.
-const SPAN: u64 = 3 * 24 * 3600;
-/// Seconds of one step.
-const STEP: u64 = 3600;
-/// Seconds between two times at the bottom.
-const TIMES: u64 = 12 * 3600;
-/// Space between two bars, in the plot's units.
-const GAP: f64 = 1.0;
-/// Steps of the scale.
-const LEVELS: u64 = 4;
+/// Time span of the plot, in seconds.
+const SPAN_SECONDS: u64 = 3 * 24 * 3600;
+/// Width of one bar, in seconds.
+const STEP_SECONDS: u64 = 3600;
+/// Distance of two labels of the time axis, in seconds.
+const TIME_LABEL_SECONDS: u64 = 12 * 3600;
+/// Space between two bars, in SVG units.
+const BAR_GAP: f64 = 1.0;
+/// Number of grid lines above zero.
+const GRID_STEPS: u64 = 4;
 
-/// Bad requests by hour, stacked by cause, with a legend that has the counts.
+/// Displays the bad requests of each hour as bars stacked by cause, with a legend of the counts.
 pub(super) struct CausePlot<'a> {
     pub id: &'a str,
     pub at: UtcTime,
@@ -29,32 +29,32 @@
 
 impl fmt::Display for CausePlot<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let frame = PlotFrame::until(self.at, SPAN, STEP);
+        let frame = PlotFrame::ending_at(self.at, SPAN_SECONDS, STEP_SECONDS);
         let highest = highest_total(&self.row.long);
         writeln!(
             f,
             "<figure><figcaption>Bad requests by cause, last three days by hour</figcaption>"
         )?;
         let description = format!("Stacked bars; the worst hour has {highest} bad requests.");
-        write_open(f, self.id, "Bad requests by cause", &description)?;
+        write_plot_start(f, self.id, "Bad requests by cause", &description)?;
         frame.write_uncounted(f, self.since)?;
-        frame.write_times(f, TIMES, time_label)?;
+        frame.write_time_axis(f, TIME_LABEL_SECONDS, time_label)?;
         let scale = CountScale::fitting(highest);
-        scale.write_levels(f)?;
+        scale.write_grid(f)?;
         for point in &self.row.long {
             write_bar(f, &frame, &scale, point)?;
         }
         writeln!(f, "</svg>")?;
-        let sums = &self.row.window(BurnWindow::ThreeDays).causes;
-        write!(f, "{}</figure>", CauseLegend(sums))
+        let causes = &self.row.window(BurnWindow::ThreeDays).causes;
+        write!(f, "{}</figure>", CauseLegend(causes))
     }
 }
 
 fn time_label(at: UtcTime) -> String {
     if at.since_midnight() == 0 {
-        at.day()
+        at.month_day()
     } else {
-        at.clock()
+        at.hour_minute()
     }
 }
 
@@ -62,18 +62,18 @@
     points.iter().map(SummaryPoint::bad).max().unwrap_or(0)
 }
 
-/// Heights of counts.
+/// Vertical scale of counts.
 struct CountScale {
     top: u64,
 }
 
 impl CountScale {
-    /// A scale whose steps are 1, 2 or 5 times a power of ten.
+    /// Creates a scale up to at least `highest` whose steps are 1, 2 or 5 times a power of ten.
     fn fitting(highest: u64) -> Self {
         let mut power = 1;
         loop {
             for factor in [1, 2, 5] {
-                let top = LEVELS * factor * power;
+                let top = GRID_STEPS * factor * power;
                 if top >= highest {
                     return Self { top };
                 }
@@ -86,11 +86,11 @@
         BOTTOM - (BOTTOM - TOP) * as_float(count) / as_float(self.top)
     }
 
-    fn write_levels(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for level in 0..=LEVELS {
-            let count = self.top / LEVELS * level;
-            let class = if level == 0 { "axis" } else { "grid" };
-            write_level(f, class, self.y(count), &count.to_string())?;
+    fn write_grid(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for step in 0..=GRID_STEPS {
+            let count = self.top / GRID_STEPS * step;
+            let class = if step == 0 { "axis" } else { "grid" };
+            write_grid_line(f, class, self.y(count), &count.to_string())?;
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
     point: &SummaryPoint,
 ) -> fmt::Result {
     let left = frame.x(point.at.0);
-    let width = (frame.x(point.at.0 + STEP) - left - GAP).max(GAP);
+    let width = (frame.x(point.at.0 + STEP_SECONDS) - left - BAR_GAP).max(BAR_GAP);
     let mut below = 0;
     for (cause, count) in &point.causes {
         let bottom = scale.y(below);
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// The causes with their colour, name and count. Those that did not occur are left out.
+/// Displays the causes with their colour, name and count. Causes that did not occur are left out.
 struct CauseLegend<'a>(&'a BTreeMap<BurnOutcome, u64>);
 
 impl fmt::Display for CauseLegend<'_> {
--- a/crates/telemetry/src/burn/html/mod.rs
+++ b/crates/telemetry/src/burn/html/mod.rs
@@ -1,7 +1,7 @@
-//! The burn as one HTML page that needs nothing besides itself.
+//! Burn report as one self-contained HTML page.
 //!
-//! Every state has a word besides its colour, every plot a title and a description, and the numbers
-//! of the windows are in a table too.
+//! For accessibility, every alert is shown as a word besides its colour, every plot has a title and
+//! a description, and the numbers of the windows are also in a table.
 
 mod budget;
 mod causes;
@@ -23,7 +23,7 @@
 
 const STYLE: &str = include_str!("style.css");
 
-/// Shows a summary as an HTML page.
+/// Displays a summary as an HTML page.
 #[derive(Clone, Copy, Debug)]
 pub struct BurnPage<'a>(pub &'a BurnSummary);
 
@@ -43,21 +43,21 @@
         } else {
             write_overview(f, summary)?;
         }
-        for (place, row) in summary.rows.iter().enumerate() {
-            write_section(f, summary, place, row)?;
+        for (index, row) in summary.rows.iter().enumerate() {
+            write_section(f, summary, index, row)?;
         }
         writeln!(f, "</body>\n</html>")
     }
 }
 
-/// The most serious state with its count, for the title.
+/// Returns the most severe alert with its number of rows, for the page title.
 fn headline(summary: &BurnSummary) -> String {
-    let serious = BurnAlert::ALL
+    let most_severe = BurnAlert::ALL
         .into_iter()
         .filter(|alert| *alert != BurnAlert::Quiet)
         .map(|alert| (alert, summary.count(alert)))
         .find(|(_, count)| *count > 0);
-    match serious {
+    match most_severe {
         Some((alert, count)) => format!("{count} {alert}"),
         None => "All quiet".to_owned(),
     }
@@ -72,9 +72,9 @@
         write!(f, "<span class=\"badge {alert}\">{count} {alert}</span> ")?;
     }
     writeln!(f, "</p>")?;
-    let counted = summary.coverage.values().all(|part| *part >= 1.0);
-    let whole = counted && summary.missing == 0;
-    let class = if whole { "soft" } else { "warning" };
+    let fully_counted = summary.coverage.values().all(|part| *part >= 1.0);
+    let complete = fully_counted && summary.missing == 0;
+    let class = if complete { "soft" } else { "warning" };
     writeln!(f, "<p class=\"{class}\">{}</p>", CoverageNote(summary))?;
     writeln!(f, "</header>")
 }
@@ -100,24 +100,24 @@
         "<th scope=\"col\" class=\"number\">Budget used</th><th scope=\"col\">Main cause (1h)</th>\
          </tr></thead>\n<tbody>"
     )?;
-    for (place, row) in summary.rows.iter().enumerate() {
-        write_overview_row(f, place, row)?;
+    for (index, row) in summary.rows.iter().enumerate() {
+        write_overview_row(f, index, row)?;
     }
     writeln!(f, "</tbody></table></div>")
 }
 
-fn write_overview_row(f: &mut fmt::Formatter<'_>, place: usize, row: &SummaryRow) -> fmt::Result {
+fn write_overview_row(f: &mut fmt::Formatter<'_>, index: usize, row: &SummaryRow) -> fmt::Result {
     let alert = row.alert;
     write!(
         f,
         "<tr><td><span class=\"badge {alert}\">{alert}</span></td>\
-         <th scope=\"row\"><a href=\"#r{place}\">{}</a></th><td>{}</td><td>{}</td>",
+         <th scope=\"row\"><a href=\"#r{index}\">{}</a></th><td>{}</td><td>{}</td>",
         HtmlText(row.customer.as_str()),
         HtmlText(row.service.as_str()),
         HtmlText(&objective_text(row)),
     )?;
     for window in &row.windows {
-        let class = if is_over(row, window) {
+        let class = if reaches_rule_threshold(row, window) {
             "number over"
         } else {
             "number"
@@ -136,19 +136,19 @@
     )
 }
 
-/// Whether the window is over the threshold of a rule that it belongs to.
-fn is_over(row: &SummaryRow, window: &SummaryWindow) -> bool {
+/// Returns whether the window reaches the threshold of a rule that uses it.
+fn reaches_rule_threshold(row: &SummaryRow, window: &SummaryWindow) -> bool {
     BurnRule::ALL
         .iter()
         .filter(|rule| rule.long == window.window || rule.short == window.window)
         .any(|rule| window.burn_rate >= row.threshold(rule.alert))
 }
 
-/// Writes one customer and service: open when it needs attention, else folded.
+/// Writes the section of one row: expanded when an alert holds, else collapsed.
 fn write_section(
     f: &mut fmt::Formatter<'_>,
     summary: &BurnSummary,
-    place: usize,
+    index: usize,
     row: &SummaryRow,
 ) -> fmt::Result {
     let alert = row.alert;
@@ -159,8 +159,8 @@
     };
     writeln!(
         f,
-        "<section id=\"r{place}\" aria-labelledby=\"h{place}\">\n<details{open}>\
-         <summary class=\"heading\"><h2 id=\"h{place}\">{} / {}</h2>\
+        "<section id=\"r{index}\" aria-labelledby=\"h{index}\">\n<details{open}>\
+         <summary class=\"heading\"><h2 id=\"h{index}\">{} / {}</h2>\
          <span class=\"badge {alert}\">{alert}</span>\
          <span class=\"soft\">{}, contract version {}</span></summary>",
         HtmlText(row.customer.as_str()),
@@ -168,31 +168,31 @@
         HtmlText(&objective_text(row)),
         row.contract_version,
     )?;
-    write_advice(f, row)?;
-    let id = format!("b{place}");
+    write_events_to_check(f, row)?;
+    let id = format!("b{index}");
     write!(f, "{}", BudgetBar { id: &id, row })?;
     if !row.long.is_empty() {
-        write_plots(f, summary, place, row)?;
+        write_plots(f, summary, index, row)?;
     }
-    write_numbers(f, row)?;
+    write_window_table(f, row)?;
     writeln!(f, "</details>\n</section>")
 }
 
 fn write_plots(
     f: &mut fmt::Formatter<'_>,
     summary: &BurnSummary,
-    place: usize,
+    index: usize,
     row: &SummaryRow,
 ) -> fmt::Result {
     let (at, since) = (summary.at, summary.counted_since);
-    let id = format!("p{place}");
+    let id = format!("p{index}");
     let rate = RatePlot {
         id: &id,
         at,
         since,
         row,
     };
-    let id = format!("c{place}");
+    let id = format!("c{index}");
     let cause = CausePlot {
         id: &id,
         at,
@@ -202,8 +202,8 @@
     writeln!(f, "<div class=\"plots\">\n{rate}{cause}</div>")
 }
 
-/// Writes where to look, by the main cause of the last hour.
-fn write_advice(f: &mut fmt::Formatter<'_>, row: &SummaryRow) -> fmt::Result {
+/// Writes the events to look for, by the main cause of the last hour.
+fn write_events_to_check(f: &mut fmt::Formatter<'_>, row: &SummaryRow) -> fmt::Result {
     let cause = row.window(BurnWindow::OneHour).main_cause();
     let Some((cause, _)) = cause.filter(|_| row.alert != BurnAlert::Quiet) else {
         return Ok(());
@@ -212,14 +212,14 @@
         f,
         "<p>Most bad requests of the last hour: <b>{cause}</b>. Look for"
     )?;
-    for (place, code) in cause.events().iter().enumerate() {
-        let separator = if place == 0 { "" } else { "," };
+    for (index, code) in cause.events().iter().enumerate() {
+        let separator = if index == 0 { "" } else { "," };
         write!(f, "{separator} <code>{code}</code> {}", code.name())?;
     }
     writeln!(f, ".</p>")
 }
 
-fn write_numbers(f: &mut fmt::Formatter<'_>, row: &SummaryRow) -> fmt::Result {
+fn write_window_table(f: &mut fmt::Formatter<'_>, row: &SummaryRow) -> fmt::Result {
     writeln!(
         f,
         "<details><summary>Numbers</summary><div class=\"scroll\"><table>"
@@ -234,12 +234,12 @@
     }
     writeln!(f, "</tr></thead>\n<tbody>")?;
     for window in &row.windows {
-        write_window(f, window)?;
+        write_window_row(f, window)?;
     }
     writeln!(f, "</tbody></table></div></details>")
 }
 
-fn write_window(f: &mut fmt::Formatter<'_>, window: &SummaryWindow) -> fmt::Result {
+fn write_window_row(f: &mut fmt::Formatter<'_>, window: &SummaryWindow) -> fmt::Result {
     write!(
         f,
         "<tr><th scope=\"row\">{}</th><td class=\"number\">{}</td><td class=\"number\">{}</td>\
--- a/crates/telemetry/src/burn/html/rate.rs
+++ b/crates/telemetry/src/burn/html/rate.rs
@@ -1,27 +1,27 @@
-//! The plot of the burn rate over the last hour.
+//! Plot of the burn rate over the last hour.
 
 use std::fmt;
 
-use super::frame::{BOTTOM, PlotFrame, TOP, write_level, write_line_name, write_open};
+use super::frame::{BOTTOM, PlotFrame, TOP, write_grid_line, write_line_label, write_plot_start};
 use crate::burn::counts::share;
 use crate::burn::summary::SummaryRow;
 use crate::burn::table::rate_text;
 use crate::burn::{BurnAlert, UtcTime};
 
-/// Seconds shown.
-const HOUR: u64 = 3600;
-/// Seconds of one step.
-const STEP: u64 = 60;
-/// Steps that a rate is taken over: the five minutes of the fast rule's short window.
-const TRAILING: u64 = 5;
-/// Seconds between two times at the bottom.
-const TIMES: u64 = 600;
-/// Least burn rate told apart; one below is drawn at the bottom.
-const LOWEST: f64 = 0.1;
-/// Decades shown at least, from [`LOWEST`].
-const LEAST_DECADES: u32 = 3;
-
-/// Burn rate on a logarithmic scale, since rates differ by orders of magnitude.
+/// Time span of the plot, in seconds.
+const SPAN_SECONDS: u64 = 3600;
+/// Width of one step, in seconds.
+const STEP_SECONDS: u64 = 60;
+/// Steps that a rate covers: the five minutes of the short window of the fast rule.
+const TRAILING_STEPS: u64 = 5;
+/// Distance of two labels of the time axis, in seconds.
+const TIME_LABEL_SECONDS: u64 = 600;
+/// Lowest burn rate of the scale; lower ones are drawn at the bottom.
+const MIN_RATE: f64 = 0.1;
+/// Minimum number of decades shown, from [`MIN_RATE`].
+const MIN_DECADES: u32 = 3;
+
+/// Displays the burn rate on a logarithmic scale, because rates differ by orders of magnitude.
 pub(super) struct RatePlot<'a> {
     pub id: &'a str,
     pub at: UtcTime,
@@ -31,25 +31,25 @@
 
 impl fmt::Display for RatePlot<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let frame = PlotFrame::until(self.at, HOUR, STEP);
-        let points = trailing(self.row, &frame);
+        let frame = PlotFrame::ending_at(self.at, SPAN_SECONDS, STEP_SECONDS);
+        let points = trailing_rates(self.row, &frame);
         let scale = RateScale::fitting(&points, self.row.threshold(BurnAlert::Fast));
         writeln!(
             f,
             "<figure><figcaption>Burn rate over five minutes, last hour (logarithmic)</figcaption>"
         )?;
-        write_open(
+        write_plot_start(
             f,
             self.id,
             "Burn rate over the last hour",
             &self.description(&points),
         )?;
         frame.write_uncounted(f, self.since)?;
-        frame.write_times(f, TIMES, UtcTime::clock)?;
-        scale.write_levels(f)?;
-        self.write_limits(f, &scale)?;
+        frame.write_time_axis(f, TIME_LABEL_SECONDS, UtcTime::hour_minute)?;
+        scale.write_grid(f)?;
+        self.write_thresholds(f, &scale)?;
         write_curve(f, &frame, &scale, &points)?;
-        self.write_limit_names(f, &scale)?;
+        self.write_threshold_labels(f, &scale)?;
         writeln!(f, "</svg></figure>")
     }
 }
@@ -65,41 +65,46 @@
         )
     }
 
-    fn write_limits(&self, f: &mut fmt::Formatter<'_>, scale: &RateScale) -> fmt::Result {
+    fn write_thresholds(&self, f: &mut fmt::Formatter<'_>, scale: &RateScale) -> fmt::Result {
         let fast = self.row.threshold(BurnAlert::Fast);
-        write_level(f, "limit limit-fast", scale.y(fast), "")?;
-        write_level(f, "limit limit-even", scale.y(1.0), "")
+        write_grid_line(f, "limit limit-fast", scale.y(fast), "")?;
+        write_grid_line(f, "limit limit-even", scale.y(1.0), "")
     }
 
-    /// Writes the names after the curve, which must not hide them.
-    fn write_limit_names(&self, f: &mut fmt::Formatter<'_>, scale: &RateScale) -> fmt::Result {
+    /// Writes the labels of the thresholds. Called after the curve is drawn, so that it does not
+    /// cover them.
+    fn write_threshold_labels(&self, f: &mut fmt::Formatter<'_>, scale: &RateScale) -> fmt::Result {
         let fast = self.row.threshold(BurnAlert::Fast);
-        let name = format!("fast burn from {}", rate_text(fast));
-        write_line_name(f, "text-fast", scale.y(fast), &name)?;
-        write_line_name(f, "text-even", scale.y(1.0), "1x: budget lasts exactly")
+        let label = format!("fast burn from {}", rate_text(fast));
+        write_line_label(f, "text-fast", scale.y(fast), &label)?;
+        write_line_label(f, "text-even", scale.y(1.0), "1x: budget lasts exactly")
     }
 }
 
-/// Burn rate over the minutes that end with this one.
+/// Burn rate over the [`TRAILING_STEPS`] minutes that end with the one that starts at `at`.
 struct RatePoint {
     at: u64,
     rate: f64,
 }
 
-/// Burn rates over [`TRAILING`] minutes: those of single minutes jump with each bad request.
+/// Returns burn rates over [`TRAILING_STEPS`] minutes each, because rates of single minutes jump
+/// with each bad request.
 ///
-/// The first minutes of the frame have no whole window and are left out.
-fn trailing(row: &SummaryRow, frame: &PlotFrame) -> Vec<RatePoint> {
+/// Minutes at the start of the frame without a whole window before them are left out.
+fn trailing_rates(row: &SummaryRow, frame: &PlotFrame) -> Vec<RatePoint> {
     let mut points = Vec::new();
-    for (place, point) in row.recent.iter().enumerate() {
-        let first = point.at.0.saturating_sub(STEP * (TRAILING - 1));
+    for (index, point) in row.recent.iter().enumerate() {
+        let first = point
+            .at
+            .0
+            .saturating_sub(STEP_SECONDS * (TRAILING_STEPS - 1));
         if first < frame.from {
             continue;
         }
-        let window = row.recent[..=place].iter().rev();
-        let window = window.take_while(|earlier| earlier.at.0 >= first);
-        let (bad, all) = window.fold((0, 0), |(bad, all), earlier| {
-            (bad + earlier.bad(), all + earlier.requests)
+        let window = row.recent[..=index].iter().rev();
+        let window = window.take_while(|point| point.at.0 >= first);
+        let (bad, all) = window.fold((0, 0), |(bad, all), point| {
+            (bad + point.bad(), all + point.requests)
         });
         let rate = share(bad, all) / row.objective.error_budget();
         let at = point.at.0;
@@ -108,7 +113,7 @@
     points
 }
 
-/// Heights of burn rates.
+/// Logarithmic vertical scale of burn rates.
 struct RateScale {
     decades: u32,
 }
@@ -117,50 +122,50 @@
     fn fitting(points: &[RatePoint], threshold: f64) -> Self {
         let rates = points.iter().map(|point| point.rate);
         let highest = rates.fold(threshold, f64::max);
-        let mut decades = LEAST_DECADES;
-        while value_at(decades) < highest {
+        let mut decades = MIN_DECADES;
+        while rate_at_decade(decades) < highest {
             decades += 1;
         }
         Self { decades }
     }
 
     fn y(&self, rate: f64) -> f64 {
-        let part = (rate.max(LOWEST) / LOWEST).log10() / f64::from(self.decades);
+        let part = (rate.max(MIN_RATE) / MIN_RATE).log10() / f64::from(self.decades);
         BOTTOM - (BOTTOM - TOP) * part.clamp(0.0, 1.0)
     }
 
-    fn write_levels(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_grid(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for decade in 0..=self.decades {
-            let value = value_at(decade);
+            let rate = rate_at_decade(decade);
             let label = if decade == 0 {
                 "&lt;0.1x".to_owned()
             } else {
-                format!("{value:.0}x")
+                format!("{rate:.0}x")
             };
-            write_level(f, "grid", self.y(value), &label)?;
+            write_grid_line(f, "grid", self.y(rate), &label)?;
         }
         Ok(())
     }
 }
 
-/// The value at the top of a decade.
-fn value_at(decade: u32) -> f64 {
-    (0..decade).fold(LOWEST, |value, _| value * 10.0)
+/// Returns the burn rate at the upper end of `decade` decades from [`MIN_RATE`].
+fn rate_at_decade(decade: u32) -> f64 {
+    (0..decade).fold(MIN_RATE, |rate, _| rate * 10.0)
 }
 
-/// Writes one line for each run of minutes that follow each other.
+/// Writes a line for each run of consecutive minutes, and a dot for a run of one minute.
 fn write_curve(
     f: &mut fmt::Formatter<'_>,
     frame: &PlotFrame,
     scale: &RateScale,
     points: &[RatePoint],
 ) -> fmt::Result {
-    for run in points.chunk_by(|left, right| left.at + STEP == right.at) {
-        let places: Vec<_> = run
+    for run in points.chunk_by(|left, right| left.at + STEP_SECONDS == right.at) {
+        let coordinates: Vec<_> = run
             .iter()
-            .map(|point| (frame.x(point.at + STEP / 2), scale.y(point.rate)))
+            .map(|point| (frame.x(point.at + STEP_SECONDS / 2), scale.y(point.rate)))
             .collect();
-        if let [(x, y)] = places.as_slice() {
+        if let [(x, y)] = coordinates.as_slice() {
             writeln!(
                 f,
                 "<circle class=\"dot\" cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"2.5\"/>"
@@ -168,7 +173,7 @@
             continue;
         }
         write!(f, "<polyline class=\"curve\" points=\"")?;
-        for (x, y) in places {
+        for (x, y) in coordinates {
             write!(f, "{x:.1},{y:.1} ")?;
         }
         writeln!(f, "\"/>")?;
--- a/crates/telemetry/src/burn/ledger.rs
+++ b/crates/telemetry/src/burn/ledger.rs
@@ -1,4 +1,4 @@
-//! Requests by customer, service and time, on one daemon.
+//! Counts of requests by customer, service and time, on one daemon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,35 +9,35 @@
 use super::ring::BucketRing;
 use super::{BurnCounts, BurnObjective, BurnOutcome, BurnWindow};
 
-/// Width of a bucket of the last hour.
+/// Width of a bucket for the last hour.
 const FINE_WIDTH: Duration = Duration::from_secs(10);
-/// Buckets of the last hour.
-const FINE_LENGTH: u32 = 360;
-/// Width of a bucket of the last three days.
+/// Number of buckets for the last hour.
+const FINE_BUCKETS: u32 = 360;
+/// Width of a bucket for the last three days.
 const COARSE_WIDTH: Duration = Duration::from_mins(5);
-/// Buckets of the last three days.
-const COARSE_LENGTH: u32 = 864;
-/// Step of the points of the last hour in a report.
+/// Number of buckets for the last three days.
+const COARSE_BUCKETS: u32 = 864;
+/// Step between the points of the last hour in a report.
 pub(super) const RECENT_STEP: Duration = Duration::from_mins(1);
-/// Step of the points of the last three days in a report.
+/// Step between the points of the last three days in a report.
 pub(super) const LONG_STEP: Duration = Duration::from_hours(1);
-/// Name under which requests are counted once the ledger is full.
+/// Customer or service name under which requests are counted once the ledger is full.
 pub const OTHER_NAME: &str = "(other)";
-/// Series a ledger keeps unless told otherwise.
-const USUAL_SERIES: usize = 128;
+/// Default maximum number of series in a ledger.
+const DEFAULT_MAX_SERIES: usize = 128;
 
-/// What services promise, as far as the contracts in force say.
+/// Lookup of the objectives in the contracts in force.
 pub trait ObjectiveSource {
-    /// The objective of a customer at a service, with the version of the contract it is from.
+    /// Returns the objective of a customer at a service, or `None` when no contract names one.
     fn objective(&self, customer: &CustomerName, service: &ServiceName) -> Option<ObjectiveTerm>;
 }
 
-/// An objective and where it is from.
+/// An objective and the version of the contract that it comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveTerm {
-    /// The objective.
+    /// Objective in force.
     pub objective: BurnObjective,
-    /// Version of the contract.
+    /// Version of the contract; the newer one wins when reports are merged.
     pub version: u64,
 }
 
@@ -48,18 +48,18 @@
 ///        `-> 5 min buckets over 3 d   --> windows 6h, 3d -------+--> BurnReport --merge--> fleet
 /// ```
 ///
-/// Recording takes two look-ups of a name and two additions, whatever the time or load.
+/// Recording takes two map lookups and two additions, independent of time and load.
 ///
-/// Memory is bounded by the number of series, each of which takes at most 43 kB. A series without
-/// requests for three days makes room for another. When there is none such, requests of further
-/// customers count under [`OTHER_NAME`], so that the totals of a service stay right.
+/// Memory is bounded by the number of series, each of which takes at most 43 kB. A full ledger
+/// drops series without requests for three days. When there are none, it counts requests of further
+/// customers under [`OTHER_NAME`], so that the totals of a service stay correct.
 #[derive(Debug)]
 pub struct BurnLedger {
     source: InstanceId,
     wall_at_start: Duration,
     max_series: usize,
     series: BTreeMap<ServiceName, BTreeMap<CustomerName, BurnSeries>>,
-    total: usize,
+    series_count: usize,
     next_sweep: Duration,
 }
 
@@ -70,7 +70,8 @@
 }
 
 impl BurnLedger {
-    /// An empty ledger of a daemon whose clock showed `wall_at_start` at monotonic zero.
+    /// Creates an empty ledger of a daemon whose wall clock showed `wall_at_start`, as time since
+    /// the Unix epoch, at monotonic zero.
     ///
     /// The wall clock only aligns the points of reports; no window depends on it.
     #[must_use]
@@ -78,21 +79,21 @@
         Self {
             source,
             wall_at_start,
-            max_series: USUAL_SERIES,
+            max_series: DEFAULT_MAX_SERIES,
             series: BTreeMap::new(),
-            total: 0,
+            series_count: 0,
             next_sweep: Duration::ZERO,
         }
     }
 
-    /// The same with another bound on its series.
+    /// Sets the maximum number of series, at least 1.
     #[must_use]
     pub fn max_series(mut self, bound: usize) -> Self {
         self.max_series = bound.max(1);
         self
     }
 
-    /// Counts a request.
+    /// Counts a request that ended at `now`.
     pub fn record(
         &mut self,
         now: Duration,
@@ -101,12 +102,12 @@
         outcome: BurnOutcome,
     ) {
         let at = self.wall_at_start + now;
-        let series = self.series_of(now, customer, service);
+        let series = self.series_mut(now, customer, service);
         series.fine.record(at, outcome);
         series.coarse.record(at, outcome);
     }
 
-    /// All that this daemon knows, judged by the objectives in force now.
+    /// Returns a report of all rows, with the objectives in force now.
     #[must_use]
     pub fn report(
         &self,
@@ -121,7 +122,7 @@
         self.answer(now, &query, objectives)
     }
 
-    /// What this daemon knows of the rows asked for, judged by the objectives in force now.
+    /// Returns a report of the rows that the query selects, with the objectives in force now.
     #[must_use]
     pub fn answer(
         &self,
@@ -153,22 +154,23 @@
         }
     }
 
-    fn series_of(
+    fn series_mut(
         &mut self,
         now: Duration,
         customer: &CustomerName,
         service: &ServiceName,
     ) -> &mut BurnSeries {
-        let (customer, service) = self.place_of(now, customer, service);
+        let (customer, service) = self.series_key(now, customer, service);
         let customers = self.series.entry(service).or_default();
         customers.entry(customer).or_insert_with(|| {
-            self.total += 1;
+            self.series_count += 1;
             BurnSeries::new()
         })
     }
 
-    /// The names to count under: the request's own, or [`OTHER_NAME`] for what has no room.
-    fn place_of(
+    /// Returns the names to count a request under: its own, or [`OTHER_NAME`] when the ledger is
+    /// full.
+    fn series_key(
         &mut self,
         now: Duration,
         customer: &CustomerName,
@@ -195,14 +197,14 @@
         if known.is_some_and(|customers| customers.contains_key(customer)) {
             return true;
         }
-        if self.total >= bound {
+        if self.series_count >= bound {
             self.sweep(now);
         }
-        self.total < bound
+        self.series_count < bound
     }
 
-    /// Drops series without requests for three days, at most once a [`COARSE_WIDTH`] since it
-    /// looks at all.
+    /// Drops series without requests for three days. Runs at most once per [`COARSE_WIDTH`],
+    /// because it visits every series.
     fn sweep(&mut self, now: Duration) {
         if now < self.next_sweep {
             return;
@@ -213,15 +215,15 @@
             customers.retain(|_, series| !series.coarse.is_stale(at));
         }
         self.series.retain(|_, customers| !customers.is_empty());
-        self.total = self.series.values().map(BTreeMap::len).sum();
+        self.series_count = self.series.values().map(BTreeMap::len).sum();
     }
 }
 
 impl BurnSeries {
     fn new() -> Self {
         Self {
-            fine: BucketRing::new(FINE_WIDTH, FINE_LENGTH),
-            coarse: BucketRing::new(COARSE_WIDTH, COARSE_LENGTH),
+            fine: BucketRing::new(FINE_WIDTH, FINE_BUCKETS),
+            coarse: BucketRing::new(COARSE_WIDTH, COARSE_BUCKETS),
         }
     }
 
@@ -243,8 +245,8 @@
             long: Vec::new(),
         };
         if detail == ReportDetail::Points {
-            row.recent = points_of(&self.fine, at, BurnWindow::OneHour, RECENT_STEP);
-            row.long = points_of(&self.coarse, at, BurnWindow::ThreeDays, LONG_STEP);
+            row.recent = points_in(&self.fine, at, BurnWindow::OneHour, RECENT_STEP);
+            row.long = points_in(&self.coarse, at, BurnWindow::ThreeDays, LONG_STEP);
         }
         row
     }
@@ -258,7 +260,7 @@
     }
 }
 
-fn points_of(
+fn points_in(
     ring: &BucketRing,
     at: Duration,
     window: BurnWindow,
--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast a service uses up the failures its objective allows.
+//! Error budget burn: how fast a service uses up the bad requests that its objective allows.
 
 mod alert;
 mod classify;
--- a/crates/telemetry/src/burn/objective.rs
+++ b/crates/telemetry/src/burn/objective.rs
@@ -1,4 +1,4 @@
-//! What a service promises a customer.
+//! Service-level objectives.
 
 use std::time::Duration;
 
@@ -6,24 +6,25 @@
 use serde_with::serde_as;
 use sycamorelink_core::{DurationText, FindingList};
 
-/// Objective window unless the contract says otherwise.
-const USUAL_WINDOW: Duration = Duration::from_hours(30 * 24);
-/// Shortest objective window: that of the shortest count.
-const SHORTEST_WINDOW: Duration = Duration::from_mins(5);
+/// Default objective window.
+const DEFAULT_WINDOW: Duration = Duration::from_hours(30 * 24);
+/// Shortest objective window, equal to [`BurnWindow::FiveMinutes`](super::BurnWindow).
+const MIN_WINDOW: Duration = Duration::from_mins(5);
 /// Longest objective window.
-const LONGEST_WINDOW: Duration = Duration::from_hours(365 * 24);
+const MAX_WINDOW: Duration = Duration::from_hours(365 * 24);
 
-/// A share of requests to be answered whole, right and within a latency, over a window.
+/// Service-level objective: the share of requests that must be good, within a latency and over a
+/// window.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct BurnObjective {
-    /// A reply later than this counts as late.
+    /// Latency above which a reply counts as late.
     #[serde_as(as = "DurationText")]
     pub latency: Duration,
     /// Share of requests that must be good, between 0 and 1.
     pub success: f64,
-    /// Time over which the share must hold.
+    /// Time over which the share must be met.
     #[serde_as(as = "DurationText")]
     pub window: Duration,
 }
@@ -33,33 +34,33 @@
         Self {
             latency: Duration::from_millis(500),
             success: 0.999,
-            window: USUAL_WINDOW,
+            window: DEFAULT_WINDOW,
         }
     }
 }
 
 impl BurnObjective {
-    /// Share of requests that may be bad, above 0.
+    /// Returns the share of requests that may be bad, above 0.
     #[must_use]
     pub fn error_budget(&self) -> f64 {
         (1.0 - self.success).max(f64::EPSILON)
     }
 
-    /// Adds what is wrong to the findings, at `place`.
-    pub fn check(&self, place: &str, findings: &mut FindingList) {
+    /// Adds a finding for each invalid value, with `path` as the path of the objective.
+    pub fn check(&self, path: &str, findings: &mut FindingList) {
         findings.expect(
             !self.latency.is_zero(),
-            &format!("{place}.latency"),
+            &format!("{path}.latency"),
             "must be above zero",
         );
         findings.expect(
             self.success > 0.0 && self.success < 1.0,
-            &format!("{place}.success"),
+            &format!("{path}.success"),
             "must be between 0 and 1, both excluded: without any budget nothing can be judged",
         );
         findings.expect(
-            self.window >= SHORTEST_WINDOW && self.window <= LONGEST_WINDOW,
-            &format!("{place}.window"),
+            self.window >= MIN_WINDOW && self.window <= MAX_WINDOW,
+            &format!("{path}.window"),
             "must be between \"5m\" and \"365d\"",
         );
     }
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -1,4 +1,4 @@
-//! What one daemon or many know of the burn.
+//! Burn reports of one daemon, and their sum over many.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::{BurnCounts, BurnObjective, BurnWindow, WindowCoverage};
 
-/// Requests of one step of a plot: the step's start in seconds since the Unix epoch, and counts.
+/// Counts of one time step of a plot, with its start in seconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnPoint(pub u64, pub BurnCounts);
 
@@ -16,9 +16,9 @@
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnSource {
-    /// The daemon, in one of its lives.
+    /// Daemon and its incarnation.
     pub instance: InstanceId,
-    /// How long it has counted; it knows nothing of earlier requests.
+    /// Time for which the daemon has counted requests, up to the report.
     #[serde_as(as = "DurationText")]
     pub covers: Duration,
 }
@@ -26,30 +26,30 @@
 /// Counts of one customer at one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
-    /// The customer.
+    /// Customer that sent the requests.
     pub customer: CustomerName,
-    /// The service.
+    /// Service that the requests were for.
     pub service: ServiceName,
-    /// What the service promises the customer.
+    /// Objective of the service for the customer.
     pub objective: BurnObjective,
-    /// Version of the contract that the objective is from.
+    /// Version of the contract that the objective comes from.
     pub version: u64,
     /// Counts by window, in the order of [`BurnWindow::ALL`].
     pub windows: [BurnCounts; 5],
-    /// The last hour by minute, for plots.
+    /// Points of the last hour by minute; empty unless [`ReportDetail::Points`] was asked for.
     pub recent: Vec<BurnPoint>,
-    /// The last three days by hour, for plots.
+    /// Points of the last three days by hour; empty unless [`ReportDetail::Points`] was asked for.
     pub long: Vec<BurnPoint>,
 }
 
 impl BurnRow {
-    /// What the row is about.
+    /// Returns the customer and service, by which rows are sorted and merged.
     #[must_use]
     pub fn key(&self) -> (&CustomerName, &ServiceName) {
         (&self.customer, &self.service)
     }
 
-    /// Counts of a window.
+    /// Returns the counts of a window.
     #[must_use]
     pub const fn counts(&self, window: BurnWindow) -> &BurnCounts {
         &self.windows[window.index()]
@@ -71,40 +71,40 @@
 fn merge_points(points: &mut Vec<BurnPoint>, others: &[BurnPoint]) {
     for &BurnPoint(start, counts) in others {
         match points.binary_search_by_key(&start, |point| point.0) {
-            Ok(place) => points[place].1 += counts,
-            Err(place) => points.insert(place, BurnPoint(start, counts)),
+            Ok(index) => points[index].1 += counts,
+            Err(index) => points.insert(index, BurnPoint(start, counts)),
         }
     }
 }
 
-/// How much a report holds.
+/// Level of detail of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportDetail {
-    /// The windows.
+    /// Counts of the windows only.
     #[default]
     Windows,
-    /// The windows and the points that plots need.
+    /// Counts of the windows, and the points of the plots.
     Points,
 }
 
-/// What to report.
+/// Selection of rows and their level of detail.
 ///
-/// Points make a row sixteen times as large, so they are asked for one customer or service, and
-/// windows for a whole fleet.
+/// Points make a row sixteen times as large, so ask for them for one customer or service, and only
+/// for windows when querying a whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BurnQuery {
-    /// Only this customer.
+    /// Selects only this customer; `None` selects all.
     pub customer: Option<CustomerName>,
-    /// Only this service.
+    /// Selects only this service; `None` selects all.
     pub service: Option<ServiceName>,
-    /// How much of each row.
+    /// Level of detail of each row.
     pub detail: ReportDetail,
 }
 
 impl BurnQuery {
-    /// Whether a row is asked for.
+    /// Returns whether the query selects the row of this customer and service.
     #[must_use]
     pub fn selects(&self, customer: &CustomerName, service: &ServiceName) -> bool {
         self.customer
@@ -117,28 +117,28 @@
 /// Counts of one daemon, or the sum over many.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
-    /// When it was made, in seconds since the Unix epoch.
+    /// Time of the report, in seconds since the Unix epoch.
     pub at: u64,
-    /// The daemons whose counts are in it, in order.
+    /// Daemons whose counts are in the report, sorted by instance.
     pub sources: Vec<BurnSource>,
-    /// Daemons that were asked and gave no report.
+    /// Number of daemons that were asked and gave no report.
     #[serde(default)]
     pub missing: u64,
-    /// Rows in order of customer and service.
+    /// Rows sorted by customer and service.
     pub rows: Vec<BurnRow>,
 }
 
 impl BurnReport {
     /// Adds the counts of another report.
     ///
-    /// Returns false and adds nothing when a daemon is in both: a report fetched twice, over two
-    /// ways, would count its requests twice.
+    /// Returns false and adds nothing when a daemon is in both reports, because its requests would
+    /// be counted twice.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let twice = other
+        let duplicate = other
             .sources
             .iter()
             .any(|source| self.has_source(&source.instance));
-        if twice {
+        if duplicate {
             return false;
         }
         self.at = self.at.max(other.at);
@@ -151,12 +151,13 @@
         true
     }
 
-    /// Notes a daemon that was asked and gave no report, so that the sum does not look whole.
+    /// Counts a daemon that was asked and gave no report, so that readers see that the sum is
+    /// incomplete.
     pub fn note_missing(&mut self) {
         self.missing = self.missing.saturating_add(1);
     }
 
-    /// Whether the counts of a daemon are in the report.
+    /// Returns whether the counts of a daemon are in the report.
     #[must_use]
     pub fn has_source(&self, instance: &InstanceId) -> bool {
         self.sources
@@ -164,7 +165,7 @@
             .is_ok()
     }
 
-    /// Part of each window that the daemons have counted.
+    /// Returns the part of each window that the daemons have counted, on average.
     #[must_use]
     pub fn coverage(&self) -> WindowCoverage {
         let times: Vec<_> = self.sources.iter().map(|source| source.covers).collect();
@@ -172,10 +173,10 @@
     }
 
     fn merge_row(&mut self, row: &BurnRow) {
-        let place = self.rows.binary_search_by(|own| own.key().cmp(&row.key()));
-        match place {
-            Ok(place) => self.rows[place].merge(row),
-            Err(place) => self.rows.insert(place, row.clone()),
+        let index = self.rows.binary_search_by(|own| own.key().cmp(&row.key()));
+        match index {
+            Ok(index) => self.rows[index].merge(row),
+            Err(index) => self.rows.insert(index, row.clone()),
         }
     }
 }
--- a/crates/telemetry/src/burn/ring.rs
+++ b/crates/telemetry/src/burn/ring.rs
@@ -1,12 +1,14 @@
-//! Buckets of time with bounded memory.
+//! Ring of time buckets with bounded memory.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::{BurnCounts, BurnOutcome};
 
-/// Requests of one bucket. Counts are 32 bits wide: a node does not serve four billion requests
-/// of one customer in five minutes, and the addition saturates.
+/// Requests of one bucket.
+///
+/// 32 bits are enough for a count: a node does not serve four billion requests of one customer in
+/// five minutes. Additions saturate.
 #[derive(Clone, Copy, Debug, Default)]
 struct RingBucket {
     number: u32,
@@ -21,7 +23,7 @@
     }
 }
 
-/// Buckets of one width over one span. Buckets without requests take no room.
+/// Buckets of equal width over a limited span. Buckets without requests take no memory.
 #[derive(Clone, Debug)]
 pub(super) struct BucketRing {
     width: Duration,
@@ -30,7 +32,7 @@
 }
 
 impl BucketRing {
-    /// A ring of `length` buckets of `width` each.
+    /// Creates an empty ring of `length` buckets of `width` each.
     pub fn new(width: Duration, length: u32) -> Self {
         Self {
             width,
@@ -39,11 +41,11 @@
         }
     }
 
-    /// Counts a request at a time. Time that runs backwards counts in the newest bucket.
+    /// Counts a request at `at`. One before the newest bucket counts in the newest bucket.
     pub fn record(&mut self, at: Duration, outcome: BurnOutcome) {
-        let number = self.number_at(at);
+        let number = self.bucket_at(at);
         if self.buckets.back().is_none_or(|last| last.number < number) {
-            self.open(number);
+            self.push_bucket(number);
         }
         if let Some(bucket) = self.buckets.back_mut() {
             let count = &mut bucket.counts[outcome as usize];
@@ -51,9 +53,9 @@
         }
     }
 
-    /// Requests in the window that ends at `at`, rounded to whole buckets.
+    /// Returns the requests in the window that ends at `at`, rounded to whole buckets.
     pub fn sum(&self, at: Duration, window: Duration) -> BurnCounts {
-        let first = self.first_of(at, window);
+        let first = self.first_bucket(at, window);
         let mut sum = BurnCounts::default();
         for bucket in self.buckets.iter().rev() {
             if bucket.number < first {
@@ -64,9 +66,10 @@
         sum
     }
 
-    /// Requests since `window` ago, in steps of `step`, each with the time its step starts.
+    /// Returns the requests in the window that ends at `at` by steps of `step`, each with the start
+    /// of the step in seconds since the Unix epoch.
     pub fn points(&self, at: Duration, window: Duration, step: Duration) -> Vec<(u64, BurnCounts)> {
-        let first = self.first_of(at, window);
+        let first = self.first_bucket(at, window);
         let mut points: Vec<(u64, BurnCounts)> = Vec::new();
         for bucket in self.buckets.iter().filter(|bucket| bucket.number >= first) {
             let start = u64::from(bucket.number) * self.width.as_secs();
@@ -83,13 +86,13 @@
         points
     }
 
-    /// Whether every bucket is older than the ring's span.
+    /// Returns whether every bucket is older than the span of the ring.
     pub fn is_stale(&self, at: Duration) -> bool {
-        let oldest = self.number_at(at).saturating_sub(self.length);
+        let oldest = self.bucket_at(at).saturating_sub(self.length);
         self.buckets.back().is_none_or(|last| last.number <= oldest)
     }
 
-    fn open(&mut self, number: u32) {
+    fn push_bucket(&mut self, number: u32) {
         let oldest = number.saturating_sub(self.length - 1);
         while self
             .buckets
@@ -102,15 +105,15 @@
         self.buckets.push_back(RingBucket { number, counts });
     }
 
-    fn first_of(&self, at: Duration, window: Duration) -> u32 {
+    fn first_bucket(&self, at: Duration, window: Duration) -> u32 {
         let span = window.as_secs() / self.width.as_secs().max(1);
         let span = u32::try_from(span)
             .unwrap_or(u32::MAX)
             .clamp(1, self.length);
-        self.number_at(at).saturating_sub(span - 1)
+        self.bucket_at(at).saturating_sub(span - 1)
     }
 
-    fn number_at(&self, at: Duration) -> u32 {
+    fn bucket_at(&self, at: Duration) -> u32 {
         let number = at.as_secs() / self.width.as_secs().max(1);
         u32::try_from(number).unwrap_or(u32::MAX)
     }
--- a/crates/telemetry/src/burn/summary.rs
+++ b/crates/telemetry/src/burn/summary.rs
@@ -1,4 +1,4 @@
-//! A report with its rates worked out, for people and programs.
+//! Burn reports with computed rates, as shown to operators and written as JSON.
 
 use std::collections::BTreeMap;
 
@@ -10,91 +10,91 @@
 use super::time::UtcTime;
 use super::{BurnAlert, BurnCounts, BurnObjective, BurnOutcome, BurnWindow, WindowCoverage};
 
-/// Part of a window that has to be counted for its rate to stand for it.
-const LEAST_COVERAGE: f64 = 0.5;
-/// Decimal places kept of rates and shares, as a factor.
-const ROUNDING: f64 = 10_000.0;
+/// Part of a window below which its rate is marked as partial.
+const MIN_COVERAGE: f64 = 0.5;
+/// Factor that rounds rates and shares to four decimal places.
+const ROUNDING_FACTOR: f64 = 10_000.0;
 
-/// The burn of a fleet or of one daemon.
+/// Burn rates of a fleet or of one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BurnSummary {
-    /// When the report was made.
+    /// Time of the report.
     pub at: UtcTime,
-    /// Daemons whose counts are in it.
+    /// Number of daemons whose counts are in the report.
     pub daemons: usize,
-    /// Daemons that were asked and gave no report.
+    /// Number of daemons that were asked and gave no report.
     pub missing: u64,
-    /// Since when the oldest of those daemons has counted.
+    /// Time since which the longest-running of those daemons has counted.
     pub counted_since: UtcTime,
-    /// Part of each window that those daemons have counted, from 0 to 1.
+    /// Part of each window that those daemons have counted on average, from 0 to 1.
     pub coverage: BTreeMap<BurnWindow, f64>,
-    /// The most serious first.
+    /// Rows, most severe alert first.
     pub rows: Vec<SummaryRow>,
 }
 
-/// The burn of one customer at one service.
+/// Burn rates of one customer at one service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SummaryRow {
-    /// The customer.
+    /// Customer that sent the requests.
     pub customer: CustomerName,
-    /// The service.
+    /// Service that the requests were for.
     pub service: ServiceName,
-    /// How serious it is.
+    /// Most severe alert that holds.
     pub alert: BurnAlert,
-    /// What the service promises.
+    /// Objective of the service for the customer.
     pub objective: BurnObjective,
-    /// Version of the contract that the objective is from.
+    /// Version of the contract that the objective comes from.
     pub contract_version: u64,
-    /// Burn rate from which each rule holds.
+    /// Burn rate from which the rule of each alert holds.
     pub thresholds: BTreeMap<BurnAlert, f64>,
-    /// The windows, the shortest first.
+    /// Windows, shortest first.
     pub windows: Vec<SummaryWindow>,
-    /// The longest window that is not longer than the objective's.
+    /// Longest window that is not longer than the window of the objective.
     pub budget_window: BurnWindow,
-    /// Part of the objective's budget that the counted part of that window used.
+    /// Part of the error budget used in the counted part of that window; above 1 when overspent.
     pub budget_used: f64,
-    /// The last hour by minute.
+    /// Points of the last hour by minute; empty when the report has none.
     pub recent: Vec<SummaryPoint>,
-    /// The last three days by hour.
+    /// Points of the last three days by hour; empty when the report has none.
     pub long: Vec<SummaryPoint>,
 }
 
-/// One window of a row.
+/// Counts and burn rate of one window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SummaryWindow {
-    /// The window.
+    /// Length of the window, which ends at the time of the report.
     pub window: BurnWindow,
-    /// Whether less than half of it is counted, so that the rate says little of all of it.
+    /// Whether less than half of the window is counted, so that its rate may be misleading.
     pub partial: bool,
-    /// All requests.
+    /// Number of all requests.
     pub requests: u64,
-    /// Those that burn the budget.
+    /// Number of requests that use up the error budget.
     pub bad: u64,
-    /// Bad share over the share allowed.
+    /// Share of bad requests divided by the share that the objective allows.
     pub burn_rate: f64,
-    /// Bad requests by outcome, without those that did not occur.
+    /// Bad requests by outcome; outcomes that did not occur are left out.
     pub causes: BTreeMap<BurnOutcome, u64>,
 }
 
-/// One step of a plot.
+/// One time step of a plot.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SummaryPoint {
-    /// Start of the step.
+    /// Start of the time step.
     pub at: UtcTime,
-    /// All requests.
+    /// Number of all requests.
     pub requests: u64,
-    /// Bad share over the share allowed.
+    /// Share of bad requests divided by the share that the objective allows.
     pub burn_rate: f64,
-    /// Bad requests by outcome, without those that did not occur.
+    /// Bad requests by outcome; outcomes that did not occur are left out.
     pub causes: BTreeMap<BurnOutcome, u64>,
 }
 
 impl SummaryPoint {
-    /// Requests that burn the budget.
+    /// Returns the number of requests that use up the error budget.
     #[must_use]
     pub fn bad(&self) -> u64 {
         self.causes.values().sum()
@@ -102,7 +102,7 @@
 }
 
 impl BurnSummary {
-    /// Works out the rates of a report.
+    /// Computes the summary of a report.
     #[must_use]
     pub fn of(report: &BurnReport) -> Self {
         let coverage = report.coverage();
@@ -124,36 +124,37 @@
         }
     }
 
-    /// The summary as JSON, on several lines.
+    /// Returns the summary as indented JSON.
     ///
     /// # Errors
     ///
-    /// Those of the serializer; none is known.
+    /// Any error of the serializer; none is expected for this type.
     pub fn to_json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(self)
     }
 
-    /// How many rows are in this state.
+    /// Returns the number of rows with this alert.
     #[must_use]
     pub fn count(&self, alert: BurnAlert) -> usize {
         self.rows.iter().filter(|row| row.alert == alert).count()
     }
 }
 
-/// Start of the longest count, in seconds since the Unix epoch.
+/// Returns the time since which the longest-running daemon has counted, in seconds since the Unix
+/// epoch.
 fn counted_since(report: &BurnReport) -> u64 {
     let covers = report.sources.iter().map(|source| source.covers.as_secs());
     report.at.saturating_sub(covers.max().unwrap_or(0))
 }
 
 impl SummaryRow {
-    /// The window of this row.
+    /// Returns the counts and burn rate of a window.
     #[must_use]
     pub fn window(&self, window: BurnWindow) -> &SummaryWindow {
         &self.windows[window.index()]
     }
 
-    /// Burn rate from which a rule holds.
+    /// Returns the burn rate from which the rule of an alert holds.
     #[must_use]
     pub fn threshold(&self, alert: BurnAlert) -> f64 {
         self.thresholds.get(&alert).copied().unwrap_or(1.0)
@@ -183,11 +184,11 @@
     }
 
     fn by_severity(left: &Self, right: &Self) -> std::cmp::Ordering {
-        let hour = |row: &Self| row.window(BurnWindow::OneHour).burn_rate;
+        let hour_rate = |row: &Self| row.window(BurnWindow::OneHour).burn_rate;
         right
             .alert
             .cmp(&left.alert)
-            .then(hour(right).total_cmp(&hour(left)))
+            .then(hour_rate(right).total_cmp(&hour_rate(left)))
             .then_with(|| left.customer.cmp(&right.customer))
             .then_with(|| left.service.cmp(&right.service))
     }
@@ -202,7 +203,7 @@
     ) -> Self {
         Self {
             window,
-            partial: coverage.get(window) < LEAST_COVERAGE,
+            partial: coverage.get(window) < MIN_COVERAGE,
             requests: counts.total(),
             bad: counts.bad(),
             burn_rate: round(burn_rate(counts, objective)),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// The bad outcome met most, with its count.
+    /// Returns the most frequent bad outcome with its count, or `None` without bad requests.
     #[must_use]
     pub fn main_cause(&self) -> Option<(BurnOutcome, u64)> {
         self.causes
@@ -240,7 +241,7 @@
         .collect()
 }
 
-/// The longest window that is not longer than the objective's.
+/// Returns the longest window that is not longer than the window of the objective.
 fn budget_window(objective: &BurnObjective) -> BurnWindow {
     BurnWindow::ALL
         .into_iter()
@@ -249,8 +250,8 @@
         .unwrap_or(BurnWindow::FiveMinutes)
 }
 
-/// Part of the budget used in the counted part of a window, for a load that does not change much
-/// over the objective's window.
+/// Returns the part of the error budget used in the counted part of a window, assuming that the
+/// load does not change much over the window of the objective.
 fn budget_used(row: &BurnRow, covered: f64, window: BurnWindow) -> f64 {
     let whole = row.objective.window.max(window.length());
     let part = window.length().as_secs_f64() / whole.as_secs_f64();
@@ -258,5 +259,5 @@
 }
 
 fn round(value: f64) -> f64 {
-    (value * ROUNDING).round() / ROUNDING
+    (value * ROUNDING_FACTOR).round() / ROUNDING_FACTOR
 }
--- a/crates/telemetry/src/burn/table.rs
+++ b/crates/telemetry/src/burn/table.rs
@@ -1,4 +1,4 @@
-//! The burn as a table of text.
+//! Burn report as a text table.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 use super::summary::{BurnSummary, SummaryRow, SummaryWindow};
 use super::{BurnAlert, BurnWindow};
 
-/// Widest name shown; a longer one is cut with `..`.
+/// Maximum number of characters of a name; longer names end with `..`.
 const NAME_WIDTH: usize = 28;
-/// Part of a window that daemons must have counted before it is shown without a warning.
-const COVERAGE_DUE: f64 = 0.95;
+/// Part of a window below which the note above the table lists the window.
+const FULL_COVERAGE: f64 = 0.95;
 
 const HEADINGS: [&str; 11] = [
     "ALERT",
@@ -25,10 +25,10 @@
     "USED",
     "CAUSE (1h)",
 ];
-/// Columns from this one to the one before the last hold numbers, set to the right.
-const FIRST_NUMBER: usize = 4;
+/// First right-aligned column; all further ones except the last are right-aligned too.
+const FIRST_NUMERIC_COLUMN: usize = 4;
 
-/// Shows a summary as a table.
+/// Displays a summary as a text table.
 #[derive(Clone, Copy, Debug)]
 pub struct BurnTable<'a>(pub &'a BurnSummary);
 
@@ -41,11 +41,11 @@
         if summary.rows.is_empty() {
             return writeln!(f, "No requests in the last three days.");
         }
-        let lines: Vec<_> = summary.rows.iter().map(cells).collect();
-        let widths = widths(&lines);
-        write_line(f, &HEADINGS.map(str::to_owned), &widths)?;
+        let lines: Vec<_> = summary.rows.iter().map(row_cells).collect();
+        let column_widths = column_widths(&lines);
+        write_line(f, &HEADINGS.map(str::to_owned), &column_widths)?;
         for line in &lines {
-            write_line(f, line, &widths)?;
+            write_line(f, line, &column_widths)?;
         }
         writeln!(f)?;
         writeln!(
@@ -60,7 +60,7 @@
     }
 }
 
-/// How many daemons are in a summary, and what they cannot know.
+/// Displays the number of daemons in a summary, and the windows that they have not fully counted.
 pub(super) struct CoverageNote<'a>(pub &'a BurnSummary);
 
 impl fmt::Display for CoverageNote<'_> {
@@ -72,30 +72,30 @@
             write!(f, ", {} more did not answer", self.0.missing)?;
         }
         write!(f, "; ")?;
-        let mut short = self
+        let mut incomplete = self
             .0
             .coverage
             .iter()
-            .filter(|(_, part)| **part < COVERAGE_DUE)
+            .filter(|(_, part)| **part < FULL_COVERAGE)
             .peekable();
-        if short.peek().is_none() {
+        if incomplete.peek().is_none() {
             return write!(f, "every window is counted whole");
         }
         write!(f, "counted since the start only:")?;
-        for (place, (window, part)) in short.enumerate() {
-            let separator = if place == 0 { "" } else { "," };
+        for (index, (window, part)) in incomplete.enumerate() {
+            let separator = if index == 0 { "" } else { "," };
             write!(f, "{separator} {:.0}% of {window}", part * 100.0)?;
         }
         Ok(())
     }
 }
 
-fn cells(row: &SummaryRow) -> [String; 11] {
+fn row_cells(row: &SummaryRow) -> [String; 11] {
     let rate = |window| window_text(row.window(window));
     [
         alert_text(row.alert).to_owned(),
-        cut(row.customer.as_str()),
-        cut(row.service.as_str()),
+        truncate_name(row.customer.as_str()),
+        truncate_name(row.service.as_str()),
         objective_text(row),
         rate(BurnWindow::FiveMinutes),
         rate(BurnWindow::HalfHour),
@@ -116,7 +116,7 @@
     }
 }
 
-/// An objective in a few words, such as `99.9% < 250ms/30d`.
+/// Formats an objective, for example `99.9% < 250ms/30d`.
 pub(super) fn objective_text(row: &SummaryRow) -> String {
     let objective = &row.objective;
     format!(
@@ -127,20 +127,20 @@
     )
 }
 
-/// A share in percent with as many places as it needs, at most four.
+/// Formats a share as a percentage with up to four decimal places.
 pub(super) fn percent_text(share: f64) -> String {
     let text = format!("{:.4}", share * 100.0);
     let text = text.trim_end_matches('0').trim_end_matches('.');
     format!("{text}%")
 }
 
-/// The burn rate of a window, marked when little of the window is counted.
+/// Formats the burn rate of a window, with a `~` in front when the window is partial.
 pub(super) fn window_text(window: &SummaryWindow) -> String {
-    let mark = if window.partial { "~" } else { "" };
-    format!("{mark}{}", rate_text(window.burn_rate))
+    let prefix = if window.partial { "~" } else { "" };
+    format!("{prefix}{}", rate_text(window.burn_rate))
 }
 
-/// A burn rate with as many places as matter.
+/// Formats a burn rate with two decimals below 9.95, one below 99.5, else none.
 pub(super) fn rate_text(rate: f64) -> String {
     match rate {
         rate if rate >= 99.5 => format!("{rate:.0}x"),
@@ -157,7 +157,7 @@
     }
 }
 
-fn cut(name: &str) -> String {
+fn truncate_name(name: &str) -> String {
     if name.chars().count() <= NAME_WIDTH {
         return name.to_owned();
     }
@@ -165,27 +165,27 @@
     format!("{kept}..")
 }
 
-fn widths(lines: &[[String; 11]]) -> [usize; 11] {
-    let mut widths = HEADINGS.map(str::len);
+fn column_widths(lines: &[[String; 11]]) -> [usize; 11] {
+    let mut column_widths = HEADINGS.map(str::len);
     for line in lines {
-        for (width, cell) in widths.iter_mut().zip(line) {
+        for (width, cell) in column_widths.iter_mut().zip(line) {
             *width = cell.chars().count().max(*width);
         }
     }
-    widths
+    column_widths
 }
 
 fn write_line(
     f: &mut fmt::Formatter<'_>,
-    cells: &[String; 11],
-    widths: &[usize; 11],
+    row_cells: &[String; 11],
+    column_widths: &[usize; 11],
 ) -> fmt::Result {
-    let last = cells.len() - 1;
-    for (column, (cell, width)) in cells.iter().zip(widths).enumerate() {
+    let last = row_cells.len() - 1;
+    for (column, (cell, width)) in row_cells.iter().zip(column_widths).enumerate() {
         if column == last {
             return writeln!(f, "{cell}");
         }
-        if column < FIRST_NUMBER {
+        if column < FIRST_NUMERIC_COLUMN {
             write!(f, "{cell:<width$}  ")?;
         } else {
             write!(f, "{cell:>width$}  ")?;
--- a/crates/telemetry/src/burn/watch.rs
+++ b/crates/telemetry/src/burn/watch.rs
@@ -1,4 +1,4 @@
-//! Changes of alert states on one daemon, for its log.
+//! Detection of alert changes between reports of one daemon, for its log.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,30 @@
 use super::{BurnAlert, BurnReport};
 use crate::event::EventCode;
 
-/// Remembers the alert states of the last report.
+/// Alert states of the last report, by customer and service.
 #[derive(Debug, Default)]
 pub struct BurnWatch {
     states: BTreeMap<(CustomerName, ServiceName), BurnAlert>,
 }
 
-/// One change of an alert state.
+/// A change of an alert between two reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BurnChange {
-    /// The customer.
+    /// Customer of the row.
     pub customer: CustomerName,
-    /// The service.
+    /// Service of the row.
     pub service: ServiceName,
-    /// The state before.
+    /// Alert in the previous report.
     pub before: BurnAlert,
-    /// The state now.
+    /// Alert in the current report.
     pub after: BurnAlert,
 }
 
 impl BurnChange {
-    /// The event that goes with the change. Drift has none of its own: it is for the report.
+    /// Returns the event to log for the change.
+    ///
+    /// A change to drift has an event only when it ends a fast or slow burn: drift is shown in
+    /// reports only.
     #[must_use]
     pub const fn event(&self) -> Option<EventCode> {
         match (self.before, self.after) {
@@ -40,7 +43,7 @@
 }
 
 impl BurnWatch {
-    /// Takes a report and tells what changed since the last one.
+    /// Stores the alerts of a report and returns the changes since the previous one.
     pub fn update(&mut self, report: &BurnReport) -> Vec<BurnChange> {
         let coverage = report.coverage();
         let mut states = BTreeMap::new();
@@ -53,12 +56,12 @@
         let before = std::mem::replace(&mut self.states, states);
         let mut changes = Vec::new();
         for (key, after) in &self.states {
-            let earlier = before.get(key).copied().unwrap_or_default();
-            changes.extend(change(key, earlier, *after));
+            let previous = before.get(key).copied().unwrap_or_default();
+            changes.extend(change(key, previous, *after));
         }
-        for (key, earlier) in &before {
+        for (key, previous) in &before {
             if !self.states.contains_key(key) {
-                changes.extend(change(key, *earlier, BurnAlert::Quiet));
+                changes.extend(change(key, *previous, BurnAlert::Quiet));
             }
         }
         changes
--- a/crates/telemetry/src/burn/window.rs
+++ b/crates/telemetry/src/burn/window.rs
@@ -1,4 +1,4 @@
-//! The windows of time that a burn is judged over.
+//! Time windows of burn rates.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const HOUR: u64 = 60 * MINUTE;
 const DAY: u64 = 24 * HOUR;
 
-/// One window, ending now.
+/// Time window that ends at the time of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BurnWindow {
     /// Five minutes.
@@ -32,7 +32,7 @@
 }
 
 impl BurnWindow {
-    /// Every window, the shortest first.
+    /// Every window, shortest first.
     pub const ALL: [Self; 5] = [
         Self::FiveMinutes,
         Self::HalfHour,
@@ -41,7 +41,7 @@
         Self::ThreeDays,
     ];
 
-    /// How long it is.
+    /// Returns the length of the window.
     #[must_use]
     pub const fn length(self) -> Duration {
         Duration::from_secs(match self {
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The window as text.
+    /// Returns the name used in reports and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Position in [`Self::ALL`].
+    /// Returns the index in [`Self::ALL`].
     #[must_use]
     pub const fn index(self) -> usize {
         self as usize
@@ -78,28 +78,28 @@
     }
 }
 
-/// Part of each window that the daemons of a report have counted, from 0 to 1, on average.
+/// Part of each window that the daemons of a report have counted on average, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowCoverage([f64; 5]);
 
 impl WindowCoverage {
-    /// Every window is counted whole.
-    pub const WHOLE: Self = Self([1.0; 5]);
+    /// Every window is fully counted.
+    pub const FULL: Self = Self([1.0; 5]);
 
-    /// The coverage by daemons that have counted for these times. None at all count nothing.
+    /// Returns the coverage of daemons that have counted for these times; 0 for no daemons.
     #[must_use]
     pub fn of(times: &[Duration]) -> Self {
-        Self(BurnWindow::ALL.map(|window| mean_part(times, window.length())))
+        Self(BurnWindow::ALL.map(|window| mean_coverage(times, window.length())))
     }
 
-    /// The part of one window.
+    /// Returns the part of a window, from 0 to 1.
     #[must_use]
     pub const fn get(&self, window: BurnWindow) -> f64 {
         self.0[window.index()]
     }
 }
 
-fn mean_part(times: &[Duration], length: Duration) -> f64 {
+fn mean_coverage(times: &[Duration], length: Duration) -> f64 {
     let parts = times
         .iter()
         .map(|time| time.min(&length).as_secs_f64() / length.as_secs_f64());
--- a/crates/telemetry/src/event/code.rs
+++ b/crates/telemetry/src/event/code.rs
@@ -1,22 +1,22 @@
-//! The table of event codes.
+//! Table of event codes.
 
 use std::fmt;
 
-/// How loudly an event is logged.
+/// Log level of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EventLevel {
-    /// Somebody has to act.
+    /// An operator has to act.
     Error,
-    /// Something is wrong and the fleet is dealing with it.
+    /// A fault that the fleet handles by itself.
     Warn,
-    /// A normal change worth a line.
+    /// A normal change of state.
     Info,
-    /// One line per request; off by default.
+    /// Events of single requests, connections or datagrams; off by default.
     Debug,
 }
 
 impl EventLevel {
-    /// The level as text, as in logs and settings.
+    /// Returns the name used in settings.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -36,9 +36,9 @@
 
 macro_rules! event_codes {
     ($($number:literal $code:ident $level:ident $name:literal $message:literal;)+) => {
-        /// Code of a numbered event. Numbers are stable: a retired one is never given out again.
+        /// Code of a numbered event. Numbers are stable, and a retired number is never reused.
         ///
-        /// The thousands are the subject, see [`EventGroup`](super::EventGroup).
+        /// The thousands give the subject, see [`EventGroup`](super::EventGroup).
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u16)]
         pub enum EventCode {
@@ -46,10 +46,10 @@
         }
 
         impl EventCode {
-            /// Every code, by number.
+            /// Every code, sorted by number.
             pub const ALL: &'static [Self] = &[$(Self::$code,)+];
 
-            /// The number after `SL`.
+            /// Returns the number after `SL`.
             #[must_use]
             pub const fn number(self) -> u16 {
                 match self {
@@ -57,7 +57,7 @@
                 }
             }
 
-            /// The code as logged, such as `SL1001`.
+            /// Returns the code as logged, for example `SL1001`.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self {
@@ -65,7 +65,7 @@
                 }
             }
 
-            /// The name in kebab case.
+            /// Returns the name as logged, in kebab case.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self {
@@ -73,7 +73,7 @@
                 }
             }
 
-            /// The level it is logged at.
+            /// Returns the level of the event.
             #[must_use]
             pub const fn level(self) -> EventLevel {
                 match self {
@@ -81,7 +81,7 @@
                 }
             }
 
-            /// The message as logged.
+            /// Returns the message as logged.
             #[must_use]
             pub const fn message(self) -> &'static str {
                 match self {
@@ -246,7 +246,7 @@
 }
 
 impl EventCode {
-    /// The code with this number.
+    /// Returns the code with this number, or `None` when there is no such event.
     #[must_use]
     pub fn from_number(number: u16) -> Option<Self> {
         Self::ALL
@@ -255,7 +255,7 @@
             .map(|index| Self::ALL[index])
     }
 
-    /// Position in [`Self::ALL`], for tables indexed by code.
+    /// Returns the index in [`Self::ALL`], for tables indexed by code.
     #[must_use]
     pub const fn index(self) -> usize {
         self as usize
--- a/crates/telemetry/src/event/document.rs
+++ b/crates/telemetry/src/event/document.rs
@@ -1,4 +1,4 @@
-//! The catalogue as the page `docs/events.md`.
+//! Rendering of the catalogue as the page `docs/events.md`.
 
 use std::fmt::Write;
 
@@ -8,17 +8,19 @@
 const HEAD: &str = "\
 # Events
 
-Every line that the daemon logs about its own work is a numbered event. A number keeps its meaning
-for good; a retired one is never given out again. `sycamorelink explain SL3003` prints an entry of
-this page, and `sycamorelink explain overloaded` does so for a refusal code.
+Every line that the daemon logs about its own work is a numbered event. The meaning of a number
+never changes, and a retired number is never reused. `sycamorelink explain SL3003` prints an entry
+of this page, and `sycamorelink explain overloaded` one for a refusal code.
 
 This page is generated from the table in `crates/telemetry/src/event`; a test compares the two.
-After a change there run `UPDATE_DOCS=1 cargo test -p sycamorelink-telemetry --test documents`.
+To update it after a change of the table, run
+`UPDATE_DOCS=1 cargo test -p sycamorelink-telemetry --test documents`.
 
-Levels: `error` needs somebody, `warn` is a fault the fleet deals with by itself, `info` is a change
-worth a line, `debug` is one line for each request and off by default. In JSON lines the number is in
-the field `code` and the name in `event`. Equal events above a bound are only counted: the next
-logged one has the count in `suppressed`, and `SL9017` reports the rest.
+Levels: `error` means that an operator has to act, `warn` is a fault that the fleet handles by
+itself, `info` is a normal change of state, and `debug` is for single requests and off by default.
+In JSON lines the number is in the field `code` and the name in `event`. Beyond a limit per period,
+events of the same code are only counted: the next logged one has the count in `suppressed`, and
+`SL9017` reports the rest.
 
 An entry marked *Reserved* is not raised by this version: do not wait for it, and do not build an
 alert on it. A test compares the marks with the code that raises events.
@@ -27,7 +29,7 @@
 const FIELDS_HEAD: &str = "\
 ## Fields
 
-One thing has one name in every event. Fields that an event has nothing to say on are left out.
+A field has the same name and meaning in every event. Fields that do not apply are left out.
 
 | Field | Meaning |
 |---|---|
@@ -36,11 +38,11 @@
 const REFUSAL_HEAD: &str = "\
 ## Refusal codes
 
-A caller that gets no reply of a backend server gets `application/problem+json` with one of these
-codes, and with whether its request was run. `not-run` is said only where it is certain.
+A caller that gets no reply from a backend server gets `application/problem+json` with one of these
+codes, and with whether its request ran. `not-run` is used only where that is certain.
 ";
 
-/// Writes the page.
+/// Returns the content of `docs/events.md`.
 #[must_use]
 pub fn render_catalogue() -> String {
     let mut page = String::from(HEAD);
@@ -74,8 +76,8 @@
         code.name(),
         code.level(),
         code.message(),
-        entry.means,
-        entry.act,
+        entry.meaning,
+        entry.action,
     );
 }
 
@@ -85,7 +87,7 @@
         "\n### `{}` (HTTP {})\n\n{}\n\n*Was it run:* {}\n\n*Caller:* {}\n\n*Operator:* {}\n",
         entry.code,
         entry.code.status(),
-        entry.means,
+        entry.meaning,
         entry.run_text(),
         entry.caller,
         entry.operator,
@@ -94,8 +96,8 @@
         return;
     }
     let _ = write!(page, "\n*Events:*");
-    for (place, code) in entry.events.iter().enumerate() {
-        let separator = if place == 0 { "" } else { "," };
+    for (index, code) in entry.events.iter().enumerate() {
+        let separator = if index == 0 { "" } else { "," };
         let _ = write!(page, "{separator} `{code}` {}", code.name());
     }
     page.push_str(".\n");
--- a/crates/telemetry/src/event/emit.rs
+++ b/crates/telemetry/src/event/emit.rs
@@ -1,32 +1,32 @@
-//! Writing an event to the log.
+//! Logging of events.
 
 use std::fmt;
 
-use super::field::FieldText;
+use super::field::EscapedText;
 use super::{EventCode, EventLevel};
 
-/// Target of every event, for filters such as `sycamorelink::event=warn`.
+/// Target of every event in `tracing`, for filters such as `sycamorelink::event=warn`.
 pub const EVENT_TARGET: &str = "sycamorelink::event";
 
-type Shown<'a> = Option<&'a dyn fmt::Display>;
+type FieldValue<'a> = Option<&'a dyn fmt::Display>;
 
 macro_rules! event_fields {
     ($($field:ident $meaning:literal,)+) => {
-        /// What an event is about.
+        /// Fields of an event.
         ///
-        /// The set is closed so that one thing has one field name in every event. Fields that
+        /// The set is closed so that a value has the same field name in every event. Fields that
         /// are not set are not logged.
         #[derive(Clone, Copy, Default)]
         pub struct EventFields<'a> {
-            $($field: Shown<'a>,)+
+            $($field: FieldValue<'a>,)+
         }
 
         impl<'a> EventFields<'a> {
-            /// Every field with its meaning.
+            /// Name and meaning of every field, for the documentation.
             pub const MEANINGS: &'static [(&'static str, &'static str)] =
                 &[$((stringify!($field), $meaning),)+];
 
-            /// No fields.
+            /// Returns an empty set of fields.
             #[must_use]
             pub fn new() -> Self {
                 Self::default()
@@ -61,7 +61,7 @@
                     tracing::Level::$level,
                     code = $code.as_str(),
                     event = $code.name(),
-                    $($field = $fields.$field.map(|value| tracing::field::display(FieldText(value))),)+
+                    $($field = $fields.$field.map(|value| tracing::field::display(EscapedText(value))),)+
                     suppressed = $suppressed,
                     "{}",
                     $code.message()
@@ -72,36 +72,36 @@
 }
 
 event_fields! {
-    customer "The customer.",
-    service "The service.",
-    upstream "The upstream.",
-    domain "The failure domain.",
-    peer "The other daemon.",
-    address "The address of the other side.",
-    request "The request.",
-    key "The idempotency key, shortened or hashed: it belongs to the caller.",
-    range "The range of keys.",
-    refusal "The refusal code.",
+    customer "Name of the customer.",
+    service "Name of the service.",
+    upstream "Id of the upstream, a backend server.",
+    domain "Name of the failure domain.",
+    peer "Id of the other daemon.",
+    address "Address of the other side.",
+    request "Id of the request.",
+    key "Idempotency key, shortened or hashed, because its content is private to the caller.",
+    range "Range of idempotency keys.",
+    refusal "Refusal code.",
     run "Whether the request ran.",
-    version "The contract version.",
-    offset "The offset in the log.",
-    count "How many.",
-    limit "The bound that was met.",
-    duration "A length of time, with its unit.",
-    place "The place in a document.",
-    operator "Who did it.",
-    call "The call of the operators' address.",
-    change "The id of the change of a contract.",
-    reason "The cause, in a few words or as an error's text.",
+    version "Version of the contract.",
+    offset "Offset in the log.",
+    count "Number that the event refers to, for example of requests.",
+    limit "Bound that the event refers to, for example the total of `count` or the time left.",
+    duration "Length of time, with its unit.",
+    place "Path within a document, such as the settings.",
+    operator "Name of the operator who made the call.",
+    call "Call to the operators' address, which serves the operator API.",
+    change "Id of a contract change.",
+    reason "Cause, in a few words or as an error message.",
 }
 
-/// Logs an event.
+/// Logs an event at its level.
 pub fn emit(code: EventCode, fields: &EventFields<'_>) {
-    emit_counted(code, fields, 0);
+    emit_with_suppressed(code, fields, 0);
 }
 
-/// Logs an event with the number of earlier ones that were not logged.
-pub(super) fn emit_counted(code: EventCode, fields: &EventFields<'_>, suppressed: u64) {
+/// Logs an event, with the number of earlier events of its code that were suppressed.
+pub(super) fn emit_with_suppressed(code: EventCode, fields: &EventFields<'_>, suppressed: u64) {
     let suppressed = (suppressed > 0).then_some(suppressed);
     match code.level() {
         EventLevel::Error => log_at!(ERROR, code, fields, suppressed),
--- a/crates/telemetry/src/event/entries/mod.rs
+++ b/crates/telemetry/src/event/entries/mod.rs
@@ -1,4 +1,4 @@
-//! The texts of the catalogue, one file a group, joined and checked at compile time.
+//! Texts of the catalogue, one file per group, joined and checked at compile time.
 
 mod at_most_once;
 mod contract;
@@ -27,21 +27,21 @@
 ];
 
 /// Every entry, in the order of [`EventCode::ALL`].
-pub(super) static CATALOGUE: [EventEntry; COUNT] = join();
+pub(super) static CATALOGUE: [EventEntry; COUNT] = join_groups();
 
-/// Joins the groups. A code without a text, or out of order, does not compile.
-const fn join() -> [EventEntry; COUNT] {
+/// Joins the groups. A missing entry or a wrong order does not compile.
+const fn join_groups() -> [EventEntry; COUNT] {
     let mut joined = [GROUPS[0][0]; COUNT];
     let mut next = 0;
     let mut group = 0;
     while group < GROUPS.len() {
-        let mut place = 0;
-        while place < GROUPS[group].len() {
-            let entry = GROUPS[group][place];
+        let mut index_in_group = 0;
+        while index_in_group < GROUPS[group].len() {
+            let entry = GROUPS[group][index_in_group];
             assert!(entry.code.index() == next, "an entry is out of order");
             joined[next] = entry;
             next += 1;
-            place += 1;
+            index_in_group += 1;
         }
         group += 1;
     }
--- a/crates/telemetry/src/event/entry.rs
+++ b/crates/telemetry/src/event/entry.rs
@@ -1,34 +1,34 @@
-//! What the catalogue says about an event.
+//! Entries of the event catalogue.
 
 use std::fmt;
 
 use super::entries::CATALOGUE;
 use super::{EventCode, EventLevel};
 
-/// What a reader of a reserved entry has to know.
+/// Note shown with reserved entries.
 pub(super) const RESERVED_TEXT: &str = "No daemon of this version raises it.";
 
-/// One event in the catalogue.
+/// Entry of an event in the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventEntry {
-    /// The code.
+    /// Code of the event.
     pub code: EventCode,
-    /// Whether nothing raises it yet: the number and its meaning are kept for what they name.
+    /// Whether no code raises the event yet. Its number and meaning are reserved.
     pub reserved: bool,
-    /// What it means.
-    pub means: &'static str,
-    /// What to do.
-    pub act: &'static str,
+    /// What the event means, in full sentences.
+    pub meaning: &'static str,
+    /// What operators should do, in full sentences.
+    pub action: &'static str,
 }
 
 impl EventEntry {
-    /// Every entry, by number.
+    /// Returns every entry, sorted by number.
     #[must_use]
     pub fn all() -> &'static [Self] {
         &CATALOGUE
     }
 
-    /// The level of the event.
+    /// Returns the level of the event.
     #[must_use]
     pub const fn level(&self) -> EventLevel {
         self.code.level()
@@ -36,13 +36,13 @@
 }
 
 impl EventCode {
-    /// What the catalogue says about this event.
+    /// Returns the entry of the event in the catalogue.
     #[must_use]
     pub fn entry(self) -> &'static EventEntry {
         &CATALOGUE[self.index()]
     }
 
-    /// The subject of the event.
+    /// Returns the subject of the event.
     #[must_use]
     pub const fn group(self) -> EventGroup {
         match self.number() / 1000 {
@@ -67,8 +67,8 @@
             writeln!(f, "  Reserved:   {RESERVED_TEXT}")?;
         }
         writeln!(f, "  Logged as:  {}", code.message())?;
-        writeln!(f, "  Meaning:    {}", self.means)?;
-        write!(f, "  What to do: {}", self.act)
+        writeln!(f, "  Meaning:    {}", self.meaning)?;
+        write!(f, "  What to do: {}", self.action)
     }
 }
 
@@ -81,22 +81,22 @@
     Requests,
     /// 3000: detection of gray failures and balancing.
     Detection,
-    /// 4000: at most once.
+    /// 4000: idempotency keys and at-most-once execution.
     AtMostOnce,
     /// 5000: contracts.
     Contracts,
-    /// 6000: roster.
+    /// 6000: roster, the membership of the fleet.
     Roster,
-    /// 7000: platform log.
+    /// 7000: platform log, the service that stores contracts.
     PlatformLog,
-    /// 8000: limits, overload and burn.
+    /// 8000: limits, overload and error budget burn.
     Load,
-    /// 9000: wire, peers, security and bad input.
+    /// 9000: wire protocol, peers, security and bad input.
     Peers,
 }
 
 impl EventGroup {
-    /// Every group, by number.
+    /// Every group, sorted by number.
     pub const ALL: [Self; 9] = [
         Self::Lifecycle,
         Self::Requests,
@@ -109,7 +109,7 @@
         Self::Peers,
     ];
 
-    /// Heading of the group.
+    /// Returns the heading of the group in the documentation.
     #[must_use]
     pub const fn title(self) -> &'static str {
         match self {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The entries of the group.
+    /// Returns the entries of the group, sorted by number.
     pub fn entries(self) -> impl Iterator<Item = &'static EventEntry> {
         CATALOGUE
             .iter()
--- a/crates/telemetry/src/event/explain.rs
+++ b/crates/telemetry/src/event/explain.rs
@@ -1,4 +1,4 @@
-//! Explaining a code that an operator or caller met.
+//! Lookup of event and refusal codes, for `sycamorelink explain`.
 
 use std::fmt;
 
@@ -6,21 +6,21 @@
 
 use super::{EventCode, EventEntry, RefusalEntry};
 
-/// What the catalogue has on one code or name. At least one part is there.
+/// Catalogue entries of a code or name. At least one of them is present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CodeExplanation {
-    /// The refusal with this code.
+    /// Refusal with this code.
     pub refusal: Option<&'static RefusalEntry>,
-    /// The event with this number or name.
+    /// Event with this number or name.
     pub event: Option<&'static EventEntry>,
 }
 
-/// A code that is not in the catalogue.
+/// Error for a code that is not in the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct UnknownCode {
-    /// The text asked for.
+    /// Text that was looked up.
     pub text: String,
-    /// The code or name most like it.
+    /// Most similar code or name, or `None` when none is similar.
     pub nearest: Option<&'static str>,
 }
 
@@ -34,49 +34,49 @@
     }
 }
 
-/// Explains an event by number or name (`SL3003`, `3003`, `upstream-ejected`) or a refusal code
-/// (`overloaded`). Some names are both, and then both are explained.
+/// Returns the entries of an event, by number or name (`SL3003`, `3003`, `upstream-ejected`), or of
+/// a refusal code (`overloaded`). Some names are both; then both entries are returned.
 ///
 /// # Errors
 ///
-/// [`UnknownCode`], with the nearest known code when one is near.
+/// [`UnknownCode`] when there is no such event or refusal.
 pub fn explain(text: &str) -> Result<CodeExplanation, UnknownCode> {
-    let wanted = text.trim().to_lowercase();
+    let query = text.trim().to_lowercase();
     let explanation = CodeExplanation {
-        refusal: find_refusal(&wanted).map(RefusalEntry::of),
-        event: find_event(&wanted).map(EventCode::entry),
+        refusal: find_refusal(&query).map(RefusalEntry::of),
+        event: find_event(&query).map(EventCode::entry),
     };
     if explanation.refusal.is_none() && explanation.event.is_none() {
         return Err(UnknownCode {
             text: text.to_owned(),
-            nearest: nearest(&wanted),
+            nearest: nearest_code(&query),
         });
     }
     Ok(explanation)
 }
 
-fn find_refusal(wanted: &str) -> Option<RefusalCode> {
+fn find_refusal(query: &str) -> Option<RefusalCode> {
     RefusalCode::ALL
         .iter()
         .copied()
-        .find(|code| code.as_str() == wanted)
+        .find(|code| code.as_str() == query)
 }
 
-fn find_event(wanted: &str) -> Option<EventCode> {
-    let digits = wanted.strip_prefix("sl").unwrap_or(wanted);
+fn find_event(query: &str) -> Option<EventCode> {
+    let digits = query.strip_prefix("sl").unwrap_or(query);
     if let Ok(number) = digits.parse() {
         return EventCode::from_number(number);
     }
     EventCode::ALL
         .iter()
         .copied()
-        .find(|code| code.name() == wanted)
+        .find(|code| code.name() == query)
 }
 
-/// The nearest name, or for a number the nearest number: an edit distance between numbers would
-/// offer one of another subject.
-fn nearest(wanted: &str) -> Option<&'static str> {
-    let digits = wanted.strip_prefix("sl").unwrap_or(wanted);
+/// Returns the most similar name, or for a number the closest number: the edit distance of numbers
+/// would suggest codes of unrelated subjects.
+fn nearest_code(query: &str) -> Option<&'static str> {
+    let digits = query.strip_prefix("sl").unwrap_or(query);
     if let Ok(number) = digits.parse::<u16>() {
         return EventCode::ALL
             .iter()
@@ -85,7 +85,7 @@
     }
     let refusals = RefusalCode::ALL.iter().map(|code| code.as_str());
     let events = EventCode::ALL.iter().map(|code| code.name());
-    nearest_name(wanted, refusals.chain(events))
+    nearest_name(query, refusals.chain(events))
 }
 
 impl fmt::Display for CodeExplanation {
--- a/crates/telemetry/src/event/mod.rs
+++ b/crates/telemetry/src/event/mod.rs
@@ -1,12 +1,12 @@
-//! Numbered events: what the logs say, in one catalogue.
+//! Numbered events: the catalogue of all log messages of the daemon.
 //!
 //! ```text
 //! code.rs  number, name, level, message ----> EventCode --emit--> tracing
-//! entries/ meaning and what to do ----------> EventEntry --explain--> command line
+//! entries/ meaning and action --------------> EventEntry --explain--> command line
 //!                                                        `-render--> docs/events.md
 //! ```
 //!
-//! A code without a text does not compile, and a test compares the page with the catalogue.
+//! A code without an entry does not compile, and a test compares the page with the catalogue.
 
 mod code;
 mod document;
@@ -25,4 +25,4 @@
 pub use entry::{EventEntry, EventGroup};
 pub use explain::{CodeExplanation, UnknownCode, explain};
 pub use refusal::RefusalEntry;
-pub use throttle::{EventThrottle, ThrottleVerdict};
+pub use throttle::{EventThrottle, ThrottleDecision};
--- a/crates/telemetry/src/event/refusal.rs
+++ b/crates/telemetry/src/event/refusal.rs
@@ -1,4 +1,4 @@
-//! What a refusal means for the caller and where operators look.
+//! Entries of refusal codes in the catalogue.
 
 use std::fmt;
 
@@ -7,40 +7,40 @@
 use super::EventCode;
 use super::refusals::REFUSALS;
 
-/// One refusal code in the catalogue.
+/// Entry of a refusal code in the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RefusalEntry {
-    /// The code that callers see.
+    /// Code in the answer to the caller.
     pub code: RefusalCode,
-    /// What it means.
-    pub means: &'static str,
-    /// What the answer may say about whether the request ran.
-    pub runs: &'static [RunState],
-    /// What the caller does.
+    /// What the refusal means, in full sentences.
+    pub meaning: &'static str,
+    /// Run states that the answer may contain.
+    pub run_states: &'static [RunState],
+    /// What the caller should do.
     pub caller: &'static str,
-    /// What operators look at.
+    /// What operators should do.
     pub operator: &'static str,
-    /// Events that go with it.
+    /// Related events.
     pub events: &'static [EventCode],
 }
 
 impl RefusalEntry {
-    /// Every entry, in the order of [`RefusalCode::ALL`].
+    /// Returns every entry, in the order of [`RefusalCode::ALL`].
     #[must_use]
     pub fn all() -> &'static [Self] {
         &REFUSALS
     }
 
-    /// The entry of a code.
+    /// Returns the entry of a code.
     #[must_use]
     pub fn of(code: RefusalCode) -> &'static Self {
         &REFUSALS[code as usize]
     }
 
-    /// Whether the request ran, as a sentence.
+    /// Returns a sentence that says whether the request ran.
     #[must_use]
     pub fn run_text(&self) -> &'static str {
-        match self.runs {
+        match self.run_states {
             [RunState::NotRun] => "Not run, for certain.",
             [RunState::Unknown] => "Unknown: it may have run.",
             _ => {
@@ -53,7 +53,7 @@
 impl fmt::Display for RefusalEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{} (HTTP {})", self.code, self.code.status())?;
-        writeln!(f, "  Meaning:    {}", self.means)?;
+        writeln!(f, "  Meaning:    {}", self.meaning)?;
         writeln!(f, "  Was it run: {}", self.run_text())?;
         writeln!(f, "  Caller:     {}", self.caller)?;
         write!(f, "  Operator:   {}", self.operator)?;
--- a/crates/telemetry/src/event/throttle.rs
+++ b/crates/telemetry/src/event/throttle.rs
@@ -1,24 +1,24 @@
-//! A limit on equal events, so that a storm of them costs little.
+//! Rate limit of logged events, per event code.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use super::emit::emit_counted;
+use super::emit::emit_with_suppressed;
 use super::{EventCode, EventFields};
 use crate::metric::{MetricCounter, MetricName, MetricRegistry, MetricTags};
 
-/// Bits of a slot that count events; the rest number the period.
+/// Bits of a slot that hold the count of events; the upper bits hold the number of the period.
 const COUNT_BITS: u32 = 32;
-/// Mask of the count.
+/// Mask of the count in a slot.
 const COUNT_MASK: u64 = (1 << COUNT_BITS) - 1;
 
-/// Logs at most so many events of one code in a period and counts the rest.
+/// Logs a limited number of events of one code per period and counts the others.
 ///
-/// Failure: an upstream dies under load and each of thousands of requests logs the same line.
-/// Symptom: the log costs more than the requests and hides the line that matters. A bound for
-/// each code suffices because the codes are few: the worst case is bound by the table's size.
+/// Without a limit, an upstream that fails under load would make thousands of requests log the same
+/// line, which would cost more than the requests and hide other events. The number of codes is
+/// small, so a limit per code also limits the total.
 ///
-/// It is shared between threads; a suppressed event costs two atomic additions.
+/// A throttle can be shared between threads; a suppressed event costs two atomic additions.
 #[derive(Debug)]
 pub struct EventThrottle {
     period: Duration,
@@ -27,20 +27,21 @@
     counters: Vec<MetricCounter>,
 }
 
-/// What the throttle said to one event.
+/// Decision of the throttle about one event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ThrottleVerdict {
-    /// Log it, and say how many were not logged in the last period that had any.
+pub enum ThrottleDecision {
+    /// Log the event.
     Log {
-        /// Events not logged since the last logged one.
+        /// Number of events suppressed in the last period that had events, to be logged with this
+        /// one; 0 except for the first event of a period.
         suppressed: u64,
     },
-    /// Only counted.
+    /// Only count the event.
     Suppress,
 }
 
 impl EventThrottle {
-    /// A throttle for `burst` events of each code in each period.
+    /// Creates a throttle that logs up to `burst` events of each code per period.
     #[must_use]
     pub fn new(period: Duration, burst: u32) -> Self {
         let codes = EventCode::ALL.iter();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The same, counting every event in the metric `events`, logged or not.
+    /// Counts every event in the metric `events`, whether it is logged or suppressed.
     #[must_use]
     pub fn counting(mut self, registry: &MetricRegistry) -> Self {
         self.counters = EventCode::ALL
@@ -65,56 +66,61 @@
         self
     }
 
-    /// Logs the event unless too many like it were logged in this period.
+    /// Logs an event unless the limit of its code is reached in the current period.
     pub fn emit(&self, now: Duration, code: EventCode, fields: &EventFields<'_>) {
-        if let ThrottleVerdict::Log { suppressed } = self.admit(now, code) {
-            emit_counted(code, fields, suppressed);
+        if let ThrottleDecision::Log { suppressed } = self.admit(now, code) {
+            emit_with_suppressed(code, fields, suppressed);
         }
     }
 
-    /// Counts an event and tells whether to log it.
+    /// Counts an event and returns whether to log it.
     #[must_use]
-    pub fn admit(&self, now: Duration, code: EventCode) -> ThrottleVerdict {
+    pub fn admit(&self, now: Duration, code: EventCode) -> ThrottleDecision {
         self.counters[code.index()].add(1);
         let slot = &self.slots[code.index()];
-        let period = self.period_at(now);
-        let seen = slot.load(Ordering::Relaxed);
-        if seen >> COUNT_BITS != period {
-            let fresh = (period << COUNT_BITS) | 1;
-            let swap = slot.compare_exchange(seen, fresh, Ordering::Relaxed, Ordering::Relaxed);
+        let period = self.period_number(now);
+        let current = slot.load(Ordering::Relaxed);
+        if current >> COUNT_BITS != period {
+            let first_of_period = (period << COUNT_BITS) | 1;
+            let swap = slot.compare_exchange(
+                current,
+                first_of_period,
+                Ordering::Relaxed,
+                Ordering::Relaxed,
+            );
             if swap.is_ok() {
-                let suppressed = self.excess(seen);
-                return ThrottleVerdict::Log { suppressed };
+                let suppressed = self.suppressed_in(current);
+                return ThrottleDecision::Log { suppressed };
             }
         }
         let count = slot.fetch_add(1, Ordering::Relaxed) & COUNT_MASK;
         if count < self.burst {
-            ThrottleVerdict::Log { suppressed: 0 }
+            ThrottleDecision::Log { suppressed: 0 }
         } else {
-            ThrottleVerdict::Suppress
+            ThrottleDecision::Suppress
         }
     }
 
-    /// Logs what was suppressed in periods that are over. Call it once a period.
+    /// Logs the number of events suppressed in periods that have ended. Call it once per period.
     pub fn sweep(&self, now: Duration) {
         for (code, suppressed) in self.take_suppressed(now) {
             let fields = EventFields::new().reason(&code).count(&suppressed);
-            emit_counted(EventCode::EventsSuppressed, &fields, 0);
+            emit_with_suppressed(EventCode::EventsSuppressed, &fields, 0);
         }
     }
 
-    /// Takes the counts of events suppressed in periods that are over.
+    /// Returns and resets the numbers of events suppressed in periods that have ended.
     #[must_use]
     pub fn take_suppressed(&self, now: Duration) -> Vec<(EventCode, u64)> {
-        let period = self.period_at(now);
+        let period = self.period_number(now);
         let mut taken = Vec::new();
         for (&code, slot) in EventCode::ALL.iter().zip(&self.slots) {
-            let seen = slot.load(Ordering::Relaxed);
-            let suppressed = self.excess(seen);
-            if suppressed == 0 || seen >> COUNT_BITS == period {
+            let current = slot.load(Ordering::Relaxed);
+            let suppressed = self.suppressed_in(current);
+            if suppressed == 0 || current >> COUNT_BITS == period {
                 continue;
             }
-            let swap = slot.compare_exchange(seen, 0, Ordering::Relaxed, Ordering::Relaxed);
+            let swap = slot.compare_exchange(current, 0, Ordering::Relaxed, Ordering::Relaxed);
             if swap.is_ok() {
                 taken.push((code, suppressed));
             }
@@ -122,13 +128,13 @@
         taken
     }
 
-    /// Number of the period, from one so that zero means a slot never used.
-    fn period_at(&self, now: Duration) -> u64 {
+    /// Returns the number of the period, starting at one, because zero marks an unused slot.
+    fn period_number(&self, now: Duration) -> u64 {
         let number = now.as_millis() / self.period.as_millis();
         u64::try_from(number).unwrap_or(u64::MAX).saturating_add(1) & COUNT_MASK
     }
 
-    fn excess(&self, seen: u64) -> u64 {
-        (seen & COUNT_MASK).saturating_sub(self.burst)
+    fn suppressed_in(&self, current: u64) -> u64 {
+        (current & COUNT_MASK).saturating_sub(self.burst)
     }
 }
--- a/crates/telemetry/src/latency.rs
+++ b/crates/telemetry/src/latency.rs
@@ -1,41 +1,41 @@
-//! Summary of latencies by a histogram, mergeable between daemons.
+//! Histogram of latencies that can be merged between daemons.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Greatest latency told apart, in microseconds: five minutes.
-const HIGHEST_US: u64 = 300_000_000;
-/// Significant decimal digits kept: a value is off by at most one in a hundred.
-const DIGITS: u8 = 2;
+/// Highest latency that the histogram records, in microseconds: five minutes.
+const MAX_LATENCY_US: u64 = 300_000_000;
+/// Significant decimal digits kept: the error of a value is at most 1%.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Latencies of one service.
+/// Histogram of latencies.
 ///
-/// A value is kept to two digits, so the size is bounded whatever is recorded. In JSON it is the
-/// list of counts by bucket, so that summaries of many daemons add up exactly.
+/// Values are kept to two significant digits, so the size is bounded. In JSON, a summary is a list
+/// of buckets with their counts, so that the sum over many daemons is exact.
 #[derive(Clone, Debug)]
 pub struct LatencySummary {
     histogram: Histogram<u32>,
 }
 
-/// A summary as sent: pairs of a bucket's value in microseconds and its count.
+/// Serialized form of a summary: pairs of the value of a bucket in microseconds and its count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 struct LatencyBuckets(Vec<(u64, u32)>);
 
-/// The percentiles that reports show.
+/// Percentiles shown in reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatencyPercentiles {
-    /// How many were recorded.
+    /// Number of latencies recorded.
     pub count: u64,
-    /// Half were faster, in microseconds.
+    /// Median, in microseconds.
     pub p50_us: u64,
-    /// 99 of 100 were faster, in microseconds.
+    /// 99th percentile, in microseconds.
     pub p99_us: u64,
-    /// 999 of 1000 were faster, in microseconds.
+    /// 99.9th percentile, in microseconds.
     pub p999_us: u64,
-    /// The slowest, in microseconds.
+    /// Highest latency recorded, in microseconds.
     pub max_us: u64,
 }
 
@@ -46,25 +46,26 @@
 }
 
 impl LatencySummary {
-    /// An empty summary.
+    /// Creates an empty summary.
     ///
     /// # Panics
     ///
-    /// Never: the bounds are constants that the histogram accepts.
+    /// Never panics: the bounds are constants that the histogram accepts.
     #[must_use]
     pub fn new() -> Self {
-        let histogram = Histogram::new_with_bounds(1, HIGHEST_US, DIGITS)
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
             .expect("the bounds are valid constants");
         Self { histogram }
     }
 
-    /// Adds a latency. One over five minutes counts as five minutes.
+    /// Records a latency. One above five minutes counts as five minutes, one below a microsecond as
+    /// one.
     pub fn record(&mut self, latency: Duration) {
-        let micros = u64::try_from(latency.as_micros()).unwrap_or(HIGHEST_US);
+        let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_US);
         self.histogram.saturating_record(micros.max(1));
     }
 
-    /// Adds what another summary holds.
+    /// Adds the latencies of another summary.
     pub fn merge(&mut self, other: &Self) {
         for value in other.histogram.iter_recorded() {
             self.histogram
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Empties the summary.
+    /// Removes all recorded latencies.
     pub fn clear(&mut self) {
         self.histogram.reset();
     }
 
-    /// Values in microseconds with how often each was recorded, rising.
+    /// Returns the recorded values in microseconds, ascending, with the count of each.
     pub fn buckets(&self) -> impl Iterator<Item = (u32, u32)> {
         let recorded = self.histogram.iter_recorded();
         recorded.map(|value| {
@@ -86,19 +87,19 @@
         })
     }
 
-    /// How many were recorded.
+    /// Returns the number of latencies recorded.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// The latency below which `share` of the recorded ones are, from 0 to 1.
+    /// Returns the latency at a quantile from 0 to 1, or zero when nothing was recorded.
     #[must_use]
-    pub fn quantile(&self, share: f64) -> Duration {
-        Duration::from_micros(self.histogram.value_at_quantile(share))
+    pub fn quantile(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.histogram.value_at_quantile(quantile))
     }
 
-    /// The percentiles that reports show.
+    /// Returns the percentiles shown in reports.
     #[must_use]
     pub fn percentiles(&self) -> LatencyPercentiles {
         LatencyPercentiles {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Numbered event catalogue, log set-up, metrics and the burn report.
+//! Telemetry of the daemon: numbered events, logging, metrics and error budget reports.
 //!
 //! ```text
 //! decision logic --notes--> daemon --EventThrottle--> tracing --LogSettings--> stderr
@@ -6,9 +6,9 @@
 //!                             `---- BurnLedger --report--> BurnReport --merge--> command line
 //! ```
 //!
-//! Nothing here decides about requests, and none of it may slow one down: on the request path an
-//! event is two atomic additions when it is suppressed, a metric one, and a burn count two
-//! look-ups of names. Time is passed in.
+//! This crate makes no decisions about requests and must not slow them down. On the request path, a
+//! suppressed event costs two atomic additions, a metric one atomic addition, and a burn count two
+//! map lookups by name. Callers pass in the current time.
 
 pub mod burn;
 pub mod event;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! Log set-up: text or JSON lines on standard error.
+//! Logging set-up: text or JSON lines on standard error or standard output.
 
 use std::fmt;
 use std::io;
@@ -13,21 +13,21 @@
 
 use crate::event::{EventCode, EventFields, emit};
 
-/// Form of a log line.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// One line of text, for people.
+    /// Plain text, for reading in a terminal.
     #[default]
     Text,
-    /// One JSON object a line, for collectors.
+    /// One JSON object per line, for log collectors.
     Json,
 }
 
-/// Lines that may wait to be written: some seconds of a daemon under load, about 2 MB.
-const QUEUED_LINES: usize = 4096;
+/// Maximum number of queued lines: some seconds of a daemon under load, about 2 MB.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Where log lines go.
+/// Output stream of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogTarget {
@@ -38,14 +38,14 @@
     Stdout,
 }
 
-/// Keeps the log's writing thread alive.
+/// Handle of the thread that writes the log; dropping it writes the queued lines.
 pub struct LogGuard {
     _guard: WorkerGuard,
     dropped: ErrorCounter,
 }
 
 impl LogGuard {
-    /// Lines that found the queue full.
+    /// Returns the number of lines dropped because the queue was full.
     #[must_use]
     pub fn dropped_lines(&self) -> usize {
         self.dropped.dropped_lines()
@@ -58,15 +58,15 @@
     }
 }
 
-/// The `log` part of the settings.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LogSettings {
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Where lines go.
+    /// Output stream.
     pub output: LogTarget,
-    /// Filter by level and target, such as `info` or `warn,sycamorelink=debug`.
+    /// Filter by level and target, for example `info` or `warn,sycamorelink=debug`.
     pub level: String,
 }
 
@@ -80,50 +80,50 @@
     }
 }
 
-/// Logging could not be set up.
+/// Error of setting up logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The level is not a filter.
+    /// The level is not a valid filter.
     #[error("log.level {level:?} is not a level or filter: {cause}")]
     Level {
-        /// The text found.
+        /// Value of the setting.
         level: String,
-        /// What the parser said.
+        /// Error message of the parser.
         cause: String,
     },
-    /// The process has logging already.
+    /// The process has a global subscriber already.
     #[error("logging is set up already")]
-    Twice(#[source] TryInitError),
+    AlreadyInstalled(#[source] TryInitError),
 }
 
 impl LogSettings {
-    /// Adds what is wrong to the findings, at `place`.
-    pub fn check(&self, place: &str, findings: &mut FindingList) {
+    /// Adds a finding for each invalid value, with `path` as the path of the settings.
+    pub fn check(&self, path: &str, findings: &mut FindingList) {
         if let Err(error) = self.filter() {
-            findings.add(format!("{place}.level"), error.to_string());
+            findings.add(format!("{path}.level"), error.to_string());
         }
     }
 
-    /// Sets up logging for the process. Lines are written by a thread of their own as long as the
-    /// guard lives; dropping it writes out what is left.
+    /// Sets up logging for the process.
     ///
-    /// Failure: whoever reads the log stops reading, the pipe fills up, and every thread that logs
-    /// stands still. Lines that find the queue full are dropped instead; the log tells how many.
+    /// A separate thread writes the lines as long as the guard lives; dropping the guard writes the
+    /// lines that are left. When the queue of this thread is full, lines are dropped and counted,
+    /// so that a reader that stops reading the pipe does not block every thread that logs.
     ///
     /// # Errors
     ///
-    /// [`LogError`] when the level is no filter or logging is set up already.
+    /// [`LogError`] when the level is not a valid filter or logging is set up already.
     pub fn install(&self) -> Result<LogGuard, LogError> {
         let writer: Box<dyn io::Write + Send> = match self.output {
             LogTarget::Stderr => Box::new(io::stderr()),
             LogTarget::Stdout => Box::new(io::stdout()),
         };
-        let builder = NonBlockingBuilder::default().buffered_lines_limit(QUEUED_LINES);
+        let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES);
         let (writer, guard) = builder.finish(writer);
         let dropped = writer.error_counter();
         self.subscriber(writer)?
             .try_init()
-            .map_err(LogError::Twice)?;
+            .map_err(LogError::AlreadyInstalled)?;
         emit(EventCode::LogStarted, &EventFields::new());
         Ok(LogGuard {
             _guard: guard,
@@ -131,11 +131,11 @@
         })
     }
 
-    /// A subscriber that writes to `writer`, for a scope or a test.
+    /// Returns a subscriber that writes to `writer`, for a scope or a test.
     ///
     /// # Errors
     ///
-    /// [`LogError::Level`] when the level is no filter.
+    /// [`LogError::Level`] when the level is not a valid filter.
     pub fn subscriber<W>(&self, writer: W) -> Result<Box<dyn Subscriber + Send + Sync>, LogError>
     where
         W: for<'w> MakeWriter<'w> + Send + Sync + 'static,
--- a/crates/telemetry/src/metric/meter.rs
+++ b/crates/telemetry/src/metric/meter.rs
@@ -1,4 +1,4 @@
-//! Handles that code on the request path holds.
+//! Handles of metrics for code on the request path.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,18 +7,18 @@
 
 use crate::latency::LatencySummary;
 
-/// Tags of a series, in the order of the catalogue.
+/// Tags of a series, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MetricTags(Vec<(&'static str, Arc<str>)>);
 
 impl MetricTags {
-    /// No tags.
+    /// Returns an empty set of tags.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The same with one more. Characters that separate parts of a line become `_`.
+    /// Adds a tag. Separators of the statsd format and control characters in its value become `_`.
     #[must_use]
     pub fn with(mut self, tag: &'static str, value: &str) -> Self {
         let value = value.replace(is_separator, "_");
@@ -27,68 +27,70 @@
         self
     }
 
-    /// Tags and values.
+    /// Returns the names and values of the tags.
     pub fn iter(&self) -> impl Iterator<Item = (&'static str, &str)> {
         self.0.iter().map(|(tag, value)| (*tag, value.as_ref()))
     }
 }
 
-fn is_separator(letter: char) -> bool {
-    letter.is_control() || matches!(letter, ':' | '|' | '#' | ',' | '@')
+fn is_separator(character: char) -> bool {
+    character.is_control() || matches!(character, ':' | '|' | '#' | ',' | '@')
 }
 
-/// A counter; cloning shares it. Adding is one atomic operation.
+/// Counter whose clones share one count. Adding is one atomic operation.
 #[derive(Clone, Debug, Default)]
 pub struct MetricCounter(Arc<AtomicU64>);
 
 impl MetricCounter {
-    /// Adds to the count.
+    /// Adds `count` to the counter.
     pub fn add(&self, count: u64) {
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// The count since the last flush.
+    /// Returns the count since the last flush.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Takes the count since the last time.
+    /// Returns the count since the last call and resets it to zero.
     pub(super) fn take(&self) -> u64 {
         self.0.swap(0, Ordering::Relaxed)
     }
 }
 
-/// A value that goes up and down; cloning shares it.
+/// Gauge whose clones share one value.
 #[derive(Clone, Debug, Default)]
 pub struct MetricGauge(Arc<AtomicU64>);
 
 impl MetricGauge {
-    /// Sets the value.
+    /// Sets the value of the gauge.
     pub fn set(&self, value: u64) {
         self.0.store(value, Ordering::Relaxed);
     }
 
-    /// The value.
+    /// Returns the value last set, initially 0.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Durations since the last flush; cloning shares it. Recording takes a short lock.
+/// Timer whose clones share one histogram of the durations since the last flush.
+///
+/// Recording holds a lock for a short time.
 #[derive(Clone, Default)]
 pub struct MetricTimer(Arc<Mutex<LatencySummary>>);
 
 impl MetricTimer {
-    /// Adds a duration.
+    /// Records a duration.
     pub fn record(&self, duration: Duration) {
         if let Ok(mut summary) = self.0.lock() {
             summary.record(duration);
         }
     }
 
-    /// Takes what was recorded since the last time, or nothing.
+    /// Returns the durations since the last call and removes them, or `None` when there are none.
     pub(super) fn take(&self) -> Option<LatencySummary> {
         let mut summary = self.0.lock().ok()?;
         if summary.count() == 0 {
--- a/crates/telemetry/src/metric/mod.rs
+++ b/crates/telemetry/src/metric/mod.rs
@@ -1,4 +1,5 @@
-//! Metrics: a table of names, handles for the request path, and the flush to statsd.
+//! Metrics: the table of names, handles for the request path, and the export to statsd and
+//! Prometheus.
 
 mod document;
 mod meter;
--- a/crates/telemetry/src/metric/name.rs
+++ b/crates/telemetry/src/metric/name.rs
@@ -2,19 +2,19 @@
 
 use std::fmt;
 
-/// How values of a metric add up.
+/// How a receiver aggregates the values of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MetricKind {
-    /// A count since the last flush.
+    /// Count since the last flush.
     Counter,
-    /// The value at the flush.
+    /// Value at the flush.
     Gauge,
-    /// Percentiles of the values since the last flush, one gauge each.
+    /// Percentiles of the durations since the last flush, one gauge each, and their count.
     Timer,
 }
 
 impl MetricKind {
-    /// The kind as text.
+    /// Returns the name used in the documentation.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -33,7 +33,7 @@
 
 macro_rules! metric_names {
     ($($name:ident $kind:ident $text:literal $unit:literal [$($tag:literal)*] $meaning:literal;)+) => {
-        /// Name of a metric.
+        /// Metric, with its name, kind, unit and tags.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum MetricName {
             $(#[doc = $meaning] $name,)+
@@ -43,7 +43,7 @@
             /// Every metric, in the order of the documentation.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The name as sent, after the prefix.
+            /// Returns the name as sent, without the prefix.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self {
@@ -51,7 +51,7 @@
                 }
             }
 
-            /// How its values add up.
+            /// Returns how a receiver aggregates the values.
             #[must_use]
             pub const fn kind(self) -> MetricKind {
                 match self {
@@ -59,7 +59,7 @@
                 }
             }
 
-            /// The unit.
+            /// Returns the unit of the values.
             #[must_use]
             pub const fn unit(self) -> &'static str {
                 match self {
@@ -67,7 +67,7 @@
                 }
             }
 
-            /// The tags it may carry.
+            /// Returns the names of the tags that a series may have.
             #[must_use]
             pub const fn tags(self) -> &'static [&'static str] {
                 match self {
@@ -75,7 +75,7 @@
                 }
             }
 
-            /// What it says.
+            /// Returns the description for the documentation.
             #[must_use]
             pub const fn meaning(self) -> &'static str {
                 match self {
@@ -88,31 +88,31 @@
 
 metric_names! {
     Requests Counter "requests" "requests" ["customer" "service" "outcome"]
-        "Requests answered, by outcome: good, refused, failed, late, unknown or wrong; or caller, for what the caller brought about.";
+        "Requests answered, by outcome: good, refused, failed, late, unknown or wrong; or caller, for ends that the caller caused.";
     Refusals Counter "refusals" "requests" ["service" "refusal"]
         "Requests refused, by refusal code.";
     Unknowns Counter "unknowns" "requests" ["customer" "service"]
-        "Requests answered with `unknown`. Anything above zero deserves a look.";
+        "Requests answered with `unknown`. Investigate any value above zero.";
     InFlight Gauge "in_flight" "requests" []
         "Requests in flight at this daemon, as the caller's daemon.";
     Latency Timer "latency" "microseconds" ["service"]
-        "Time from the whole request head to the end of the reply.";
+        "Time from the end of the request head to the end of the reply.";
     ProxyOverhead Timer "proxy_overhead" "microseconds" []
         "Time a request spends in the daemon and not at the backend server.";
     Attempts Counter "attempts" "attempts" ["service"]
-        "Tries sent to upstreams. Divided by requests it is the amplification.";
+        "Attempts sent to upstreams. Divided by `requests`, the load amplification by retries and hedges.";
     Retries Counter "retries" "attempts" ["service"]
-        "Tries after the first.";
+        "Attempts after the first one.";
     RetriesDenied Counter "retries_denied" "attempts" ["service"]
-        "Retries not made because the budget was used up.";
+        "Retries not made because the retry budget was used up.";
     Hedges Counter "hedges" "attempts" ["service"]
-        "Second tries sent before the first answered.";
+        "Second attempts sent before the first one was answered.";
     HedgesWon Counter "hedges_won" "attempts" ["service"]
-        "Hedges that answered first.";
+        "Hedges whose reply arrived first.";
     ReplyRejected Counter "reply_rejected" "replies" ["service" "cause"]
-        "Replies dropped: wrong (not whole, or not of this request) or late.";
+        "Replies dropped: wrong (incomplete, or for another request) or late.";
     UpstreamLatency Timer "upstream_latency" "microseconds" ["service"]
-        "Time that a backend server beside this daemon took for a run.";
+        "Time that a backend server on this instance took to run a request.";
     UpstreamsInUse Gauge "upstreams_in_use" "upstreams" ["service"]
         "Upstreams of the service that get work from this daemon. Read every half minute, for 64 services.";
     UpstreamsEjected Gauge "upstreams_ejected" "upstreams" ["service"]
@@ -136,11 +136,11 @@
     LimitRefused Counter "limit_refused" "requests" ["customer"]
         "Requests refused by a limit of the contract.";
     ShareTokens Gauge "share_tokens" "requests/s" ["customer"]
-        "Part of the customer's rate that this daemon may admit.";
+        "Part of the customer's rate limit that this daemon may admit.";
     KeysHeld Gauge "keys_held" "keys" []
         "Idempotency keys this daemon holds as a guard.";
     KeysReplayed Counter "keys_replayed" "requests" []
-        "Resends answered with the reply of the first send.";
+        "Repeated requests answered with the reply to the first one.";
     KeysClosed Counter "keys_closed" "keys" []
         "Keys closed so that they can never run.";
     GrantTime Timer "grant_time" "microseconds" []
@@ -148,11 +148,11 @@
     ContractVersion Gauge "contract_version" "offset" []
         "Log offset of the newest contract change in force here.";
     ContractLag Gauge "contract_lag" "records" []
-        "Records of the contract stream known of and not yet applied.";
+        "Records of the contract stream that this daemon knows of and has not yet applied.";
     LogAppends Counter "log_appends" "appends" ["result"]
-        "Appends of this daemon's own to the log: taken, refused, uncertain, throttled or unavailable.";
+        "Appends of this daemon to the log, by result: taken, refused, uncertain, throttled or unavailable.";
     LogLatency Timer "log_latency" "microseconds" []
-        "Time the log service takes for an append of this daemon's own.";
+        "Time that the log service takes for an append of this daemon.";
     LogReachable Gauge "log_reachable" "0 or 1" []
         "Whether the log service answered the last call.";
     Members Gauge "members" "daemons" ["state"]
@@ -166,16 +166,16 @@
     CallersConnected Gauge "callers_connected" "connections" []
         "Open connections of callers.";
     RingFull Counter "ring_full" "entries" ["ring"]
-        "Entries dropped because a ring between two threads was full.";
+        "Entries dropped because a ring buffer between two threads was full.";
     Events Counter "events" "events" ["code"]
-        "Numbered events, counting those that were not logged.";
+        "Numbered events, including those that were suppressed in the log.";
     BurnRate Gauge "burn_rate" "thousandths" ["customer" "service" "window"]
-        "Burn rate of the error budget over 5m or 1h: 1000 uses it up exactly at the end of its window. Read every half minute.";
+        "Burn rate of the error budget over 5m or 1h: at 1000 the budget is used up exactly at the end of its window. Read every half minute.";
     MetricsDropped Counter "metrics_dropped" "samples" []
         "Samples that could not be sent.";
 }
 
-/// Names that nothing sends yet.
+/// Metrics that no code sends yet.
 const RESERVED: &[MetricName] = &[
     MetricName::ProxyOverhead,
     MetricName::DetectionTime,
@@ -186,7 +186,7 @@
 ];
 
 impl MetricName {
-    /// Whether nothing sends it yet: the name and its meaning are kept for what they say.
+    /// Returns whether no code sends the metric yet. Its name and meaning are reserved.
     #[must_use]
     pub fn is_reserved(self) -> bool {
         RESERVED.contains(&self)
--- a/crates/telemetry/src/metric/page.rs
+++ b/crates/telemetry/src/metric/page.rs
@@ -1,10 +1,10 @@
-//! Metrics as a page of text that a collector reads.
+//! Metrics in the Prometheus text format, for collectors that scrape them.
 //!
 //! ```text
 //! MetricRegistry --flush, once a second--> PageSink --totals--> MetricPage --text--> collector
 //! ```
 //!
-//! Counters are totals since the start, durations histograms in seconds.
+//! Counters are totals since the start of the daemon; durations are histograms in seconds.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,12 +21,11 @@
 use super::{MetricKind, MetricTags};
 use crate::latency::LatencySummary;
 
-/// Shortest duration with a bucket of its own, in seconds: the way to a peer and back.
-const FIRST_BUCKET: f64 = 0.001;
-/// Buckets, each twice as wide as the one before: up to half a minute.
-const BUCKETS: u16 = 16;
-/// Microseconds in a second.
-const MICROS: f64 = 1e6;
+/// Upper bound of the first bucket: about one round trip to a peer.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
+/// Number of buckets; each bound is twice the previous one, up to half a minute.
+const BUCKET_COUNT: u16 = 16;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 type PageLabels = Vec<(String, String)>;
 type HistogramFamily = Family<PageLabels, Histogram, fn() -> Histogram>;
@@ -39,7 +38,7 @@
     histograms: BTreeMap<String, HistogramFamily>,
 }
 
-/// The page; cloning shares it.
+/// Metrics in the Prometheus text format; clones share one page.
 #[derive(Clone, Default)]
 pub struct MetricPage {
     state: Arc<Mutex<PageState>>,
@@ -53,7 +52,7 @@
 }
 
 impl MetricPage {
-    /// An empty page whose metrics have this prefix.
+    /// Creates an empty page whose metric names start with `prefix`.
     #[must_use]
     pub fn new(prefix: &str) -> Self {
         Self {
@@ -62,7 +61,7 @@
         }
     }
 
-    /// The page as text, as of the last flush.
+    /// Returns the page as text, as of the last flush.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -93,21 +92,21 @@
 }
 
 fn new_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
 }
 
-/// The family of this name, registered when it is first asked for.
+/// Returns the family with this name, and registers it on first use.
 fn family_of<T>(
     registry: &mut Registry,
-    known: &mut BTreeMap<String, T>,
+    families: &mut BTreeMap<String, T>,
     name: String,
-    new: fn() -> T,
+    create: fn() -> T,
 ) -> T
 where
     T: Metric + Clone,
 {
-    let family = known.entry(name).or_insert_with_key(|name| {
-        let family = new();
+    let family = families.entry(name).or_insert_with_key(|name| {
+        let family = create();
         registry.register(name, "see docs/metrics.md", family.clone());
         family
     });
@@ -129,8 +128,8 @@
     }
 
     fn histogram(&mut self, name: String) -> HistogramFamily {
-        let new = || Family::new_with_constructor(new_histogram as fn() -> Histogram);
-        family_of(&mut self.registry, &mut self.histograms, name, new)
+        let create = || Family::new_with_constructor(new_histogram as fn() -> Histogram);
+        family_of(&mut self.registry, &mut self.histograms, name, create)
     }
 }
 
@@ -163,7 +162,7 @@
         let histogram = family.get_or_create(&labels_of(tags));
         for (micros, count) in summary.buckets() {
             for _ in 0..count {
-                histogram.observe(f64::from(micros) / MICROS);
+                histogram.observe(f64::from(micros) / MICROS_PER_SECOND);
             }
         }
         true
--- a/crates/telemetry/src/metric/registry.rs
+++ b/crates/telemetry/src/metric/registry.rs
@@ -1,4 +1,4 @@
-//! Series aggregated on the node and flushed within a budget of bytes.
+//! Registry of metric series, aggregated on the node and flushed within a byte budget.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,17 +8,17 @@
 use super::sink::MetricSink;
 use super::{MetricKind, MetricName, MetricSettings};
 
-/// Tag value of the series that stands for all beyond the bound.
+/// Tag value of the series shared by all beyond the maximum number of series.
 pub const OTHER_SERIES: &str = "(other)";
 
-/// All series of one daemon.
+/// Registry of all metric series of one daemon.
 ///
 /// ```text
 /// request path --add/set/record--> series (atomics) --flush, once a second--> MetricSink
 /// ```
 ///
-/// A flush sends about `budget_bytes` and no more. Series that do not fit keep their counts and go
-/// first next time, so that a count arrives late but is never lost here.
+/// A flush stops once it has sent `budget_bytes`. Series that do not fit keep their counts and are
+/// sent first by the next flush, so counts may arrive late but are not lost here.
 #[derive(Debug)]
 pub struct MetricRegistry {
     settings: MetricSettings,
@@ -27,14 +27,14 @@
 
 #[derive(Debug, Default)]
 struct SeriesTable {
-    index: BTreeMap<(MetricName, MetricTags), usize>,
+    index_by_key: BTreeMap<(MetricName, MetricTags), usize>,
     series: Vec<MetricSeries>,
     timers: usize,
-    next: usize,
+    next_index: usize,
 }
 
 impl MetricRegistry {
-    /// An empty registry.
+    /// Creates an empty registry.
     #[must_use]
     pub fn new(settings: &MetricSettings) -> Self {
         Self {
@@ -43,46 +43,49 @@
         }
     }
 
-    /// The counter with this name and these tags. Keep the handle: this takes a lock.
+    /// Returns the counter with this name and these tags. Keep the handle: this takes a lock.
     ///
-    /// Beyond the bound on series it is shared, with [`OTHER_SERIES`] in its tags.
+    /// Beyond the maximum number of series, counters of one name share a series with
+    /// [`OTHER_SERIES`] in its tags.
     #[must_use]
     pub fn counter(&self, name: MetricName, tags: &MetricTags) -> MetricCounter {
-        self.find(name, tags, |meter| match meter {
+        self.find_or_create(name, tags, |meter| match meter {
             SeriesMeter::Counter(counter) => Some(counter.clone()),
             _ => None,
         })
     }
 
-    /// The gauge with this name and these tags. Keep the handle: this takes a lock.
+    /// Returns the gauge with this name and these tags. Keep the handle: this takes a lock.
     ///
-    /// Beyond the bound on series it is not sent: gauges of different things do not add up.
+    /// Beyond the maximum number of series the gauge is not sent, because gauges of different
+    /// things do not add up.
     #[must_use]
     pub fn gauge(&self, name: MetricName, tags: &MetricTags) -> MetricGauge {
-        self.find(name, tags, |meter| match meter {
+        self.find_or_create(name, tags, |meter| match meter {
             SeriesMeter::Gauge(series) => Some(series.gauge.clone()),
             _ => None,
         })
     }
 
-    /// The timer with this name and these tags. Keep the handle: this takes a lock.
+    /// Returns the timer with this name and these tags. Keep the handle: this takes a lock.
     ///
-    /// Beyond the bound on timers it is shared, with [`OTHER_SERIES`] in its tags.
+    /// Beyond the maximum number of timers or series, timers of one name share a series with
+    /// [`OTHER_SERIES`] in its tags.
     #[must_use]
     pub fn timer(&self, name: MetricName, tags: &MetricTags) -> MetricTimer {
-        self.find(name, tags, |meter| match meter {
+        self.find_or_create(name, tags, |meter| match meter {
             SeriesMeter::Timer(timer) => Some(timer.clone()),
             _ => None,
         })
     }
 
-    /// How many series there are.
+    /// Returns the number of series.
     #[must_use]
     pub fn series_count(&self) -> usize {
         self.table.lock().map_or(0, |table| table.series.len())
     }
 
-    /// Sends what changed, within the budget of bytes. Call it once a second.
+    /// Sends the changed series to the sink, within the byte budget. Call it once a second.
     pub fn flush(&self, sink: &dyn MetricSink) -> FlushCount {
         let mut flush = MetricFlush {
             prefix: &self.settings.prefix,
@@ -96,8 +99,9 @@
         flush.count
     }
 
-    /// Finds or makes a series. A metric of another kind gives a meter that is never sent.
-    fn find<M, F>(&self, name: MetricName, tags: &MetricTags, pick: F) -> M
+    /// Returns the meter of a series, creating the series if needed. For a metric of another kind,
+    /// returns a meter that is never sent.
+    fn find_or_create<M, F>(&self, name: MetricName, tags: &MetricTags, select: F) -> M
     where
         M: Default,
         F: FnOnce(&SeriesMeter) -> Option<M>,
@@ -105,8 +109,8 @@
         let Ok(mut table) = self.table.lock() else {
             return M::default();
         };
-        let place = table.place(&self.settings, name, tags);
-        let meter = place.and_then(|place| pick(table.series[place].meter()));
+        let index = table.series_index(&self.settings, name, tags);
+        let meter = index.and_then(|index| select(table.series[index].meter()));
         meter.unwrap_or_default()
     }
 }
@@ -119,20 +123,20 @@
                 flush.count.waiting = total - step;
                 return;
             }
-            let place = self.next % total;
-            self.series[place].flush(flush);
-            self.next = place + 1;
+            let index = self.next_index % total;
+            self.series[index].flush(flush);
+            self.next_index = index + 1;
         }
     }
 
-    fn place(
+    fn series_index(
         &mut self,
         settings: &MetricSettings,
         name: MetricName,
         tags: &MetricTags,
     ) -> Option<usize> {
-        if let Some(&place) = self.index.get(&(name, tags.clone())) {
-            return Some(place);
+        if let Some(&index) = self.index_by_key.get(&(name, tags.clone())) {
+            return Some(index);
         }
         if !self.is_full(settings, name) {
             return Some(self.insert(name, tags.clone()));
@@ -141,8 +145,8 @@
             return None;
         }
         let other = other_tags(name);
-        let known = self.index.get(&(name, other.clone())).copied();
-        Some(known.unwrap_or_else(|| self.insert(name, other)))
+        let existing = self.index_by_key.get(&(name, other.clone())).copied();
+        Some(existing.unwrap_or_else(|| self.insert(name, other)))
     }
 
     fn is_full(&self, settings: &MetricSettings, name: MetricName) -> bool {
@@ -152,11 +156,11 @@
     }
 
     fn insert(&mut self, name: MetricName, tags: MetricTags) -> usize {
-        let place = self.series.len();
+        let index = self.series.len();
         self.timers += usize::from(name.kind() == MetricKind::Timer);
-        self.index.insert((name, tags.clone()), place);
+        self.index_by_key.insert((name, tags.clone()), index);
         self.series.push(MetricSeries::new(name, tags));
-        place
+        index
     }
 }
 
--- a/crates/telemetry/src/metric/series.rs
+++ b/crates/telemetry/src/metric/series.rs
@@ -1,28 +1,28 @@
-//! One series and what a flush sends of it.
+//! A metric series and its samples at a flush.
 
 use super::meter::{MetricCounter, MetricGauge, MetricTags, MetricTimer};
 use super::sink::{MetricSample, MetricSink};
 use super::{MetricKind, MetricName};
 
-/// Flushes after which an unchanged gauge is sent again, for a receiver that restarted.
-const GAUGE_REPEAT: u32 = 30;
-/// Bytes of a line besides its name, tags and prefix: value, kind and separators.
-const LINE_OVERHEAD: usize = 16;
+/// Number of flushes after which an unchanged gauge is sent again, for a receiver that restarted.
+const GAUGE_RESEND_FLUSHES: u32 = 30;
+/// Estimated bytes of the value, kind and separators of a line.
+const LINE_OVERHEAD_BYTES: usize = 16;
 
-/// What a flush did.
+/// Result of a flush.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FlushCount {
-    /// Samples given to the sink.
+    /// Number of samples that the sink accepted.
     pub sent: u64,
-    /// Samples the sink did not take.
+    /// Number of samples that the sink refused.
     pub dropped: u64,
-    /// Bytes given to the sink, by estimate.
+    /// Estimated bytes of all samples given to the sink.
     pub bytes: usize,
-    /// Series that had to wait for the next flush.
+    /// Number of series left for the next flush because the byte budget was used up.
     pub waiting: usize,
 }
 
-/// A flush under way.
+/// State of a flush in progress.
 pub(super) struct MetricFlush<'a> {
     pub prefix: &'a str,
     pub sink: &'a dyn MetricSink,
@@ -47,20 +47,21 @@
 pub(super) struct GaugeSeries {
     pub gauge: MetricGauge,
     sent: Option<u64>,
-    age: u32,
+    flushes_since_sent: u32,
 }
 
 impl GaugeSeries {
-    /// The value when it has to be sent.
-    fn due(&mut self) -> Option<u64> {
+    /// Counts a flush, and returns the value when it has changed or has to be sent again.
+    fn value_to_send(&mut self) -> Option<u64> {
         let value = self.gauge.get();
-        self.age += 1;
-        (self.sent != Some(value) || self.age >= GAUGE_REPEAT).then_some(value)
+        self.flushes_since_sent += 1;
+        (self.sent != Some(value) || self.flushes_since_sent >= GAUGE_RESEND_FLUSHES)
+            .then_some(value)
     }
 
     fn mark_sent(&mut self, value: u64) {
         self.sent = Some(value);
-        self.age = 0;
+        self.flushes_since_sent = 0;
     }
 }
 
@@ -78,7 +79,7 @@
         &self.meter
     }
 
-    /// Sends what is due. A count that the sink does not take is kept for the next flush.
+    /// Sends the samples of the series. A count that the sink refuses is kept for the next flush.
     pub fn flush(&mut self, flush: &mut MetricFlush<'_>) {
         let (name, tags) = (self.name, &self.tags);
         match &mut self.meter {
@@ -89,7 +90,7 @@
                 }
             }
             SeriesMeter::Gauge(series) => {
-                if let Some(value) = series.due()
+                if let Some(value) = series.value_to_send()
                     && flush.send(name.as_str(), MetricKind::Gauge, tags, value)
                 {
                     series.mark_sent(value);
@@ -111,16 +112,16 @@
         &mut self,
         name: MetricName,
         tags: &MetricTags,
-        shown: crate::latency::LatencyPercentiles,
+        percentiles: crate::latency::LatencyPercentiles,
     ) {
-        let parts = [
-            ("count", MetricKind::Counter, shown.count),
-            ("p50", MetricKind::Gauge, shown.p50_us),
-            ("p99", MetricKind::Gauge, shown.p99_us),
-            ("p999", MetricKind::Gauge, shown.p999_us),
+        let samples = [
+            ("count", MetricKind::Counter, percentiles.count),
+            ("p50", MetricKind::Gauge, percentiles.p50_us),
+            ("p99", MetricKind::Gauge, percentiles.p99_us),
+            ("p999", MetricKind::Gauge, percentiles.p999_us),
         ];
-        for (part, kind, value) in parts {
-            self.send(&format!("{name}.{part}"), kind, tags, value);
+        for (suffix, kind, value) in samples {
+            self.send(&format!("{name}.{suffix}"), kind, tags, value);
         }
     }
 
@@ -131,18 +132,18 @@
             tags,
             value,
         };
-        self.count.bytes += self.prefix.len() + name.len() + LINE_OVERHEAD + tag_bytes(tags);
-        let taken = self.sink.send(&sample).is_ok();
-        if taken {
+        self.count.bytes += self.prefix.len() + name.len() + LINE_OVERHEAD_BYTES + tag_bytes(tags);
+        let accepted = self.sink.send(&sample).is_ok();
+        if accepted {
             self.count.sent += 1;
         } else {
             self.count.dropped += 1;
         }
-        taken
+        accepted
     }
 }
 
-/// Bytes of the tags on the line, with a separator before each part.
+/// Returns the bytes of the tags in a line, with a separator before each name and value.
 fn tag_bytes(tags: &MetricTags) -> usize {
     tags.iter()
         .map(|(tag, value)| tag.len() + value.len() + 2)
--- a/crates/telemetry/src/metric/settings.rs
+++ b/crates/telemetry/src/metric/settings.rs
@@ -1,26 +1,26 @@
-//! The `metrics` part of the settings.
+//! Settings of metrics.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use sycamorelink_core::FindingList;
 
-/// Least bytes a second that still let every series through within a minute.
-const MIN_BUDGET: u32 = 512;
+/// Minimum bytes per flush; with less, some series would wait longer than a minute.
+const MIN_BUDGET_BYTES: u32 = 512;
 
-/// The `metrics` part of the settings.
+/// Settings of metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct MetricSettings {
-    /// Address of a statsd receiver. None: no metrics.
+    /// Address of a statsd receiver; `None` sends no metrics.
     pub address: Option<SocketAddr>,
-    /// First part of every name.
+    /// Prefix of every metric name.
     pub prefix: String,
-    /// Most bytes sent in one flush. It is apart from the control traffic between daemons.
+    /// Maximum bytes sent per flush, in addition to the control traffic between daemons.
     pub budget_bytes: u32,
-    /// Most series kept; further ones share one series for each metric.
+    /// Maximum number of series; further ones share one series per metric.
     pub max_series: u32,
-    /// Most timers among them, for each holds a histogram of up to 12 kB.
+    /// Maximum number of timers among the series; each holds a histogram of up to 12 kB.
     pub max_timers: u32,
 }
 
@@ -37,26 +37,26 @@
 }
 
 impl MetricSettings {
-    /// Adds what is wrong to the findings, at `place`.
-    pub fn check(&self, place: &str, findings: &mut FindingList) {
+    /// Adds a finding for each invalid value, with `path` as the path of the settings.
+    pub fn check(&self, path: &str, findings: &mut FindingList) {
         findings.expect(
             !self.prefix.is_empty(),
-            &format!("{place}.prefix"),
+            &format!("{path}.prefix"),
             "must not be empty",
         );
         findings.expect(
-            self.budget_bytes >= MIN_BUDGET,
-            &format!("{place}.budget-bytes"),
+            self.budget_bytes >= MIN_BUDGET_BYTES,
+            &format!("{path}.budget-bytes"),
             "must be at least 512 bytes",
         );
         findings.expect(
             self.max_series > 0,
-            &format!("{place}.max-series"),
+            &format!("{path}.max-series"),
             "must be at least 1",
         );
         findings.expect(
             self.max_timers > 0,
-            &format!("{place}.max-timers"),
+            &format!("{path}.max-timers"),
             "must be at least 1",
         );
     }
--- a/crates/telemetry/src/metric/sink.rs
+++ b/crates/telemetry/src/metric/sink.rs
@@ -1,4 +1,4 @@
-//! Where metrics go: a statsd address, or nowhere.
+//! Sinks of metrics: a statsd receiver, none, or two at once.
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -11,64 +11,67 @@
 use super::{MetricKind, MetricSettings, MetricTags};
 use crate::latency::LatencySummary;
 
-/// One value of one metric at a flush.
+/// Value of one series at a flush.
 #[derive(Clone, Copy, Debug)]
 pub struct MetricSample<'a> {
-    /// Name without the prefix.
+    /// Metric name without the prefix; parts of a timer have a suffix such as `.p99`.
     pub name: &'a str,
-    /// How the receiver adds it up. Timers come as gauges, one for each percentile.
+    /// How the receiver aggregates the value. A timer is sent as a counter and a gauge per
+    /// percentile.
     pub kind: MetricKind,
-    /// Tags by name.
+    /// Tags of the series.
     pub tags: &'a MetricTags,
-    /// The value.
+    /// Count since the last flush, or value of the gauge.
     pub value: u64,
 }
 
-/// Takes samples. A call must not block: the flush runs on a thread with other duties.
+/// Receiver of samples. Calls must not block, because the flush shares its thread with other work.
 pub trait MetricSink: Send + Sync + fmt::Debug {
-    /// Takes one sample.
+    /// Accepts one sample.
     ///
     /// # Errors
     ///
-    /// [`SinkError`] when the sample is lost.
+    /// [`SinkError`] when the sink refuses the sample.
     fn send(&self, sample: &MetricSample<'_>) -> Result<(), SinkError>;
 
-    /// Takes the durations of a timer since the last flush. False leaves them to [`Self::send`], as
-    /// a count and percentiles.
+    /// Accepts the histogram of a timer since the last flush.
+    ///
+    /// Returns false when the sink takes no histograms; the flush then sends a count and
+    /// percentiles through [`Self::send`].
     fn send_durations(&self, _name: &str, _tags: &MetricTags, _summary: &LatencySummary) -> bool {
         false
     }
 
-    /// Sends what is buffered.
+    /// Sends buffered samples.
     fn flush(&self) {}
 
-    /// Samples lost so far after `send` took them.
+    /// Returns the number of samples lost so far after [`Self::send`] accepted them.
     fn lost(&self) -> u64 {
         0
     }
 }
 
-/// Metrics could not be set up or sent.
+/// Error of setting up a sink or sending a sample.
 #[derive(Debug, thiserror::Error)]
 pub enum SinkError {
-    /// No socket for the address.
+    /// No socket could be opened for the address.
     #[error("no socket to send metrics to {address}")]
     Socket {
-        /// Where metrics should go.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The page's state is lost.
+    /// The state of the page is unusable because a thread panicked while it held the lock.
     #[error("the page of metrics cannot be written")]
     Page,
-    /// The client refused.
+    /// The statsd client returned an error.
     #[error("metrics are not sent: {0}")]
     Client(#[from] MetricError),
 }
 
-/// Drops everything, for a daemon whose settings name no address.
+/// Sink that discards all samples, for a daemon without a statsd address in its settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoopSink;
 
@@ -78,10 +81,10 @@
     }
 }
 
-/// Sends to a statsd address over UDP, several lines in a datagram.
+/// Sink that sends to a statsd receiver over UDP, several lines per datagram.
 ///
-/// The socket does not block and the flush is off the request path, so no queue stands between:
-/// cadence's queuing sink would also hold the last lines of a flush back until the next one.
+/// It needs no queue, because the socket is non-blocking and the flush is not on the request path.
+/// The queuing sink of cadence would also delay the last lines of a flush until the next one.
 #[derive(Debug)]
 pub struct StatsdSink {
     client: StatsdClient,
@@ -89,7 +92,7 @@
 }
 
 impl StatsdSink {
-    /// A sink to the address.
+    /// Opens a socket to the address.
     ///
     /// # Errors
     ///
@@ -142,16 +145,16 @@
 }
 
 fn open_socket(address: SocketAddr) -> std::io::Result<UdpSocket> {
-    let any = match address.ip() {
+    let unspecified = match address.ip() {
         IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
         IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
     };
-    let socket = UdpSocket::bind((any, 0))?;
+    let socket = UdpSocket::bind((unspecified, 0))?;
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// Gives every sample to two sinks.
+/// Sink that forwards every sample to two sinks.
 #[derive(Debug)]
 pub struct PairSink {
     first: Box<dyn MetricSink>,
@@ -159,7 +162,7 @@
 }
 
 impl PairSink {
-    /// A sink before two others.
+    /// Creates a sink that forwards to both sinks.
     #[must_use]
     pub fn new(first: Box<dyn MetricSink>, second: Box<dyn MetricSink>) -> Self {
         Self { first, second }
@@ -168,8 +171,8 @@
 
 impl MetricSink for PairSink {
     fn send(&self, sample: &MetricSample<'_>) -> Result<(), SinkError> {
-        // The second takes it whatever became of the first: a count that is sent again after an
-        // error would be counted twice there.
+        // The second sink gets the sample even if the first one fails. After an error the registry
+        // sends a count again, so the sink that accepted it counts it twice.
         let sent = self.first.send(sample);
         self.second.send(sample)?;
         sent
@@ -178,7 +181,7 @@
     fn send_durations(&self, name: &str, tags: &MetricTags, summary: &LatencySummary) -> bool {
         self.first.send_durations(name, tags, summary);
         self.second.send_durations(name, tags, summary);
-        // A sink without histograms gets percentiles; they do the other no harm.
+        // A sink without histograms needs the percentiles; for the other one they are redundant.
         false
     }
 
@@ -192,7 +195,7 @@
     }
 }
 
-/// The sink that the settings ask for.
+/// Opens the sink for the address in the settings, or a [`NoopSink`] without an address.
 ///
 /// # Errors
 ///
--- a/crates/telemetry/src/reach.rs
+++ b/crates/telemetry/src/reach.rs
@@ -1,93 +1,95 @@
-//! Watches whether a large part of the fleet went out of reach at once.
+//! Detection of network partitions, when a large part of the fleet becomes unreachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use sycamorelink_core::NodeId;
 
-/// Fewest daemons lost that are called a cut; one is a matter of that daemon.
-const FEWEST_LOST: usize = 2;
-/// A cut: one in so many known daemons is lost. A failure domain of three is more than that.
-const SPLIT_PART: usize = 4;
-/// The end of a cut: fewer than one in so many are lost.
-const HEALED_PART: usize = 8;
-/// Time after which a lost daemon no longer counts: it was replaced under another name, or its loss
-/// is old news.
-const FORGET_TIME: Duration = Duration::from_hours(1);
+/// Minimum number of lost daemons for a partition; a single loss is a failure of that daemon.
+const MIN_LOST: usize = 2;
+/// A partition is reported when at least one in this many known daemons is lost. The loss of one of
+/// three failure domains is above that share.
+const PARTITION_DIVISOR: usize = 4;
+/// A partition is over when fewer than one in this many known daemons are lost.
+const HEALED_DIVISOR: usize = 8;
+/// Time after which a lost daemon no longer counts: by then it was replaced under another name, or
+/// its loss was reported long ago.
+const LOST_RETENTION: Duration = Duration::from_hours(1);
 
-/// What changed.
+/// Start or end of a network partition, as seen by one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReachChange {
-    /// A large part of the fleet is out of reach.
+    /// A large part of the fleet is unreachable.
     Split {
-        /// Daemons lost.
+        /// Number of lost daemons.
         lost: usize,
-        /// Daemons known, the lost ones included.
+        /// Number of known daemons, including the lost ones.
         known: usize,
     },
-    /// Most of it is back.
+    /// Most of the fleet is reachable again.
     Healed {
-        /// Daemons still lost.
+        /// Number of daemons still lost.
         lost: usize,
     },
 }
 
-/// Counts the daemons lost among those known, on one daemon.
+/// Detects network partitions on one daemon, by the share of known daemons that are lost.
 ///
-/// Failure: a cut between failure domains is a hundred lines about single daemons. Symptom: whoever
-/// is called looks at the daemons instead of at the network. The share of lost ones tells the two
-/// apart; daemons that left on their own account do not count.
+/// Without it, a cut between failure domains would only show as a hundred log lines about single
+/// daemons, and operators would look at these daemons instead of the network. Daemons that left by
+/// themselves do not count as lost.
 #[derive(Debug, Default)]
 pub struct ReachWatch {
     up: BTreeSet<NodeId>,
     lost: BTreeMap<NodeId, Duration>,
-    split: bool,
+    partitioned: bool,
 }
 
 impl ReachWatch {
-    /// A daemon is there.
+    /// Records that a daemon is up.
     pub fn up(&mut self, node: NodeId) -> Option<ReachChange> {
         self.lost.remove(&node);
         self.up.insert(node);
         self.change()
     }
 
-    /// A daemon does not answer any more, as the fleet agrees.
+    /// Records that the fleet has declared a daemon down.
     pub fn lost(&mut self, now: Duration, node: NodeId) -> Option<ReachChange> {
         self.up.remove(&node);
         self.lost.insert(node, now);
         self.change()
     }
 
-    /// A daemon left on its own account.
+    /// Records that a daemon left by itself.
     pub fn left(&mut self, node: NodeId) {
         self.up.remove(&node);
         self.lost.remove(&node);
     }
 
-    /// Forgets daemons that were lost long ago. When that ends a cut, nothing is told: nobody came
-    /// back.
+    /// Drops daemons that were lost more than an hour ago.
+    ///
+    /// When this ends a partition, no change is reported, because no daemon came back.
     pub fn forget(&mut self, now: Duration) {
         self.lost
-            .retain(|_, since| now.saturating_sub(*since) < FORGET_TIME);
-        self.split &= !self.is_whole();
+            .retain(|_, since| now.saturating_sub(*since) < LOST_RETENTION);
+        self.partitioned &= !self.is_healed();
     }
 
     fn change(&mut self) -> Option<ReachChange> {
         let lost = self.lost.len();
         let known = lost + self.up.len();
-        if !self.split && lost >= FEWEST_LOST && lost * SPLIT_PART >= known {
-            self.split = true;
+        if !self.partitioned && lost >= MIN_LOST && lost * PARTITION_DIVISOR >= known {
+            self.partitioned = true;
             return Some(ReachChange::Split { lost, known });
         }
-        if self.split && self.is_whole() {
-            self.split = false;
+        if self.partitioned && self.is_healed() {
+            self.partitioned = false;
             return Some(ReachChange::Healed { lost });
         }
         None
     }
 
-    fn is_whole(&self) -> bool {
-        self.lost.len() * HEALED_PART < self.lost.len() + self.up.len()
+    fn is_healed(&self) -> bool {
+        self.lost.len() * HEALED_DIVISOR < self.lost.len() + self.up.len()
     }
 }
