--- a/crates/telemetry/tests/burn.rs
+++ b/crates/telemetry/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Counting, windows, alerts and the merge of reports.
+//! Counts, windows, alerts and merging of burn reports.
 
 mod support;
 
@@ -14,30 +14,30 @@
 };
 use sycamorelink_telemetry::event::EventCode;
 
-const WALL: Duration = Duration::from_secs(1_768_000_000);
+const WALL_AT_START: Duration = Duration::from_secs(1_768_000_000);
 
-/// No contract says anything.
-struct UsualObjective;
+/// Source without any contracts, so that the default objective applies.
+struct NoObjectives;
 
-impl ObjectiveSource for UsualObjective {
+impl ObjectiveSource for NoObjectives {
     fn objective(&self, _: &CustomerName, _: &ServiceName) -> Option<ObjectiveTerm> {
         None
     }
 }
 
-/// One objective for all.
-struct OneObjective(ObjectiveTerm);
+/// Source with the same objective for all customers and services.
+struct FixedObjective(ObjectiveTerm);
 
-impl ObjectiveSource for OneObjective {
+impl ObjectiveSource for FixedObjective {
     fn objective(&self, _: &CustomerName, _: &ServiceName) -> Option<ObjectiveTerm> {
         Some(self.0)
     }
 }
 
-fn instance(name: &str, life: u64) -> InstanceId {
+fn instance(name: &str, incarnation: u64) -> InstanceId {
     InstanceId {
         node: NodeId::of(name),
-        incarnation: NodeIncarnation(life),
+        incarnation: NodeIncarnation(incarnation),
     }
 }
 
@@ -65,9 +65,9 @@
     }
 }
 
-/// The alert of windows that are counted whole.
+/// Returns the alert of a row whose windows are fully counted.
 fn alert(objective: BurnObjective, windows: [BurnCounts; 5]) -> BurnAlert {
-    BurnAlert::of(&row(objective, windows), &WindowCoverage::WHOLE)
+    BurnAlert::of(&row(objective, windows), &WindowCoverage::FULL)
 }
 
 fn objective(success: f64, days: u64) -> BurnObjective {
@@ -79,16 +79,16 @@
 }
 
 #[test]
-fn windows_forget_in_order() {
+fn requests_leave_windows_in_order() {
     let (customer, service) = names();
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START);
     ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Failed);
     let mut seen = Vec::new();
     for minutes in [1, 6, 31, 61, 361, 4_321] {
         let report = ledger.report(
             Duration::from_mins(minutes),
             ReportDetail::Windows,
-            &UsualObjective,
+            &NoObjectives,
         );
         let bad = report
             .rows
@@ -107,32 +107,32 @@
 }
 
 #[test]
-fn a_clock_that_stands_still_loses_nothing() {
+fn request_before_the_newest_bucket_is_counted() {
     let (customer, service) = names();
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START);
     for (minute, outcome) in [(10, BurnOutcome::Good), (9, BurnOutcome::Late)] {
         ledger.record(Duration::from_mins(minute), &customer, &service, outcome);
     }
     let report = ledger.report(
         Duration::from_mins(10),
         ReportDetail::Windows,
-        &UsualObjective,
+        &NoObjectives,
     );
     let five = report.rows[0].counts(BurnWindow::FiveMinutes);
     assert_eq!((five.total(), five.get(BurnOutcome::Late)), (2, 1));
 }
 
-/// Customers beyond the bound are counted together: memory stays bounded and the service's total
-/// stays right.
+/// Customers beyond the maximum number of series are counted together, so that memory stays bounded
+/// and the total of the service stays correct.
 #[test]
-fn a_full_ledger_counts_others_together() {
+fn full_ledger_counts_further_customers_together() {
     let service = ServiceName::new("orders");
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL).max_series(2);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START).max_series(2);
     for number in 0..10 {
         let customer = CustomerName::new(&format!("customer-{number}"));
         ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Good);
     }
-    let report = ledger.report(Duration::ZERO, ReportDetail::Windows, &UsualObjective);
+    let report = ledger.report(Duration::ZERO, ReportDetail::Windows, &NoObjectives);
     let rows: Vec<_> = report
         .rows
         .iter()
@@ -147,46 +147,47 @@
     assert_eq!(rows, expected);
 }
 
-/// A series costs memory only while it has requests: three days later its row is gone.
+/// A series without requests for three days has no row in the report.
 #[test]
-fn an_idle_series_leaves_the_report() {
+fn idle_series_is_left_out_of_the_report() {
     let (customer, service) = names();
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START);
     ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Good);
     let later = Duration::from_hours(73);
     assert!(
         ledger
-            .report(later, ReportDetail::Points, &UsualObjective)
+            .report(later, ReportDetail::Points, &NoObjectives)
             .rows
             .is_empty()
     );
 }
 
-/// Customers come and go for a year. Those gone for three days make room for new ones.
+/// Customers come and go for two years. A customer without requests for three days is dropped when
+/// a new one needs its place, so that the new one is counted under its own name.
 #[test]
-fn idle_series_make_room() {
+fn full_ledger_drops_idle_series() {
     let service = ServiceName::new("orders");
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL).max_series(2);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START).max_series(2);
     for day in 0..360 {
         let customer = CustomerName::new(&format!("customer-{day}"));
         let now = Duration::from_hours(24 * 2 * day);
         ledger.record(now, &customer, &service, BurnOutcome::Good);
-        let report = ledger.report(now, ReportDetail::Windows, &UsualObjective);
+        let report = ledger.report(now, ReportDetail::Windows, &NoObjectives);
         assert!(report.rows.iter().any(|row| row.customer == customer));
     }
 }
 
-/// A caller asks for thousands of services as as many customers: the ledger stays bounded and
+/// Requests for a thousand services by as many customers do not exceed the bound of the ledger, and
 /// every request is counted.
 #[test]
-fn a_flood_of_names_is_bounded() {
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL).max_series(10);
+fn many_services_and_customers_do_not_exceed_the_bound() {
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START).max_series(10);
     for number in 0..1_000 {
         let customer = CustomerName::new(&format!("customer-{number}"));
         let service = ServiceName::new(&format!("service-{number}"));
         ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Good);
     }
-    let report = ledger.report(Duration::ZERO, ReportDetail::Windows, &UsualObjective);
+    let report = ledger.report(Duration::ZERO, ReportDetail::Windows, &NoObjectives);
     let total: u64 = report
         .rows
         .iter()
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn thresholds_follow_the_objective() {
+fn thresholds_depend_on_the_objective() {
     let mut lines = Vec::new();
     for (success, days) in [(0.999, 30), (0.999, 7), (0.95, 30), (0.9, 30), (0.3, 30)] {
         let objective = objective(success, days);
@@ -214,64 +215,61 @@
 
 #[test]
 fn alert_needs_both_windows() {
-    let promise = objective(0.999, 30);
-    let (calm, burning) = (counts(1_000, 0), counts(9_800, 200));
+    let target = objective(0.999, 30);
+    let (healthy, burning) = (counts(1_000, 0), counts(9_800, 200));
     let all = [burning; 5];
-    assert_eq!(alert(promise, all), BurnAlert::Fast);
-    // The short windows are calm: the burn is over.
-    let over = [calm, calm, burning, calm, calm];
-    assert_eq!(alert(promise, over), BurnAlert::Quiet);
-    // The long windows are calm: too short to matter yet.
-    let blip = [burning, burning, calm, calm, calm];
-    assert_eq!(alert(promise, blip), BurnAlert::Quiet);
-    let slow = [calm, burning, burning, burning, calm];
-    assert_eq!(alert(promise, slow), BurnAlert::Slow);
-    let drift = [calm, calm, calm, burning, burning];
-    assert_eq!(alert(promise, drift), BurnAlert::Drift);
+    assert_eq!(alert(target, all), BurnAlert::Fast);
+    // The short windows are healthy: the burn has ended.
+    let ended = [healthy, healthy, burning, healthy, healthy];
+    assert_eq!(alert(target, ended), BurnAlert::Quiet);
+    // The long windows are healthy: the burn is too short to be significant.
+    let spike = [burning, burning, healthy, healthy, healthy];
+    assert_eq!(alert(target, spike), BurnAlert::Quiet);
+    let slow = [healthy, burning, burning, burning, healthy];
+    assert_eq!(alert(target, slow), BurnAlert::Slow);
+    let drift = [healthy, healthy, healthy, burning, burning];
+    assert_eq!(alert(target, drift), BurnAlert::Drift);
 }
 
 #[test]
-fn threshold_itself_raises_the_alert() {
-    let promise = objective(0.999, 30);
-    // 144 bad of 10,000 are 1.44%, which is 14.4 times the budget of 0.1%.
+fn rate_equal_to_the_threshold_raises_the_alert() {
+    let target = objective(0.999, 30);
+    // 144 of 10,000 are 1.44%, which is 14.4 times the budget of 0.1%.
     let at = [counts(9_856, 144); 5];
-    assert_eq!(alert(promise, at), BurnAlert::Fast);
+    assert_eq!(alert(target, at), BurnAlert::Fast);
     let under = [counts(9_857, 143); 5];
-    assert_eq!(alert(promise, under), BurnAlert::Slow);
+    assert_eq!(alert(target, under), BurnAlert::Slow);
 }
 
-/// Nobody is woken for one bad request: a service with a request a minute burns far over the
-/// threshold with a single one, and stays quiet until three are bad.
+/// With one request a minute, a single bad request puts the burn rate far over the threshold. No
+/// alert is raised until three are bad.
 #[test]
-fn few_bad_requests_stay_quiet() {
-    let promise = objective(0.999, 30);
+fn alert_needs_three_bad_requests() {
+    let target = objective(0.999, 30);
     let two = [counts(58, 2); 5];
-    assert!(burn_rate(&two[0], &promise) > 30.0);
-    assert_eq!(alert(promise, two), BurnAlert::Quiet);
+    assert!(burn_rate(&two[0], &target) > 30.0);
+    assert_eq!(alert(target, two), BurnAlert::Quiet);
     let three = [counts(57, 3); 5];
-    assert_eq!(alert(promise, three), BurnAlert::Fast);
+    assert_eq!(alert(target, three), BurnAlert::Fast);
 }
 
-/// A daemon started ten minutes ago and has a few bad requests. Over six hours that is nothing, and
-/// nobody is called for a slow burn; one that is fast is raised all the same.
+/// A daemon started ten minutes ago has a few bad requests. Spread over six hours they raise no
+/// slow burn, but a fast burn is raised nevertheless.
 #[test]
-fn a_young_daemon_raises_fast_burns_only() {
-    let promise = objective(0.999, 30);
-    let young = WindowCoverage::of(&[Duration::from_mins(10)]);
-    let slow = row(promise, [counts(9_900, 100); 5]);
-    assert_eq!(
-        BurnAlert::of(&slow, &WindowCoverage::WHOLE),
-        BurnAlert::Slow
-    );
-    assert_eq!(BurnAlert::of(&slow, &young), BurnAlert::Quiet);
-    let fast = row(promise, [counts(9_800, 200); 5]);
-    assert_eq!(BurnAlert::of(&fast, &young), BurnAlert::Fast);
-}
-
-/// An objective of 90% burns at 10 at most, which is under 14.4. Callers get nothing but failures
-/// and somebody has to hear of it.
+fn recently_started_daemon_raises_only_fast_burns() {
+    let target = objective(0.999, 30);
+    let coverage = WindowCoverage::of(&[Duration::from_mins(10)]);
+    let slow = row(target, [counts(9_900, 100); 5]);
+    assert_eq!(BurnAlert::of(&slow, &WindowCoverage::FULL), BurnAlert::Slow);
+    assert_eq!(BurnAlert::of(&slow, &coverage), BurnAlert::Quiet);
+    let fast = row(target, [counts(9_800, 200); 5]);
+    assert_eq!(BurnAlert::of(&fast, &coverage), BurnAlert::Fast);
+}
+
+/// An objective of 90% burns at 10 at most, which is below 14.4. A service whose requests all fail
+/// must still raise a fast burn.
 #[test]
-fn lax_objective_can_still_burn_fast() {
+fn low_objective_can_reach_a_fast_burn() {
     let all_bad = [counts(0, 100); 5];
     let lax = objective(0.9, 30);
     assert_eq!(alert(lax, all_bad), BurnAlert::Fast);
@@ -279,10 +277,10 @@
 
 #[test]
 fn merge_adds_counts_and_points() {
-    let [old, young] = support::fleet_reports();
+    let [long_running, restarted] = support::fleet_reports();
     let merged = support::fleet_report();
-    for (place, row) in merged.rows.iter().enumerate() {
-        let (left, right) = (&old.rows[place], &young.rows[place]);
+    for (index, row) in merged.rows.iter().enumerate() {
+        let (left, right) = (&long_running.rows[index], &restarted.rows[index]);
         for window in BurnWindow::ALL {
             let sum = left.counts(window).total() + right.counts(window).total();
             assert_eq!(row.counts(window).total(), sum);
@@ -294,49 +292,50 @@
 
 #[test]
 fn merge_does_not_depend_on_the_order() {
-    let [old, young] = support::fleet_reports();
-    let mut left = old.clone();
-    assert!(left.merge(&young));
-    let mut right = young;
-    assert!(right.merge(&old));
+    let [long_running, restarted] = support::fleet_reports();
+    let mut left = long_running.clone();
+    assert!(left.merge(&restarted));
+    let mut right = restarted;
+    assert!(right.merge(&long_running));
     assert_eq!(left, right);
 }
 
-/// The command line reaches one daemon by two addresses, or by another daemon's sum. Its requests
-/// would count twice; the second report is refused whole.
+/// The command line may get the report of one daemon twice, through two addresses or in the sum of
+/// another daemon. The second report is rejected, because its requests would be counted twice.
 #[test]
-fn merge_takes_a_daemon_once() {
-    let [old, _] = support::fleet_reports();
+fn merge_rejects_a_daemon_twice() {
+    let [long_running, _] = support::fleet_reports();
     let mut sum = support::fleet_report();
     let before = sum.clone();
-    assert!(!sum.merge(&old));
+    assert!(!sum.merge(&long_running));
     assert_eq!(sum, before);
 }
 
-/// A daemon restarts and its counts start anew. A report kept from its earlier life still adds up
-/// with the new one: they are of different requests.
+/// A restarted daemon starts counting from zero, so a report of its earlier incarnation is of other
+/// requests and is added.
 #[test]
-fn merge_takes_both_lives_of_a_daemon() {
+fn merge_adds_two_incarnations_of_a_daemon() {
     let (customer, service) = names();
-    let mut lives = [1, 2].map(|life| {
-        let mut ledger = BurnLedger::new(instance("a", life), WALL);
+    let mut reports = [1, 2].map(|incarnation| {
+        let mut ledger = BurnLedger::new(instance("a", incarnation), WALL_AT_START);
         ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Good);
-        ledger.report(Duration::ZERO, ReportDetail::Points, &UsualObjective)
+        ledger.report(Duration::ZERO, ReportDetail::Points, &NoObjectives)
     });
-    let second = lives[1].clone();
-    assert!(lives[0].merge(&second));
-    assert_eq!(lives[0].rows[0].counts(BurnWindow::OneHour).total(), 2);
+    let second = reports[1].clone();
+    assert!(reports[0].merge(&second));
+    assert_eq!(reports[0].rows[0].counts(BurnWindow::OneHour).total(), 2);
 }
 
-/// Two daemons report while a contract spreads: the sum is judged by the newer objective.
+/// While a new contract is being distributed, reports have different objectives. The sum uses that
+/// of the newer contract.
 #[test]
-fn merge_takes_the_newer_objective() {
+fn merge_uses_the_objective_of_the_newer_contract() {
     let (customer, service) = names();
     let report = |name: &str, version, success| {
-        let mut ledger = BurnLedger::new(instance(name, 1), WALL);
+        let mut ledger = BurnLedger::new(instance(name, 1), WALL_AT_START);
         ledger.record(Duration::ZERO, &customer, &service, BurnOutcome::Good);
         let objective = objective(success, 30);
-        let source = OneObjective(ObjectiveTerm { objective, version });
+        let source = FixedObjective(ObjectiveTerm { objective, version });
         ledger.report(Duration::ZERO, ReportDetail::Windows, &source)
     };
     let (newer, older) = (report("a", 9, 0.99), report("b", 8, 0.9));
@@ -347,22 +346,22 @@
 }
 
 #[test]
-fn report_survives_json() {
+fn report_round_trips_through_json() {
     let report = support::fleet_report();
     let text = serde_json::to_string(&report).expect("a report is plain data");
-    let read: BurnReport = serde_json::from_str(&text).expect("what was written can be read");
+    let read: BurnReport = serde_json::from_str(&text).expect("the written report can be parsed");
     assert_eq!(read, report);
 }
 
 #[test]
-fn watch_reports_changes_once() {
-    let promise = objective(0.999, 30);
+fn alert_change_is_reported_once() {
+    let target = objective(0.999, 30);
     let report = |failed| BurnReport {
         sources: vec![BurnSource {
             instance: instance("a", 1),
             covers: BurnWindow::ThreeDays.length(),
         }],
-        rows: vec![row(promise, [counts(10_000, failed); 5])],
+        rows: vec![row(target, [counts(10_000, failed); 5])],
         ..BurnReport::default()
     };
     let mut watch = BurnWatch::default();
@@ -383,7 +382,7 @@
 
 #[test]
 fn query_selects_rows() {
-    let mut ledger = BurnLedger::new(instance("a", 1), WALL);
+    let mut ledger = BurnLedger::new(instance("a", 1), WALL_AT_START);
     for customer in ["brannock", "moreton-keel"] {
         for service in ["orders", "survey"] {
             let (customer, service) = (customer.into(), service.into());
@@ -391,8 +390,8 @@
         }
     }
     let query = r#"{"customer": "brannock", "detail": "points"}"#;
-    let query: BurnQuery = serde_json::from_str(query).expect("the form is right");
-    let report = ledger.answer(Duration::ZERO, &query, &UsualObjective);
+    let query: BurnQuery = serde_json::from_str(query).expect("the query is valid");
+    let report = ledger.answer(Duration::ZERO, &query, &NoObjectives);
     let rows: Vec<_> = report
         .rows
         .iter()
@@ -407,7 +406,7 @@
     assert_eq!(rows, [("brannock", "orders", 1), ("brannock", "survey", 1)]);
 }
 
-/// Daemons that do not answer are missing from the sum, and a reader has to know.
+/// The table shows the number of daemons without a report, because the sum lacks their requests.
 #[test]
 fn missing_daemons_are_shown() {
     let mut report = support::fleet_report();
@@ -417,11 +416,11 @@
 }
 
 #[test]
-fn budget_is_judged_over_the_nearest_window() {
+fn budget_uses_the_longest_window_within_the_objective() {
     let hour = BurnWindow::OneHour.length();
     let mut lines = Vec::new();
     for hours in [1, 2, 24, 30 * 24] {
-        let promise = BurnObjective {
+        let target = BurnObjective {
             window: hour * hours,
             ..objective(0.99, 30)
         };
@@ -431,7 +430,7 @@
         };
         let report = BurnReport {
             sources: vec![source],
-            rows: vec![row(promise, [counts(99, 1); 5])],
+            rows: vec![row(target, [counts(99, 1); 5])],
             ..BurnReport::default()
         };
         let summary = BurnSummary::of(&report);
@@ -449,13 +448,13 @@
     ");
 }
 
-/// What each refusal counts as, in time and late, when it did not run and when it may have.
+/// Outcome of each reply status and refusal: in time, late, and when the request may have run.
 #[test]
-fn ends_of_requests_are_judged() {
-    let promise = BurnObjective::default();
+fn request_ends_are_classified() {
+    let target = BurnObjective::default();
     let judge = |late: bool, end: &RequestEnd| {
-        let latency = promise.latency * if late { 2 } else { 1 };
-        promise
+        let latency = target.latency * if late { 2 } else { 1 };
+        target
             .judge(latency, end)
             .map_or("not counted", |outcome| outcome.as_str())
     };
@@ -481,9 +480,9 @@
 }
 
 #[test]
-fn objective_is_checked() {
+fn invalid_objective_is_reported() {
     let text = r#"{"latency": "0s", "success": 1.0, "window": "1m"}"#;
-    let wrong: BurnObjective = serde_json::from_str(text).expect("the form is right");
+    let wrong: BurnObjective = serde_json::from_str(text).expect("the objective has valid fields");
     let mut findings = sycamorelink_core::FindingList::default();
     wrong.check("services[0].objective", &mut findings);
     insta::assert_snapshot!(findings, @r#"
@@ -494,7 +493,7 @@
 }
 
 #[test]
-fn times_are_utc() {
+fn times_are_displayed_in_utc() {
     let times = [0, 951_827_696, 1_709_251_199, 1_768_458_620, 4_102_444_800];
     let lines = times.map(|seconds| UtcTime(seconds).to_string());
     insta::assert_snapshot!(lines.join("\n"), @r#"
--- a/crates/telemetry/tests/burn_page.rs
+++ b/crates/telemetry/tests/burn_page.rs
@@ -1,4 +1,4 @@
-//! The burn report as people and programs see it.
+//! Output formats of the burn report: text table, JSON and HTML page.
 
 mod support;
 
@@ -10,20 +10,21 @@
     insta::assert_snapshot!(BurnTable(&summary));
 }
 
-/// A daemon that started forty minutes ago says little about six hours, and nothing about days.
+/// A daemon that started forty minutes ago has counted only a small part of the longer windows,
+/// which the table marks.
 #[test]
-fn table_marks_windows_hardly_counted() {
-    let [_, young] = support::fleet_reports();
-    insta::assert_snapshot!(BurnTable(&BurnSummary::of(&young)));
+fn table_marks_partial_windows() {
+    let [_, restarted] = support::fleet_reports();
+    insta::assert_snapshot!(BurnTable(&BurnSummary::of(&restarted)));
 }
 
-/// The page for operators explains this very table.
+/// The page for operators explains this table, so it must contain it unchanged.
 #[test]
-fn operators_page_has_the_table() {
+fn operators_page_contains_the_table() {
     let table = BurnTable(&BurnSummary::of(&support::fleet_report())).to_string();
     let (head, _) = table.rsplit_once("\n\n").expect("notes follow the table");
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/operators/burn.md");
-    let page = std::fs::read_to_string(path).expect("the page is there");
+    let page = std::fs::read_to_string(path).expect("the page exists");
     assert!(
         page.contains(head),
         "docs/operators/burn.md has another table than\n{head}"
@@ -53,7 +54,7 @@
     insta::assert_snapshot!(BurnPage(&summary));
 }
 
-/// A page without points, as fetched for a whole fleet at once.
+/// A report for a whole fleet has no points, so its page has no plots.
 #[test]
 fn page_without_plots() {
     let mut report = support::fleet_report();
@@ -66,31 +67,31 @@
     assert_eq!(page.matches("<section").count(), report.rows.len());
 }
 
-/// A daemon that started forty minutes ago: the time before has no bad requests on the page only
-/// because nobody counted it, and the page says so.
+/// A daemon that started forty minutes ago counted nothing before. The plots mark that time, which
+/// would otherwise look like time without bad requests.
 #[test]
-fn page_marks_time_not_counted() {
-    let [_, young] = support::fleet_reports();
-    let page = BurnPage(&BurnSummary::of(&young)).to_string();
+fn plots_mark_time_before_the_start() {
+    let [_, restarted] = support::fleet_reports();
+    let page = BurnPage(&BurnSummary::of(&restarted)).to_string();
     // In both plots of each of the four rows.
     assert_eq!(page.matches("not counted</text>").count(), 8);
 
-    let old = BurnPage(&BurnSummary::of(&support::fleet_report())).to_string();
-    assert!(!old.contains("not counted</text>"));
+    let fleet = BurnPage(&BurnSummary::of(&support::fleet_report())).to_string();
+    assert!(!fleet.contains("not counted</text>"));
 }
 
-/// The page is read offline, by people who met a fault: it fetches nothing and runs nothing.
+/// The page must work offline during an outage, so it loads no other files and runs no scripts.
 #[test]
-fn page_needs_nothing_besides_itself() {
+fn page_is_self_contained() {
     let page = BurnPage(&BurnSummary::of(&support::fleet_report())).to_string();
     for forbidden in ["http:", "https:", "src=", "<script", "@import", "url("] {
         assert!(!page.contains(forbidden), "the page has {forbidden}");
     }
 }
 
-/// A customer's name with markup is shown as text; nothing of it runs in the reader's browser.
+/// Markup in the name of a customer is shown as text and does not run in the browser.
 #[test]
-fn page_escapes_names() {
+fn page_escapes_customer_names() {
     let mut report = support::fleet_report();
     report.rows.truncate(1);
     report.rows[0].customer = "<script>alert('x')</script>&\"".into();
--- a/crates/telemetry/tests/documents.rs
+++ b/crates/telemetry/tests/documents.rs
@@ -1,4 +1,5 @@
-//! Generated pages agree with their tables, and pages for operators name what exists.
+//! Agreement of the documentation with the catalogue: generated pages match their tables, and pages
+//! for operators refer to existing codes and commands.
 
 use std::fs;
 use std::path::Path;
@@ -7,50 +8,50 @@
     EventCode, EventEntry, EventLevel, explain, render_catalogue, render_metrics,
 };
 
-/// Set to write the pages instead of comparing them.
+/// Environment variable that makes the tests write the pages instead of comparing them.
 const UPDATE: &str = "UPDATE_DOCS";
 
-fn check(page: &str, rendered: &str) {
+fn check_page(page: &str, rendered: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
         .join(page);
     if std::env::var_os(UPDATE).is_some() {
         fs::write(&path, rendered).expect("the page can be written");
     }
-    let found = fs::read_to_string(&path).expect("the page is there");
-    let differs = found
+    let existing = fs::read_to_string(&path).expect("the page exists");
+    let differs = existing
         .lines()
         .zip(rendered.lines())
         .position(|(left, right)| left != right);
     assert!(
-        found == rendered,
+        existing == rendered,
         "docs/{page} differs from its table, first at line {:?}; set {UPDATE}=1 to write it",
         differs.map(|line| line + 1),
     );
 }
 
 #[test]
-fn events_page_is_the_catalogue() {
-    check("events.md", &render_catalogue());
+fn events_page_matches_the_catalogue() {
+    check_page("events.md", &render_catalogue());
 }
 
 #[test]
-fn metrics_page_is_the_table() {
-    check("metrics.md", &render_metrics());
+fn metrics_page_matches_the_table() {
+    check_page("metrics.md", &render_metrics());
 }
 
-/// Pages for operators, in the order in which they are checked.
+/// Pages for operators that refer to the catalogue.
 const OPERATOR_PAGES: [&str; 2] = ["operators/oncall.md", "operators/burn.md"];
 
 fn page(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
         .join(name);
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page exists")
 }
 
-/// Words of code in a page: what stands between two backticks.
-fn code_words(page: &str) -> Vec<String> {
+/// Returns the code spans of a page: the texts between two backticks.
+fn code_spans(page: &str) -> Vec<String> {
     let text = page.replace('\n', " ");
     text.split('`')
         .skip(1)
@@ -59,9 +60,9 @@
         .collect()
 }
 
-/// Somebody is called for an event of level error and opens the page: it must be there.
+/// Every event of level error pages an operator, who looks it up in this table.
 #[test]
-fn oncall_page_has_every_error() {
+fn oncall_page_lists_every_error() {
     let page = page("operators/oncall.md");
     for code in EventCode::ALL {
         if code.level() == EventLevel::Error {
@@ -71,27 +72,27 @@
     }
 }
 
-/// The page tells which errors nobody will ever be called for, all of them and no others.
+/// The list of errors that this version does not raise must be complete and contain no others.
 #[test]
-fn oncall_page_tells_reserved_errors() {
+fn oncall_page_lists_reserved_errors() {
     let page = page("operators/oncall.md");
     let (_, rest) = page
         .split_once("Not raised by this version: ")
         .expect("the page has the list");
     let (list, _) = rest.split_once('.').expect("the list has an end");
-    let told = code_words(list);
+    let listed = code_spans(list);
     let reserved: Vec<_> = EventEntry::all()
         .iter()
         .filter(|entry| entry.reserved && entry.level() == EventLevel::Error)
         .map(|entry| entry.code.to_string())
         .collect();
-    assert_eq!(told, reserved);
+    assert_eq!(listed, reserved);
 }
 
 #[test]
-fn operator_pages_name_codes_that_exist() {
+fn codes_in_operator_pages_exist() {
     for name in OPERATOR_PAGES {
-        for word in code_words(&page(name)) {
+        for word in code_spans(&page(name)) {
             if word.starts_with("SL") {
                 assert!(explain(&word).is_ok(), "{name} names {word}");
             }
@@ -99,19 +100,20 @@
     }
 }
 
-/// Commands in the pages and in the catalogue have a page of their own.
+/// Commands in operator pages and in the catalogue must have a manual page.
 #[test]
-fn commands_in_texts_exist() {
+fn commands_in_texts_have_a_manual_page() {
     let mut texts: Vec<_> = OPERATOR_PAGES.iter().map(|name| page(name)).collect();
     texts.push(render_catalogue());
     let manual = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/man");
-    for word in texts.iter().flat_map(|text| code_words(text)) {
+    for word in texts.iter().flat_map(|text| code_spans(text)) {
         let mut parts = word.split_whitespace();
         if parts.next() != Some("sycamorelink") {
             continue;
         }
-        let plain = |part: &&str| part.chars().all(|letter| letter.is_ascii_lowercase());
-        let names: Vec<_> = parts.take_while(plain).collect();
+        let is_subcommand =
+            |part: &&str| part.chars().all(|character| character.is_ascii_lowercase());
+        let names: Vec<_> = parts.take_while(is_subcommand).collect();
         let first = names.first().copied().unwrap_or_default();
         let known = [names.join("-"), first.to_owned()]
             .iter()
@@ -120,9 +122,9 @@
     }
 }
 
-/// A link within the page leads to one of its headings.
+/// Every link within the page must refer to one of its headings.
 #[test]
-fn oncall_links_lead_somewhere() {
+fn oncall_links_have_a_heading() {
     let page = page("operators/oncall.md");
     let anchors: Vec<_> = page
         .lines()
--- a/crates/telemetry/tests/events.rs
+++ b/crates/telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue, its explanations, and events as they are logged.
+//! The event catalogue, the lookup of codes, and the logging of events.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -8,28 +8,28 @@
 
 use sycamorelink_core::{RefusalCode, RunState};
 use sycamorelink_telemetry::event::{
-    EventCode, EventEntry, EventFields, EventGroup, EventThrottle, RefusalEntry, ThrottleVerdict,
+    EventCode, EventEntry, EventFields, EventGroup, EventThrottle, RefusalEntry, ThrottleDecision,
     emit, explain,
 };
 use sycamorelink_telemetry::log::{LogFormat, LogSettings};
 use sycamorelink_telemetry::metric::{MetricName, MetricRegistry, MetricSettings, MetricTags};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Keeps what is logged, without the time at the start of each line.
+/// Writer that stores the log output; clones share one buffer.
 #[derive(Clone, Debug, Default)]
-struct LineKeeper(Arc<Mutex<Vec<u8>>>);
+struct LogCapture(Arc<Mutex<Vec<u8>>>);
 
-impl LineKeeper {
+impl LogCapture {
     fn text(&self) -> String {
         let bytes = self.0.lock().expect("no test panics with the lock").clone();
         String::from_utf8(bytes).expect("logs are text")
     }
 }
 
-impl io::Write for LineKeeper {
+impl io::Write for LogCapture {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut kept = self.0.lock().expect("no test panics with the lock");
-        kept.extend_from_slice(bytes);
+        let mut captured = self.0.lock().expect("no test panics with the lock");
+        captured.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -38,7 +38,7 @@
     }
 }
 
-impl<'w> MakeWriter<'w> for LineKeeper {
+impl<'w> MakeWriter<'w> for LogCapture {
     type Writer = Self;
 
     fn make_writer(&'w self) -> Self::Writer {
@@ -46,19 +46,19 @@
     }
 }
 
-fn logged<F>(settings: &LogSettings, action: F) -> String
+fn logged_text<F>(settings: &LogSettings, action: F) -> String
 where
     F: FnOnce(),
 {
-    let keeper = LineKeeper::default();
+    let capture = LogCapture::default();
     let subscriber = settings
-        .subscriber(keeper.clone())
+        .subscriber(capture.clone())
         .expect("the level is valid");
     tracing::subscriber::with_default(subscriber, action);
-    keeper.text()
+    capture.text()
 }
 
-fn json(level: &str) -> LogSettings {
+fn json_settings(level: &str) -> LogSettings {
     LogSettings {
         format: LogFormat::Json,
         level: level.to_owned(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// The line as JSON without its time.
+/// Parses a line as JSON and removes its timestamp.
 fn without_time(line: &str) -> serde_json::Value {
     let mut value: serde_json::Value = serde_json::from_str(line).expect("a line is JSON");
     let object = value.as_object_mut().expect("a line is an object");
@@ -75,38 +75,45 @@
 }
 
 #[test]
-fn numbers_and_names_are_unique_and_in_order() {
+fn numbers_and_names_are_unique_and_sorted() {
     let numbers: Vec<_> = EventCode::ALL.iter().map(|code| code.number()).collect();
     assert!(numbers.is_sorted_by(|left, right| left < right));
     let names: BTreeSet<_> = EventCode::ALL.iter().map(|code| code.name()).collect();
     assert_eq!(names.len(), EventCode::ALL.len());
     for code in EventCode::ALL {
-        let kebab = |letter: char| letter.is_ascii_lowercase() || letter == '-';
-        assert!(code.name().chars().all(kebab), "{code}: {}", code.name());
+        let is_kebab_case = |letter: char| letter.is_ascii_lowercase() || letter == '-';
+        assert!(
+            code.name().chars().all(is_kebab_case),
+            "{code}: {}",
+            code.name()
+        );
         assert_eq!(EventCode::from_number(code.number()), Some(*code));
     }
 }
 
 #[test]
-fn every_group_has_its_thousand() {
+fn group_entries_have_numbers_of_the_group() {
     let total: usize = EventGroup::ALL
         .iter()
         .map(|group| group.entries().count())
         .sum();
     assert_eq!(total, EventEntry::all().len());
-    for (place, group) in EventGroup::ALL.iter().enumerate() {
-        let thousand = (place + 1) * 1000;
+    for (index, group) in EventGroup::ALL.iter().enumerate() {
+        let first_number = (index + 1) * 1000;
         for entry in group.entries() {
             let number = usize::from(entry.code.number());
-            assert!((thousand..thousand + 1000).contains(&number), "{number}");
+            assert!(
+                (first_number..first_number + 1000).contains(&number),
+                "{number}"
+            );
         }
     }
 }
 
 #[test]
-fn every_text_is_written_out() {
+fn texts_are_full_sentences() {
     for entry in EventEntry::all() {
-        for text in [entry.means, entry.act] {
+        for text in [entry.meaning, entry.action] {
             assert!(text.ends_with('.'), "{}: {text:?}", entry.code);
             assert!(!text.contains("  "), "{}: {text:?}", entry.code);
         }
@@ -115,11 +122,11 @@
     }
 }
 
-/// An operator follows the texts from one code to the next; each must exist.
+/// Texts refer operators to other codes, which must exist.
 #[test]
 fn codes_in_texts_exist() {
     for entry in EventEntry::all() {
-        for text in [entry.means, entry.act] {
+        for text in [entry.meaning, entry.action] {
             for part in text.split('`').skip(1).step_by(2) {
                 if part.starts_with("SL") {
                     assert!(explain(part).is_ok(), "{} names {part}", entry.code);
@@ -130,7 +137,7 @@
 }
 
 #[test]
-fn every_refusal_is_explained() {
+fn every_refusal_has_an_entry() {
     for code in RefusalCode::ALL {
         let explained = explain(code.as_str()).expect("a refusal code is in the catalogue");
         assert_eq!(explained.refusal, Some(RefusalEntry::of(*code)));
@@ -138,7 +145,7 @@
     }
 }
 
-/// A request that never left the daemon cannot have run: the catalogue must not say that it may.
+/// A request refused before dispatch cannot have run, so its entry must not allow `unknown`.
 #[test]
 fn refusals_before_dispatch_are_never_unknown() {
     let before = [
@@ -156,7 +163,11 @@
         RefusalCode::GuardsUnreachable,
     ];
     for code in before {
-        assert_eq!(RefusalEntry::of(code).runs, [RunState::NotRun], "{code}");
+        assert_eq!(
+            RefusalEntry::of(code).run_states,
+            [RunState::NotRun],
+            "{code}"
+        );
     }
 }
 
@@ -175,7 +186,7 @@
 }
 
 #[test]
-fn unknown_codes_offer_the_nearest() {
+fn unknown_codes_suggest_the_most_similar() {
     let texts = [
         "SL3099",
         "overlaoded",
@@ -193,8 +204,8 @@
 }
 
 #[test]
-fn event_as_a_line_of_json() {
-    let text = logged(&json("info"), || {
+fn event_as_json_line() {
+    let text = logged_text(&json_settings("info"), || {
         let fields = EventFields::new()
             .service(&"orders")
             .upstream(&"00000000000000aa/0")
@@ -205,23 +216,26 @@
 }
 
 #[test]
-fn event_as_a_line_of_text() {
+fn event_as_text_line() {
     let settings = LogSettings::default();
-    let text = logged(&settings, || {
+    let text = logged_text(&settings, || {
         let fields = EventFields::new().customer(&"brannock").count(&3);
         emit(EventCode::DrainCut, &fields);
     });
-    let (_, line) = text.trim().split_once(' ').expect("a time comes first");
+    let (_, line) = text
+        .trim()
+        .split_once(' ')
+        .expect("a line starts with a timestamp");
     insta::assert_snapshot!(line.trim());
 }
 
-/// A caller sends a path with a line break and what looks like a line of the log. Whoever reads the
-/// log must not take it for one.
+/// A caller sends a path with a line break and text that looks like a log line. The log must not
+/// contain it as a line of its own.
 #[test]
 fn values_cannot_forge_a_line() {
     let reason = "no route for /a\nERROR sycamorelink::event: forged\x1b[31m \u{85}end";
-    for settings in [LogSettings::default(), json("info")] {
-        let text = logged(&settings, || {
+    for settings in [LogSettings::default(), json_settings("info")] {
+        let text = logged_text(&settings, || {
             emit(EventCode::BadRequest, &EventFields::new().reason(&reason));
         });
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -231,21 +245,21 @@
 }
 
 #[test]
-fn levels_are_filtered() {
+fn events_are_filtered_by_level() {
     let emit_all = || {
         for code in EventCode::ALL {
             emit(*code, &EventFields::new());
         }
     };
-    for (level, least) in [("error", "error"), ("warn", "warn"), ("debug", "debug")] {
-        let text = logged(&json(level), emit_all);
+    for (level, lowest) in [("error", "error"), ("warn", "warn"), ("debug", "debug")] {
+        let text = logged_text(&json_settings(level), emit_all);
         let order = ["error", "warn", "info", "debug"];
-        let place = order.iter().position(|name| *name == least);
+        let index = order.iter().position(|name| *name == lowest);
         let expected = EventCode::ALL
             .iter()
             .filter(|code| {
                 let own = order.iter().position(|name| *name == code.level().as_str());
-                own <= place
+                own <= index
             })
             .count();
         assert_eq!(text.lines().count(), expected, "level {level}");
@@ -253,7 +267,7 @@
 }
 
 #[test]
-fn wrong_level_is_a_finding() {
+fn invalid_level_is_reported() {
     let settings = LogSettings {
         level: "loud=very".to_owned(),
         ..LogSettings::default()
@@ -263,12 +277,12 @@
     insta::assert_snapshot!(findings);
 }
 
-/// An upstream dies under load: thousands of requests have the same event within seconds. The log
-/// gets the first few of each period, each other event still shows, and the count is not lost.
+/// An upstream fails under load and thousands of requests raise the same event within seconds. Only
+/// the first few per period are logged, other events are not affected, and the rest is counted.
 #[test]
-fn storm_is_bounded_and_counted() {
+fn event_storm_is_throttled_and_counted() {
     let throttle = EventThrottle::new(Duration::from_secs(10), 3);
-    let text = logged(&json("debug"), || {
+    let text = logged_text(&json_settings("debug"), || {
         for step in 0..1000 {
             let now = Duration::from_millis(step * 5);
             throttle.emit(now, EventCode::ReplyTruncated, &EventFields::new());
@@ -284,12 +298,12 @@
 }
 
 #[test]
-fn sweep_reports_what_no_later_event_told() {
+fn suppressed_count_is_reported_without_a_later_event() {
     let throttle = EventThrottle::new(Duration::from_secs(10), 1);
     for _ in 0..5 {
         let _ = throttle.admit(Duration::ZERO, EventCode::BadRequest);
     }
-    // The period still runs.
+    // The period has not ended yet.
     assert!(throttle.take_suppressed(Duration::from_secs(9)).is_empty());
     let taken = throttle.take_suppressed(Duration::from_secs(10));
     assert_eq!(taken, [(EventCode::BadRequest, 4)]);
@@ -297,7 +311,7 @@
 }
 
 #[test]
-fn suppressed_events_are_in_the_metric() {
+fn metric_counts_suppressed_events() {
     let registry = MetricRegistry::new(&MetricSettings::default());
     let throttle = EventThrottle::new(Duration::from_secs(10), 1).counting(&registry);
     for _ in 0..5 {
@@ -307,8 +321,8 @@
     assert_eq!(registry.counter(MetricName::Events, &tags).get(), 5);
 }
 
-/// Several threads meet the same event at once: the bound holds over all of them, and logged and
-/// suppressed ones add up to all.
+/// Several threads raise the same event concurrently. The limit applies to all of them together,
+/// and logged and suppressed events add up to the total.
 #[test]
 fn throttle_is_exact_across_threads() {
     const THREADS: u64 = 4;
@@ -320,7 +334,7 @@
             thread::spawn(move || {
                 (0..EACH)
                     .map(|_| throttle.admit(Duration::ZERO, EventCode::BadRequest))
-                    .filter(|verdict| matches!(verdict, ThrottleVerdict::Log { .. }))
+                    .filter(|decision| matches!(decision, ThrottleDecision::Log { .. }))
                     .count()
             })
         })
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics from the handle to the wire, and latency summaries.
+//! Metrics from the handle to the statsd lines, and latency summaries.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -11,23 +11,23 @@
     open_sink,
 };
 
-/// Bound of a wait for a datagram.
-const WAIT: Duration = Duration::from_secs(10);
+/// Maximum time to wait for a datagram.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Keeps samples as text, or refuses them.
+/// Sink that records samples as text, or refuses all of them.
 #[derive(Debug, Default)]
-struct SampleKeeper {
+struct RecordingSink {
     lines: Mutex<Vec<String>>,
     refuses: bool,
 }
 
-impl SampleKeeper {
+impl RecordingSink {
     fn take(&self) -> Vec<String> {
         std::mem::take(&mut self.lines.lock().expect("no test panics with the lock"))
     }
 }
 
-impl MetricSink for SampleKeeper {
+impl MetricSink for RecordingSink {
     fn send(&self, sample: &MetricSample<'_>) -> Result<(), SinkError> {
         if self.refuses {
             let error = std::io::Error::other("full");
@@ -56,23 +56,23 @@
 }
 
 #[test]
-fn names_are_unique_and_plain() {
+fn names_are_unique_lowercase_and_described() {
     let names: BTreeSet<_> = MetricName::ALL.iter().map(|name| name.as_str()).collect();
     assert_eq!(names.len(), MetricName::ALL.len());
     for name in MetricName::ALL {
-        let plain = |letter: char| letter.is_ascii_lowercase() || letter == '_';
-        assert!(name.as_str().chars().all(plain), "{name}");
+        let is_plain = |letter: char| letter.is_ascii_lowercase() || letter == '_';
+        assert!(name.as_str().chars().all(is_plain), "{name}");
         assert!(name.meaning().ends_with('.'), "{name}");
     }
 }
 
 #[test]
-fn flush_sends_what_changed() {
+fn flush_sends_changed_series() {
     let registry = MetricRegistry::new(&MetricSettings::default());
     let attempts = registry.counter(MetricName::Attempts, &service("orders"));
     let slots = registry.gauge(MetricName::SlotsUsed, &service("orders"));
     let latency = registry.timer(MetricName::Latency, &service("orders"));
-    let sink = SampleKeeper::default();
+    let sink = RecordingSink::default();
 
     attempts.add(2);
     attempts.clone().add(3);
@@ -90,17 +90,18 @@
     latency.p999 gauge 100351 [service=orders]
     "#);
 
-    // Nothing changed: nothing is sent.
+    // Without a change, nothing is sent.
     registry.flush(&sink);
     assert!(sink.take().is_empty());
-    // A receiver that restarted gets the gauge again within a minute.
+    // An unchanged gauge is sent again every 30 flushes, for a receiver that restarted.
     for _ in 0..60 {
         registry.flush(&sink);
     }
     assert_eq!(sink.take(), ["slots_used gauge 4 [service=orders]"; 2]);
 }
 
-/// The sink refuses for a while. Counts arrive later, none is lost, and a gauge is sent again.
+/// The sink refuses all samples of one flush. The next flush sends the counts and the gauge, so
+/// that no count is lost.
 #[test]
 fn refused_counts_are_sent_later() {
     let registry = MetricRegistry::new(&MetricSettings::default());
@@ -110,14 +111,14 @@
     registry
         .gauge(MetricName::KeysHeld, &MetricTags::new())
         .set(3);
-    let refusing = SampleKeeper {
+    let refusing = RecordingSink {
         refuses: true,
-        ..SampleKeeper::default()
+        ..RecordingSink::default()
     };
     let count = registry.flush(&refusing);
     assert_eq!((count.sent, count.dropped), (0, 2));
 
-    let sink = SampleKeeper::default();
+    let sink = RecordingSink::default();
     registry.flush(&sink);
     assert_eq!(
         sink.take(),
@@ -125,10 +126,10 @@
     );
 }
 
-/// A thousand services change every second and the budget holds for some of them: each flush
-/// stays within it, every series gets its turn, and the counts add up.
+/// 500 counters change before each flush, and the byte budget is enough for only some of them. Each
+/// flush stays within the budget, every series is sent in turn, and no count is lost.
 #[test]
-fn budget_holds_and_nobody_starves() {
+fn byte_budget_holds_and_every_series_is_sent() {
     let settings = MetricSettings {
         budget_bytes: 1024,
         ..MetricSettings::default()
@@ -137,7 +138,7 @@
     let counters: Vec<_> = (0..500)
         .map(|number| registry.counter(MetricName::Attempts, &service(&format!("s{number:03}"))))
         .collect();
-    let sink = SampleKeeper::default();
+    let sink = RecordingSink::default();
     let mut seen = BTreeSet::new();
     let mut total = 0;
     for _ in 0..100 {
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn series_beyond_the_bound_are_shared() {
+fn series_beyond_the_maximum_are_shared() {
     let settings = MetricSettings {
         max_series: 3,
         ..MetricSettings::default()
@@ -175,7 +176,7 @@
         registry.counter(MetricName::Attempts, &tags).add(1);
         registry.gauge(MetricName::SlotsUsed, &tags).set(1);
     }
-    let sink = SampleKeeper::default();
+    let sink = RecordingSink::default();
     registry.flush(&sink);
     insta::assert_snapshot!(sink.take().join("\n"), @r#"
     attempts counter 1 [service=s0]
@@ -185,7 +186,7 @@
     "#);
 }
 
-/// A name with the separators of the format would be read as another metric.
+/// A tag value with separators of the statsd format would be parsed as another metric.
 #[test]
 fn separators_in_tags_are_replaced() {
     let tags = MetricTags::new().with("customer", "a:b|c#d,e@f\ng");
@@ -197,8 +198,8 @@
 fn statsd_lines_reach_the_receiver() {
     let receiver = UdpSocket::bind("127.0.0.1:0").expect("loopback has a port");
     receiver
-        .set_read_timeout(Some(WAIT))
-        .expect("a wait is set");
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
+        .expect("the timeout can be set");
     let settings = MetricSettings {
         address: receiver.local_addr().ok(),
         ..MetricSettings::default()
@@ -218,7 +219,7 @@
     while text.lines().count() < 2 {
         let length = receiver
             .recv(&mut buffer)
-            .expect("a datagram comes in time");
+            .expect("a datagram arrives in time");
         text.push_str(&String::from_utf8_lossy(&buffer[..length]));
     }
     insta::assert_snapshot!(text.trim(), @r#"
@@ -238,9 +239,10 @@
 }
 
 #[test]
-fn settings_are_checked() {
+fn invalid_settings_are_reported() {
     let text = r#"{"prefix": "", "budget-bytes": 10, "max-series": 0, "max-timers": 0}"#;
-    let settings: MetricSettings = serde_json::from_str(text).expect("the form is right");
+    let settings: MetricSettings =
+        serde_json::from_str(text).expect("the settings have valid fields");
     let mut findings = sycamorelink_core::FindingList::default();
     settings.check("telemetry.metrics", &mut findings);
     insta::assert_snapshot!(findings, @r#"
@@ -252,7 +254,7 @@
 }
 
 #[test]
-fn summaries_add_up_over_daemons() {
+fn merged_summaries_equal_one_summary() {
     let mut all = LatencySummary::new();
     let mut parts = [LatencySummary::new(), LatencySummary::new()];
     for micros in 1..=20_000u64 {
@@ -265,7 +267,8 @@
     assert_eq!(merged, all);
 
     let text = serde_json::to_string(&merged).expect("a summary is plain data");
-    let read: LatencySummary = serde_json::from_str(&text).expect("what was written can be read");
+    let read: LatencySummary =
+        serde_json::from_str(&text).expect("the written summary can be parsed");
     assert_eq!(read.percentiles(), all.percentiles());
     insta::assert_json_snapshot!(all.percentiles(), @r#"
     {
@@ -279,7 +282,7 @@
 }
 
 #[test]
-fn latencies_beyond_the_bound_count_at_it() {
+fn latencies_beyond_the_range_count_at_its_ends() {
     let mut summary = LatencySummary::new();
     summary.record(Duration::ZERO);
     summary.record(Duration::MAX);
--- a/crates/telemetry/tests/reach.rs
+++ b/crates/telemetry/tests/reach.rs
@@ -1,4 +1,4 @@
-//! When a loss of daemons is a cut of the fleet.
+//! Detection of network partitions from lost daemons.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 const MINUTE: Duration = Duration::from_mins(1);
 const HOUR: Duration = Duration::from_hours(1);
 
-fn fleet(count: u64) -> ReachWatch {
+fn watch_of(count: u64) -> ReachWatch {
     let mut watch = ReachWatch::default();
     for node in 0..count {
         assert_eq!(watch.up(NodeId(node)), None);
@@ -16,11 +16,11 @@
     watch
 }
 
-/// The network between two failure domains is cut. Each side loses a third of the fleet within
-/// seconds, in single news; it is told once, and its end once.
+/// The network between two failure domains fails, and a third of the fleet is lost one daemon at a
+/// time. The partition and its end are each reported once.
 #[test]
-fn a_cut_is_told_once_and_its_end_once() {
-    let mut watch = fleet(30);
+fn partition_and_its_end_are_reported_once() {
+    let mut watch = watch_of(30);
     let changes: Vec<_> = (0..10)
         .filter_map(|node| watch.lost(MINUTE, NodeId(node)))
         .collect();
@@ -29,20 +29,20 @@
     assert_eq!(changes, [ReachChange::Healed { lost: 3 }]);
 }
 
-/// Single daemons die, in fleets of any size. That is not a cut.
+/// The failure of a single daemon is not a partition, whatever the size of the fleet.
 #[test]
-fn single_losses_are_no_cut() {
+fn single_losses_are_not_a_partition() {
     for count in [1, 2, 3, 100] {
-        let mut watch = fleet(count);
+        let mut watch = watch_of(count);
         assert_eq!(watch.lost(MINUTE, NodeId(0)), None);
         assert_eq!(watch.up(NodeId(0)), None);
     }
 }
 
-/// Two of three peers are lost: the daemon is alone with one, and may be the one cut off.
+/// Two of three peers are lost. The daemon reaches only one and may itself be cut off.
 #[test]
-fn a_small_fleet_is_cut_by_two() {
-    let mut watch = fleet(3);
+fn two_losses_partition_a_small_fleet() {
+    let mut watch = watch_of(3);
     assert_eq!(watch.lost(MINUTE, NodeId(0)), None);
     let split = ReachChange::Split { lost: 2, known: 3 };
     assert_eq!(watch.lost(MINUTE, NodeId(1)), Some(split));
@@ -50,11 +50,11 @@
     assert_eq!(watch.up(NodeId(1)), Some(ReachChange::Healed { lost: 0 }));
 }
 
-/// A release replaces every daemon, one after the other, under new names. Those that left do not
-/// count, and those that died long before are forgotten.
+/// A release replaces every daemon, one after the other, under new names. Daemons that left do not
+/// count as lost, and daemons lost more than an hour ago no longer count.
 #[test]
-fn replacements_are_no_cut() {
-    let mut watch = fleet(8);
+fn replacements_are_not_a_partition() {
+    let mut watch = watch_of(8);
     for node in 0..8 {
         watch.left(NodeId(node));
         assert_eq!(watch.up(NodeId(100 + node)), None);
@@ -67,10 +67,11 @@
     }
 }
 
-/// The lost part never comes back. The cut ends without a word, and another one is told again.
+/// The lost daemons never come back. The partition expires without a report, and a later one is
+/// reported again.
 #[test]
-fn a_forgotten_cut_can_be_told_again() {
-    let mut watch = fleet(4);
+fn partition_is_reported_again_after_lost_daemons_expire() {
+    let mut watch = watch_of(4);
     assert_eq!(watch.lost(MINUTE, NodeId(0)), None);
     assert!(watch.lost(MINUTE, NodeId(1)).is_some());
     watch.forget(MINUTE + HOUR);
--- a/crates/telemetry/tests/reserved_entries.rs
+++ b/crates/telemetry/tests/reserved_entries.rs
@@ -1,12 +1,14 @@
-//! The marks of the catalogue agree with the code: what is not reserved is raised somewhere.
+//! Agreement of the *Reserved* marks in the catalogue with the code that raises events and sends
+//! metrics.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use sycamorelink_telemetry::{EventEntry, MetricName};
 
-/// Code that raises events or sends metrics, from the root of the repository.
-const RAISERS: [&str; 6] = [
+/// Files and directories with code that raises events or sends metrics, relative to the root of the
+/// repository.
+const RAISING_SOURCES: [&str; 6] = [
     "crates/daemon/src",
     "crates/ops/src",
     "src",
@@ -15,51 +17,51 @@
     "crates/telemetry/src/log.rs",
 ];
 
-fn collect(path: &Path, text: &mut String) {
+fn append_sources(path: &Path, text: &mut String) {
     if path.is_dir() {
         let entries = fs::read_dir(path).expect("the directory can be read");
         for entry in entries {
-            collect(&entry.expect("the entry can be read").path(), text);
+            append_sources(&entry.expect("the entry can be read").path(), text);
         }
-    } else if path.extension().is_some_and(|kind| kind == "rs") {
+    } else if path.extension().is_some_and(|extension| extension == "rs") {
         text.push_str(&fs::read_to_string(path).expect("the file can be read"));
     }
 }
 
-fn raising_code() -> String {
+fn raising_source() -> String {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut text = String::new();
-    for part in RAISERS {
-        collect(&root.join(part), &mut text);
+    for path in RAISING_SOURCES {
+        append_sources(&root.join(path), &mut text);
     }
     text
 }
 
-/// Whether the code names the variant, and not just one that begins like it.
-fn names(text: &str, kind: &str, variant: &str) -> bool {
-    let wanted = format!("{kind}::{variant}");
-    text.match_indices(&wanted).any(|(place, _)| {
-        let next = text[place + wanted.len()..].chars().next();
-        next.is_none_or(|letter| !letter.is_alphanumeric())
+/// Returns whether the source names the variant, not only a longer one that starts with its name.
+fn names_variant(text: &str, type_name: &str, variant: &str) -> bool {
+    let qualified = format!("{type_name}::{variant}");
+    text.match_indices(&qualified).any(|(start, _)| {
+        let following = text[start + qualified.len()..].chars().next();
+        following.is_none_or(|character| !character.is_alphanumeric())
     })
 }
 
-/// Failure: an operator builds an alert on a code of the catalogue that nothing ever raises, and
-/// waits for it during an outage. Every entry is therefore either raised or marked, never both.
+/// An alert on an event that no code raises would never fire. Every event is therefore either
+/// raised or marked as reserved, and never both.
 #[test]
 fn events_are_raised_or_reserved() {
-    let text = raising_code();
+    let text = raising_source();
     for entry in EventEntry::all() {
-        let raised = names(&text, "EventCode", &format!("{:?}", entry.code));
+        let raised = names_variant(&text, "EventCode", &format!("{:?}", entry.code));
         assert_eq!(raised, !entry.reserved, "{} {:?}", entry.code, entry.code);
     }
 }
 
 #[test]
 fn metrics_are_sent_or_reserved() {
-    let text = raising_code();
+    let text = raising_source();
     for name in MetricName::ALL {
-        let sent = names(&text, "MetricName", &format!("{name:?}"));
+        let sent = names_variant(&text, "MetricName", &format!("{name:?}"));
         assert_eq!(sent, !name.is_reserved(), "{name:?}");
     }
 }
--- a/crates/telemetry/tests/support/mod.rs
+++ b/crates/telemetry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A made-up fleet for the burn tests: two daemons, one of which restarted forty minutes ago.
+//! Example fleet for the burn tests: two daemons, one of which restarted forty minutes ago.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
     ReportDetail,
 };
 
-/// 2026-01-15T06:30:20Z, when the reports are made.
+/// Time of the reports: 2026-01-15T06:30:20Z.
 pub const REPORT_AT: Duration = Duration::from_secs(1_768_458_620);
-/// How long the older daemon has run.
-const OLD_AGE: Duration = Duration::from_hours(80);
-/// How long the restarted daemon has run.
-const YOUNG_AGE: Duration = Duration::from_mins(40);
-/// Step in which requests are made.
-const STEP: Duration = Duration::from_secs(20);
+/// Uptime of the daemon that did not restart.
+const LONG_RUNNING_UPTIME: Duration = Duration::from_hours(80);
+/// Uptime of the restarted daemon.
+const RESTARTED_UPTIME: Duration = Duration::from_mins(40);
+/// Time between two batches of requests.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What one customer meets at one service.
+/// Simulated requests of one customer to one service.
 struct TrafficPlan {
     customer: &'static str,
     service: &'static str,
     objective: BurnObjective,
-    /// Outcome of the request with this number, made so long before the report.
+    /// Returns the outcome of the request with this number, `age` before the report.
     outcome: fn(number: u64, age: Duration) -> BurnOutcome,
 }
 
-/// The objectives of the plans.
+/// Source of the objectives of the plans.
 struct PlannedObjectives;
 
 impl ObjectiveSource for PlannedObjectives {
@@ -79,7 +79,7 @@
     ]
 }
 
-/// A backend server that fails for the last 25 minutes, and now and then a late reply.
+/// A backend server that fails in the last 25 minutes, and a few late replies before.
 fn orders(number: u64, age: Duration) -> BurnOutcome {
     let failing = age < Duration::from_mins(25);
     match number % 100 {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Slow replies and some shedding for nine hours, after an onboarding.
+/// Slow replies and some load shedding in the last nine hours, after the onboarding of a customer.
 fn broker(number: u64, age: Duration) -> BurnOutcome {
     let onboarding = age < Duration::from_hours(9);
     match number % 50 {
@@ -109,7 +109,7 @@
     }
 }
 
-fn daemon(name: &str, age: Duration, per_step: u64) -> BurnReport {
+fn daemon_report(name: &str, age: Duration, per_interval: u64) -> BurnReport {
     let instance = InstanceId {
         node: NodeId::of(name),
         incarnation: NodeIncarnation(1),
@@ -122,25 +122,28 @@
         let mut now = Duration::ZERO;
         let mut number = 0;
         while now < age {
-            for _ in 0..per_step {
+            for _ in 0..per_interval {
                 let outcome = (plan.outcome)(number, age.saturating_sub(now));
                 ledger.record(now, &customer, &service, outcome);
                 number += 1;
             }
-            now += STEP;
+            now += REQUEST_INTERVAL;
         }
     }
     ledger.report(age, ReportDetail::Points, &PlannedObjectives)
 }
 
-/// Reports of the two daemons.
+/// Returns the reports of both daemons, the restarted one last.
 pub fn fleet_reports() -> [BurnReport; 2] {
-    [daemon("old", OLD_AGE, 8), daemon("young", YOUNG_AGE, 8)]
+    [
+        daemon_report("old", LONG_RUNNING_UPTIME, 8),
+        daemon_report("young", RESTARTED_UPTIME, 8),
+    ]
 }
 
-/// The sum over both daemons.
+/// Returns the sum of both reports.
 pub fn fleet_report() -> BurnReport {
-    let [mut report, young] = fleet_reports();
-    assert!(report.merge(&young));
+    let [mut report, restarted] = fleet_reports();
+    assert!(report.merge(&restarted));
     report
 }
