--- a/crates/log/src/backoff.rs
+++ b/crates/log/src/backoff.rs
@@ -1,23 +1,23 @@
-//! Back-off in proportion to the outage.
+//! Back-off proportional to the duration of an outage.
 //!
-//! A doubling back-off sleeps for as long as the outage has lasted, so that a log which was away
-//! for five seconds is missed for ten. Here the pause is a fixed share of the outage so far: the
-//! log is found again at most that share of the outage after its return, and an outage of hours
-//! costs no more than one call each greatest pause.
+//! An exponential back-off doubles its delays and may wait as long as the outage has lasted: a log
+//! that was down for five seconds would be unused for ten. Here the delay is a fixed fraction of
+//! the outage so far. The recovery is noticed within that fraction, and an outage of hours costs
+//! one call per maximum delay.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Settings of the back-off.
+/// Settings of an [`OutageBackoff`].
 #[derive(Clone, Copy, Debug)]
 pub struct BackoffSettings {
-    /// Shortest pause.
+    /// Minimum delay before jitter.
     pub least: Duration,
-    /// Longest pause.
+    /// Maximum delay before jitter.
     pub greatest: Duration,
-    /// Pause as a share of the outage so far, from 0 to 1.
+    /// Delay as a fraction of the outage so far, from 0 to 1.
     pub share: f64,
 }
 
@@ -31,50 +31,51 @@
     }
 }
 
-/// Pauses between tries while something is away.
+/// Delays between retries during an outage.
 #[derive(Debug)]
 pub struct OutageBackoff {
     settings: BackoffSettings,
-    away_since: Option<Duration>,
+    outage_since: Option<Duration>,
     rng: SmallRng,
 }
 
 impl OutageBackoff {
-    /// Creates a back-off for something that is there. The seed spreads the nodes' tries.
+    /// Creates a back-off in the available state. The seed gives each node its own jitter.
     #[must_use]
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Self {
             settings,
-            away_since: None,
+            outage_since: None,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Notes a failed try and returns the pause before the next.
+    /// Records a failure and returns the delay before the next try.
     pub fn fail(&mut self, now: Duration) -> Duration {
-        let since = *self.away_since.get_or_insert(now);
-        let away = now.saturating_sub(since);
-        let pause = away
+        let since = *self.outage_since.get_or_insert(now);
+        let outage = now.saturating_sub(since);
+        let pause = outage
             .mul_f64(self.settings.share)
             .clamp(self.settings.least, self.settings.greatest);
-        // Half to whole, so that nodes which lost the log together do not come back together.
+        // Jitter between half and the whole delay, so that nodes that lost the log at the same time
+        // do not retry at the same time.
         pause.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 
-    /// Notes a try that succeeded.
+    /// Records a success, which ends the outage.
     pub fn succeed(&mut self) {
-        self.away_since = None;
+        self.outage_since = None;
     }
 
-    /// Whether the last try failed.
+    /// Returns whether the last try failed.
     #[must_use]
-    pub fn is_away(&self) -> bool {
-        self.away_since.is_some()
+    pub fn in_outage(&self) -> bool {
+        self.outage_since.is_some()
     }
 
-    /// How long it has been away.
+    /// Returns the time since the first failure of the current outage, or `None` without an outage.
     #[must_use]
-    pub fn away_for(&self, now: Duration) -> Option<Duration> {
-        self.away_since.map(|since| now.saturating_sub(since))
+    pub fn outage_duration(&self, now: Duration) -> Option<Duration> {
+        self.outage_since.map(|since| now.saturating_sub(since))
     }
 }
--- a/crates/log/src/budget.rs
+++ b/crates/log/src/budget.rs
@@ -1,30 +1,30 @@
-//! A node's share of the appends that the log takes.
+//! Rate limit of a node's appends to the log.
 //!
-//! The log takes several hundred appends a second from the whole fleet. A node that appends in a
-//! loop would take them from everybody, operators among them, so each node has a token bucket,
-//! and its background appends leave a reserve to the urgent ones.
+//! The log accepts several hundred appends a second from the whole fleet. A node that appends in a
+//! loop would exhaust that rate for all others, including operators. Each node therefore has a
+//! token bucket, of which background appends leave a reserve to urgent ones.
 
 use std::time::Duration;
 
 use sycamorelink_core::NodeClock;
 
-/// Longest time until a wait for the budget notices that the node stops.
-const STOP_GRAIN: Duration = Duration::from_millis(100);
+/// Interval at which a wait for the budget checks whether the node is stopping.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an append is for. One record each; a batch of changes in one record counts once.
+/// Purpose of an append. Each record counts once, including a batch of changes in one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AppendPurpose {
-    /// A change by an operator: one append for each change. May use the whole budget.
+    /// Change by an operator, one append per change. May use the whole budget.
     ContractChange,
-    /// A change of the roster or of custody: one append for each change.
+    /// Change of the roster or of custody, one append per change.
     RosterChange,
-    /// Carrying state forward before retention drops it: one append for each stream and half of
-    /// the retention time, by whichever node sees it due first.
+    /// Copy of current state, appended before retention trims the original. One append per stream
+    /// and half of the retention time, made by the node that first finds it due.
     CarryForward,
 }
 
 impl AppendPurpose {
-    /// Tokens that must be left over after the append.
+    /// Returns the number of tokens that must remain after the append.
     const fn reserve(self) -> f64 {
         match self {
             Self::ContractChange => 0.0,
@@ -34,17 +34,17 @@
     }
 }
 
-/// Token bucket of one node's appends.
+/// Token bucket that limits one node's appends.
 #[derive(Clone, Debug)]
 pub struct AppendBudget {
     per_second: f64,
     burst: f64,
     tokens: f64,
-    refilled: Duration,
+    refilled_at: Duration,
 }
 
 impl AppendBudget {
-    /// Creates a full bucket with a rate in appends a second and a greatest burst.
+    /// Creates a full bucket with a rate in appends per second and a burst size in appends.
     #[must_use]
     pub fn new(per_second: f64, burst: u32) -> Self {
         let burst = f64::from(burst);
@@ -52,19 +52,19 @@
             per_second,
             burst,
             tokens: burst,
-            refilled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
-    /// Takes one append.
+    /// Takes the token of one append.
     ///
     /// # Errors
     ///
-    /// The wait until there is room for it.
+    /// Returns the time until the append is allowed.
     pub fn take(&mut self, now: Duration, purpose: AppendPurpose) -> Result<(), Duration> {
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = self.refilled.max(now);
-        self.tokens = (self.tokens + passed * self.per_second).min(self.burst);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * self.per_second).min(self.burst);
         let missing = 1.0 + purpose.reserve() - self.tokens;
         if missing <= 0.0 {
             self.tokens -= 1.0;
@@ -74,11 +74,11 @@
     }
 }
 
-/// Waits until there is room for an append; false when the node stops first.
+/// Waits until an append is allowed; returns false if the node stops first.
 ///
-/// Failure: appends that wait are worked off at the budget's rate after the node was told to stop,
-/// and a drained daemon takes half a minute to end. They are not made instead, as in an outage of
-/// the log: peers have agreed on what they tell, and append it when it is next due.
+/// Without the check, a stopping daemon would work off its waiting appends at the rate of the
+/// budget and take half a minute to exit. Dropping them is safe, as in an outage of the log: peers
+/// hold the same state and append it when it is next due.
 pub async fn await_budget<Stop>(
     budget: &mut AppendBudget,
     clock: &dyn NodeClock,
@@ -92,7 +92,7 @@
         if is_stopping() {
             return false;
         }
-        tokio::time::sleep(wait.min(STOP_GRAIN)).await;
+        tokio::time::sleep(wait.min(STOP_POLL_INTERVAL)).await;
     }
     true
 }
--- a/crates/log/src/client.rs
+++ b/crates/log/src/client.rs
@@ -1,4 +1,4 @@
-//! The log as an interface.
+//! Client interface of the log and its types.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -6,101 +6,102 @@
 
 use bytes::Bytes;
 
-/// What a call to the log resolves to.
+/// Future returned by the calls of a [`LogClient`].
 pub type LogFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LogError>> + Send + 'a>>;
 
-/// An append that took effect.
+/// Confirmation of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendReceipt {
     /// Offset of the record in its stream.
     pub offset: u64,
 }
 
-/// One record of a stream.
+/// Record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Its offset.
+    /// Offset in the stream.
     pub offset: u64,
-    /// Wall time of the log service when it took the record, since the Unix epoch. For people
-    /// only; no decision depends on it.
+    /// Wall-clock time at which the log service accepted the record, since the Unix epoch. For
+    /// display only; no decision depends on it.
     pub wall: Duration,
-    /// What was appended.
+    /// Data that was appended.
     pub data: Bytes,
 }
 
-/// A run of records of a stream.
+/// Consecutive records of a stream, with the bounds of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogPage {
-    /// The oldest offset that is kept.
+    /// Oldest offset that the log retains.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// Offset that the next append will get.
     pub next: u64,
-    /// Records from the offset asked for, in order, without gaps.
+    /// Records from the requested offset on, in order and without gaps.
     pub records: Vec<LogRecord>,
 }
 
-/// Which records to read.
+/// Range of records to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadRange {
-    /// First offset wanted.
+    /// First requested offset.
     pub from: u64,
-    /// Records wanted at most.
+    /// Maximum number of records.
     pub max: u32,
-    /// How long the log may hold the answer back while there is no record.
+    /// Long poll: maximum time that the log waits for a record if there is none yet.
     pub wait: Duration,
 }
 
-/// Why a call to the log failed.
+/// Error of a call to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The log refuses this call for good; it took no effect.
+    /// The log permanently rejects the call, which had no effect.
     #[error("log refuses the call with status {status}: {reason}")]
     Rejected {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// What the log says.
+        /// Response of the log.
         reason: String,
     },
-    /// The call cannot be written, or its answer cannot be read. A further try gives the same.
+    /// The request cannot be built or the response cannot be parsed. A retry gives the same result.
     #[error("a call of the log, or its answer, is malformed: {reason}")]
     Malformed {
-        /// What is wrong with it.
+        /// Description of the problem.
         reason: String,
     },
-    /// The log takes no more appends now; it took no effect.
+    /// The log rate-limits the caller; the call had no effect.
     #[error("log takes no more calls now, try again in {retry_after:?}")]
     Throttled {
-        /// When a later try may help.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The log cannot be reached or is down; it took no effect.
+    /// The log cannot be reached or is down; an append had no effect.
     #[error("log is unavailable: {reason}")]
     Unavailable {
-        /// What was seen.
+        /// Description of the failure.
         reason: String,
     },
-    /// No reply came back; an append may have taken effect. Read back, do not append again.
+    /// No reply arrived, so an append may have taken effect. The caller must read back instead of
+    /// appending again.
     #[error("log gave no reply, the append may have taken effect: {reason}")]
     Uncertain {
-        /// What was seen.
+        /// Description of the failure.
         reason: String,
     },
-    /// The records asked for are no longer kept.
+    /// The requested records are no longer retained.
     #[error("log keeps records only from offset {first}")]
     Trimmed {
-        /// The oldest offset that is kept.
+        /// Oldest offset that the log retains.
         first: u64,
     },
 }
 
 impl LogError {
-    /// Whether an append that failed so may have taken effect.
+    /// Returns whether an append that failed with this error may have taken effect.
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Uncertain { .. })
     }
 
-    /// Whether the same call may succeed later.
+    /// Returns whether the same call may succeed later.
     #[must_use]
     pub const fn is_temporary(&self) -> bool {
         matches!(
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a stream of the log: a pure state machine that says when to read and from where.
+//! State machine that follows a stream of the log: it decides when to read and from which offset.
 //!
 //! ```text
 //!        step(now) ──▶ Read{range} ──▶ (client) ──▶ page(now, ..)  ──▶ Records | Gap | Rewound
@@ -6,24 +6,25 @@
 //!            └──────▶ Wait{until}
 //! ```
 //!
-//! Only the owner does I/O. One read is under way at a time.
+//! The state machine does no I/O; its owner performs the reads. At most one read is in progress.
 
 use std::time::Duration;
 
 use crate::backoff::{BackoffSettings, OutageBackoff};
 use crate::client::{LogError, LogPage, LogRecord, ReadRange};
 
-/// Settings of a follower.
+/// Settings of a [`LogFollower`].
 #[derive(Clone, Copy, Debug)]
 pub struct FollowSettings {
-    /// Records asked for at once.
+    /// Maximum number of records per read.
     pub page_records: u32,
-    /// Long poll: how long the log may hold an answer back. Bounds the calls of an idle node.
+    /// Long poll: maximum time that the log holds a read open. Bounds the call rate of an idle
+    /// node.
     pub poll_wait: Duration,
-    /// Least time between two reads. Bounds the calls of a busy stream, whose records then come
-    /// in pages instead of one by one.
-    pub least_interval: Duration,
-    /// Pauses while the log is away.
+    /// Minimum time between two reads. Bounds the call rate on a busy stream, whose records then
+    /// arrive in pages instead of one by one.
+    pub min_read_interval: Duration,
+    /// Delays between retries during an outage of the log.
     pub backoff: BackoffSettings,
 }
 
@@ -32,62 +33,63 @@
         Self {
             page_records: 500,
             poll_wait: Duration::from_secs(20),
-            least_interval: Duration::from_millis(100),
+            min_read_interval: Duration::from_millis(100),
             backoff: BackoffSettings::default(),
         }
     }
 }
 
-/// What to do next.
+/// Next action of the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowStep {
-    /// Read these records now.
+    /// Read this range now.
     Read(ReadRange),
-    /// Nothing before this time since the node started.
+    /// Wait until this time.
     Wait {
-        /// The time.
+        /// Time since the start of the node.
         until: Duration,
     },
-    /// A read is under way.
+    /// Wait for the read in progress.
     Busy,
 }
 
-/// What a page or an error means.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowEvent {
-    /// New records in order; empty when the long poll ended without any.
+    /// New records in order; empty if the long poll ended without any.
     Records {
-        /// The records.
+        /// Records that were not delivered before.
         records: Vec<LogRecord>,
-        /// Whether the end of the stream was reached.
+        /// Whether the records reach the end of the stream.
         at_end: bool,
     },
-    /// Records were trimmed before they were read. What they said must come from a record that
-    /// carries the state forward or from a peer. Following goes on at `first`.
+    /// Records were trimmed before they were read. Their content must be recovered from a record
+    /// that carries the state forward or from a peer. The follower continues at `first`.
     Gap {
-        /// First offset that is missing.
+        /// First missing offset.
         from: u64,
-        /// The oldest offset that is kept.
+        /// Oldest offset that the log retains.
         first: u64,
     },
-    /// The log ends before what was read already: another log answers, or it lost its tail.
-    /// Following holds its place, so that nothing goes back to an older version.
+    /// The log ends before the follower's position: another log answers, or the log lost its latest
+    /// records. The follower keeps its position, so that the node never returns to an older
+    /// version.
     Rewound {
-        /// The offset that should come next.
+        /// Offset that the follower expects next.
         expected: u64,
-        /// The end that the log tells.
+        /// End of the stream as reported by the log.
         next: u64,
     },
-    /// The log did not answer.
+    /// The read failed.
     Outage {
-        /// How long it has been away.
-        away_for: Duration,
-        /// What was seen.
+        /// Duration of the outage so far.
+        outage_duration: Duration,
+        /// Error of the read.
         error: LogError,
     },
 }
 
-/// Follows one stream.
+/// Follower of one stream.
 #[derive(Debug)]
 pub struct LogFollower {
     settings: FollowSettings,
@@ -99,7 +101,7 @@
 }
 
 impl LogFollower {
-    /// Creates a follower that starts at the offset. The seed spreads the nodes' tries.
+    /// Creates a follower that starts at an offset. The seed gives each node its own retry jitter.
     #[must_use]
     pub fn new(settings: FollowSettings, from: u64, seed: u64) -> Self {
         Self {
@@ -112,31 +114,32 @@
         }
     }
 
-    /// The offset that is wanted next.
+    /// Returns the next offset to read.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Whether everything that the log holds was read at the last answer.
+    /// Returns whether the last page reached the end of the stream.
     #[must_use]
     pub fn is_at_end(&self) -> bool {
         self.at_end
     }
 
-    /// How long the log has been away, if it is.
+    /// Returns the duration of the current outage, or `None` if the log is available.
     #[must_use]
-    pub fn away_for(&self, now: Duration) -> Option<Duration> {
-        self.backoff.away_for(now)
+    pub fn outage_duration(&self, now: Duration) -> Option<Duration> {
+        self.backoff.outage_duration(now)
     }
 
-    /// Moves forward to an offset whose state was learned elsewhere, such as from a peer.
+    /// Skips to an offset whose preceding state was received elsewhere, for example from a peer.
+    /// Never moves backward.
     pub fn skip_to(&mut self, offset: u64) {
         self.next = self.next.max(offset);
     }
 
-    /// Says what to do now. After a read step the answer must be given to [`Self::page`] or
-    /// [`Self::error`].
+    /// Returns the next action. After [`FollowStep::Read`] the owner must pass the result to
+    /// [`Self::page`] or [`Self::error`].
     pub fn step(&mut self, now: Duration) -> FollowStep {
         if self.reading {
             return FollowStep::Busy;
@@ -147,7 +150,7 @@
             };
         }
         self.reading = true;
-        self.not_before = now + self.settings.least_interval;
+        self.not_before = now + self.settings.min_read_interval;
         FollowStep::Read(ReadRange {
             from: self.next,
             max: self.settings.page_records,
@@ -155,7 +158,7 @@
         })
     }
 
-    /// Takes the answer to a read.
+    /// Processes the page returned by a read.
     pub fn page(&mut self, now: Duration, page: LogPage) -> FollowEvent {
         self.reading = false;
         if page.next < self.next {
@@ -169,7 +172,7 @@
         if page.first > self.next {
             return self.gap(page.first);
         }
-        // A record below the wanted offset was read or skipped while the read was under way.
+        // Records below `next` were skipped while the read was in progress.
         let next = self.next;
         let mut records = page.records;
         records.retain(|record| record.offset >= next);
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Takes the failure of a read.
+    /// Processes the error of a read.
     pub fn error(&mut self, now: Duration, error: LogError) -> FollowEvent {
         self.reading = false;
         if let LogError::Trimmed { first } = error {
@@ -198,7 +201,7 @@
         }
         self.not_before = now + pause;
         FollowEvent::Outage {
-            away_for: self.backoff.away_for(now).unwrap_or_default(),
+            outage_duration: self.backoff.outage_duration(now).unwrap_or_default(),
             error,
         }
     }
@@ -210,9 +213,10 @@
         FollowEvent::Gap { from, first }
     }
 
-    /// A follower that is behind, or unsure whether the log is there, wants an answer at once.
+    /// Returns the long-poll wait of the next read: zero while the follower is behind or the log
+    /// may be down, so that the log answers at once.
     fn poll_wait(&self) -> Duration {
-        if self.at_end && !self.backoff.is_away() {
+        if self.at_end && !self.backoff.in_outage() {
             self.settings.poll_wait
         } else {
             Duration::ZERO
--- a/crates/log/src/http_log.rs
+++ b/crates/log/src/http_log.rs
@@ -1,4 +1,4 @@
-//! Client of the log service over HTTP/1.1. The protocol is in `docs/standin-log-protocol.md`.
+//! HTTP/1.1 client of the log service. The protocol is described in `docs/standin-log-protocol.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,30 +14,32 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::client::{AppendReceipt, LogClient, LogError, LogFuture, LogPage, ReadRange};
-use crate::http_answer::{WholeAnswer, call_error, read_call_error, unavailable, uncertain};
+use crate::http_response::{
+    LogResponse, read_request_error, request_error, unavailable, uncertain,
+};
 
-/// Settings of the HTTP client. Fields left out take the defaults.
+/// Settings of the HTTP client. Omitted fields take their defaults.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HttpLogSettings {
-    /// Longest wait for a connection, in milliseconds.
+    /// Maximum wait for a connection, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "connect_limit_ms")]
     pub connect_limit: Duration,
-    /// Longest wait for the answer to an append, in milliseconds.
+    /// Maximum wait for the response to an append, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "append_limit_ms")]
     pub append_limit: Duration,
-    /// Longest wait for the answer to a read beyond its long poll, in milliseconds.
+    /// Maximum wait for the response to a read in addition to its long poll, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "read_limit_ms")]
     pub read_limit: Duration,
-    /// Time in milliseconds after which an idle connection is not used again.
+    /// Time in milliseconds after which an idle connection is not reused.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "idle_limit_ms")]
     pub idle_limit: Duration,
-    /// Greatest size of an answer in bytes.
+    /// Maximum size of a response body in bytes.
     pub answer_bytes: usize,
 }
 
@@ -53,7 +55,7 @@
     }
 }
 
-/// Client of the log service over HTTP/1.1.
+/// HTTP/1.1 client of the log service. Clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpLogClient {
     authority: String,
@@ -62,7 +64,7 @@
 }
 
 impl HttpLogClient {
-    /// Creates a client; it connects on the first call.
+    /// Creates a client, which connects on the first call.
     #[must_use]
     pub fn new(address: SocketAddr, settings: HttpLogSettings) -> Self {
         let mut connector = HttpConnector::new();
@@ -71,9 +73,9 @@
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(settings.idle_limit)
-            // The library would send an append again when its connection closes under it. It
-            // means to do so only when nothing was sent, but an append must never stand twice
-            // on anybody's word: the caller settles it by reading back.
+            // hyper would resend a request when its connection closes before the request was sent.
+            // A duplicate append is never acceptable, so the decision is not left to the library:
+            // the caller resolves the append by reading back.
             .retry_canceled_requests(false)
             .build(connector);
         Self {
@@ -85,11 +87,11 @@
 
     async fn append_record(&self, stream: &str, data: Bytes) -> Result<AppendReceipt, LogError> {
         let uri = self.uri(stream, "")?;
-        let call = self.call(Method::POST, uri, data);
-        let answer = tokio::time::timeout(self.settings.append_limit, call)
+        let call = self.send_request(Method::POST, uri, data);
+        let response = tokio::time::timeout(self.settings.append_limit, call)
             .await
             .map_err(|_| uncertain("no answer in time"))??;
-        answer.into_receipt()
+        response.into_receipt()
     }
 
     async fn read_records(&self, stream: &str, range: ReadRange) -> Result<LogPage, LogError> {
@@ -100,13 +102,13 @@
             range.wait.as_millis()
         );
         let uri = self.uri(stream, &query)?;
-        let call = self.call(Method::GET, uri, Bytes::new());
+        let call = self.send_request(Method::GET, uri, Bytes::new());
         let limit = self.settings.read_limit + range.wait;
-        let answer = tokio::time::timeout(limit, call)
+        let response = tokio::time::timeout(limit, call)
             .await
             .map_err(|_| unavailable("no answer in time"))?
-            .map_err(read_call_error)?;
-        answer.into_page(range)
+            .map_err(read_request_error)?;
+        response.into_page(range)
     }
 
     fn uri(&self, stream: &str, query: &str) -> Result<Uri, LogError> {
@@ -121,7 +123,12 @@
             })
     }
 
-    async fn call(&self, method: Method, uri: Uri, body: Bytes) -> Result<WholeAnswer, LogError> {
+    async fn send_request(
+        &self,
+        method: Method,
+        uri: Uri,
+        body: Bytes,
+    ) -> Result<LogResponse, LogError> {
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = method;
         *request.uri_mut() = uri;
@@ -129,18 +136,18 @@
             .client
             .request(request)
             .await
-            .map_err(|error| call_error(&error))?;
-        self.whole_answer(response).await
+            .map_err(|error| request_error(&error))?;
+        self.read_response(response).await
     }
 
-    async fn whole_answer(&self, response: Response<Incoming>) -> Result<WholeAnswer, LogError> {
+    async fn read_response(&self, response: Response<Incoming>) -> Result<LogResponse, LogError> {
         let (parts, body) = response.into_parts();
         let body = Limited::new(body, self.settings.answer_bytes)
             .collect()
             .await
             .map_err(|error| uncertain(&format!("answer cut short: {error}")))?
             .to_bytes();
-        Ok(WholeAnswer {
+        Ok(LogResponse {
             status: parts.status,
             headers: parts.headers,
             body,
--- a/crates/log/src/http_answer.rs
+++ b/crates/log/src/http_response.rs
@@ -1,4 +1,4 @@
-//! What an answer of the log service means.
+//! Parsing of responses of the log service.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 
 use crate::client::{AppendReceipt, LogError, LogPage, LogRecord, ReadRange};
 
-/// Longest text of a refusal that is kept, in characters.
-const REASON_CHARS: usize = 200;
+/// Maximum length in characters of the response text kept in an error.
+const MAX_REASON_CHARS: usize = 200;
 
-/// Wait after a 429 without a time to come back.
-const THROTTLE_DEFAULT: Duration = Duration::from_secs(1);
+/// Retry delay after a 429 response without a retry header.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Header with the time to come back in milliseconds, finer than `Retry-After`.
+/// Header with the retry delay in milliseconds, finer than `Retry-After`.
 const RETRY_AFTER_MS: &str = "retry-after-ms";
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     offset: u64,
 }
 
 #[derive(Deserialize)]
-struct TrimmedAnswer {
+struct TrimmedResponse {
     first: u64,
 }
 
 #[serde_as]
 #[derive(Deserialize)]
-struct RecordAnswer {
+struct RecordResponse {
     offset: u64,
     wall_ms: u64,
     #[serde_as(as = "Base64")]
@@ -40,44 +40,44 @@
 }
 
 #[derive(Deserialize)]
-struct PageAnswer {
+struct PageResponse {
     first: u64,
     next: u64,
-    records: Vec<RecordAnswer>,
+    records: Vec<RecordResponse>,
 }
 
-/// The status and the whole body of an answer.
-pub(crate) struct WholeAnswer {
+/// Response with its complete body.
+pub(crate) struct LogResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl WholeAnswer {
-    /// The answer to an append.
+impl LogResponse {
+    /// Parses the response to an append. A success that cannot be parsed is uncertain.
     pub(crate) fn into_receipt(self) -> Result<AppendReceipt, LogError> {
         if !self.status.is_success() {
             return Err(append_error(&self));
         }
-        let taken: AppendAnswer = serde_json::from_slice(&self.body)
+        let receipt: AppendResponse = serde_json::from_slice(&self.body)
             .map_err(|error| uncertain(&format!("answer not understood: {error}")))?;
         Ok(AppendReceipt {
-            offset: taken.offset,
+            offset: receipt.offset,
         })
     }
 
-    /// The answer to a read.
+    /// Parses the response to a read of `range`.
     pub(crate) fn into_page(self, range: ReadRange) -> Result<LogPage, LogError> {
         if self.status.is_success() {
-            page_of(&self.body, range)
+            parse_page(&self.body, range)
         } else {
             Err(read_error(&self))
         }
     }
 }
 
-/// Only a connection that never came about proves that nothing was sent.
-pub(crate) fn call_error(error: &ClientError) -> LogError {
+/// Maps an error of the HTTP client. Only a failed connect proves that nothing was sent.
+pub(crate) fn request_error(error: &ClientError) -> LogError {
     let reason = error_chain(error);
     if error.is_connect() {
         LogError::Unavailable { reason }
@@ -97,42 +97,43 @@
     text
 }
 
-/// A read has no effect, so that a lost answer is no more than an outage.
-pub(crate) fn read_call_error(error: LogError) -> LogError {
+/// Maps an error of a read. A read has no effect, so a lost response is an ordinary outage.
+pub(crate) fn read_request_error(error: LogError) -> LogError {
     match error {
         LogError::Uncertain { reason } => LogError::Unavailable { reason },
         other => other,
     }
 }
 
-fn append_error(answer: &WholeAnswer) -> LogError {
-    match answer.status {
-        StatusCode::TOO_MANY_REQUESTS => throttled(answer),
-        StatusCode::SERVICE_UNAVAILABLE => unavailable(&reason_of(answer)),
-        // A gateway's timeout or a fault inside the log says nothing about the append.
-        status if status.is_server_error() => uncertain(&reason_of(answer)),
-        _ => rejected(answer),
+fn append_error(response: &LogResponse) -> LogError {
+    match response.status {
+        StatusCode::TOO_MANY_REQUESTS => throttled(response),
+        StatusCode::SERVICE_UNAVAILABLE => unavailable(&response_reason(response)),
+        // A gateway timeout or an internal error of the log does not tell whether the append took
+        // effect.
+        status if status.is_server_error() => uncertain(&response_reason(response)),
+        _ => rejected(response),
     }
 }
 
-fn read_error(answer: &WholeAnswer) -> LogError {
-    match answer.status {
-        StatusCode::TOO_MANY_REQUESTS => throttled(answer),
-        StatusCode::GONE => match serde_json::from_slice::<TrimmedAnswer>(&answer.body) {
+fn read_error(response: &LogResponse) -> LogError {
+    match response.status {
+        StatusCode::TOO_MANY_REQUESTS => throttled(response),
+        StatusCode::GONE => match serde_json::from_slice::<TrimmedResponse>(&response.body) {
             Ok(trimmed) => LogError::Trimmed {
                 first: trimmed.first,
             },
             Err(error) => unavailable(&format!("answer not understood: {error}")),
         },
-        status if status.is_server_error() => unavailable(&reason_of(answer)),
-        _ => rejected(answer),
+        status if status.is_server_error() => unavailable(&response_reason(response)),
+        _ => rejected(response),
     }
 }
 
-/// A page whose records are not those asked for, in order, is none: its reader would hold another
-/// order of changes than everybody else.
-fn page_of(body: &[u8], range: ReadRange) -> Result<LogPage, LogError> {
-    let page: PageAnswer = serde_json::from_slice(body)
+/// Parses a page and rejects one whose records are not those requested, in order: a reader would
+/// otherwise apply changes in another order than all others.
+fn parse_page(body: &[u8], range: ReadRange) -> Result<LogPage, LogError> {
+    let page: PageResponse = serde_json::from_slice(body)
         .map_err(|error| unavailable(&format!("answer not understood: {error}")))?;
     let in_order = page
         .records
@@ -145,11 +146,11 @@
     Ok(LogPage {
         first: page.first,
         next: page.next,
-        records: page.records.into_iter().map(record_of).collect(),
+        records: page.records.into_iter().map(to_record).collect(),
     })
 }
 
-fn record_of(record: RecordAnswer) -> LogRecord {
+fn to_record(record: RecordResponse) -> LogRecord {
     LogRecord {
         offset: record.offset,
         wall: Duration::from_millis(record.wall_ms),
@@ -157,13 +158,13 @@
     }
 }
 
-fn throttled(answer: &WholeAnswer) -> LogError {
-    let millis = header_number(&answer.headers, RETRY_AFTER_MS).map(Duration::from_millis);
-    let seconds = header_number(&answer.headers, header::RETRY_AFTER.as_str());
+fn throttled(response: &LogResponse) -> LogError {
+    let millis = header_number(&response.headers, RETRY_AFTER_MS).map(Duration::from_millis);
+    let seconds = header_number(&response.headers, header::RETRY_AFTER.as_str());
     LogError::Throttled {
         retry_after: millis
             .or(seconds.map(Duration::from_secs))
-            .unwrap_or(THROTTLE_DEFAULT),
+            .unwrap_or(DEFAULT_RETRY_AFTER),
     }
 }
 
@@ -171,17 +172,17 @@
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn rejected(answer: &WholeAnswer) -> LogError {
+fn rejected(response: &LogResponse) -> LogError {
     LogError::Rejected {
-        status: answer.status.as_u16(),
-        reason: reason_of(answer),
+        status: response.status.as_u16(),
+        reason: response_reason(response),
     }
 }
 
-fn reason_of(answer: &WholeAnswer) -> String {
-    let text = String::from_utf8_lossy(&answer.body);
-    let short: String = text.chars().take(REASON_CHARS).collect();
-    format!("{}: {short}", answer.status)
+fn response_reason(response: &LogResponse) -> String {
+    let text = String::from_utf8_lossy(&response.body);
+    let short: String = text.chars().take(MAX_REASON_CHARS).collect();
+    format!("{}: {short}", response.status)
 }
 
 pub(crate) fn unavailable(reason: &str) -> LogError {
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,23 +1,24 @@
-//! The platform's append-only log: interface, HTTP client, following, settling of lost replies.
+//! The platform's append-only log: client trait, HTTP client, follower, and resolution of appends
+//! whose reply was lost.
 //!
 //! ```text
-//!  owner ── LogFollower (pure: when to read, what a page means) ──▶ steps
-//!    │                                                               │
-//!    └── LogClient (trait object) ◀──────────────────────────────────┘
-//!          ├─ HttpLogClient   the platform's service over HTTP/1.1
-//!          └─ MemoryLog       a fake for tests
+//!  owner ── LogFollower (no I/O: decides when and where to read) ──▶ steps
+//!    │                                                                │
+//!    └── LogClient (trait object) ◀───────────────────────────────────┘
+//!          ├─ HttpLogClient   the platform's log service over HTTP/1.1
+//!          └─ MemoryLog       in-memory fake for tests
 //! ```
 //!
-//! The log may be down or slow for hours, and an append may take effect although its reply is
-//! lost. Every call has a timeout, every error says whether the append may have taken effect, and
-//! [`settle`] finds out by reading back instead of appending again.
+//! The log may be down or slow for hours, and an append may take effect although its reply is lost.
+//! Every call has a timeout, and every error tells whether the append may have taken effect.
+//! [`settle`] resolves an uncertain append by reading the stream back instead of appending again.
 
 pub mod backoff;
 pub mod budget;
 pub mod client;
 pub mod follow;
-mod http_answer;
 pub mod http_log;
+mod http_response;
 pub mod memory;
 pub mod settle;
 
--- a/crates/log/src/memory.rs
+++ b/crates/log/src/memory.rs
@@ -1,4 +1,4 @@
-//! A log in memory, for tests.
+//! In-memory log for tests.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,19 +9,19 @@
 
 use crate::client::{AppendReceipt, LogClient, LogError, LogFuture, LogPage, LogRecord, ReadRange};
 
-/// How the log in memory misbehaves until told otherwise.
+/// Fault that a [`MemoryLog`] simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum MemoryFault {
-    /// Not at all.
+    /// All calls succeed.
     #[default]
     None,
     /// Every call fails without effect.
     Down,
-    /// Appends take effect, and their replies are lost.
+    /// Appends take effect, but their replies are lost.
     LoseReplies,
-    /// Appends take no effect, and their replies are lost all the same.
+    /// Appends have no effect, and their replies are lost.
     LoseAppends,
-    /// Appends are refused for now.
+    /// Appends are rejected by the rate limit.
     Throttle,
 }
 
@@ -44,7 +44,7 @@
     appends: u64,
 }
 
-/// A log in memory with faults on command.
+/// In-memory log with injectable faults.
 #[derive(Debug)]
 pub struct MemoryLog {
     state: Mutex<MemoryState>,
@@ -61,19 +61,19 @@
 }
 
 impl MemoryLog {
-    /// Creates an empty log.
+    /// Creates an empty log without a fault.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Changes how it misbehaves from now on.
+    /// Sets the fault for all further calls.
     pub fn set_fault(&self, fault: MemoryFault) {
         self.state().fault = fault;
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Drops the records below the offset, as retention would.
+    /// Drops the records below an offset, as retention would.
     pub fn trim_to(&self, stream: &str, offset: u64) {
         let mut state = self.state();
         let Some(stored) = state.streams.get_mut(stream) else {
@@ -84,7 +84,7 @@
         stored.first = offset;
     }
 
-    /// Appends that took effect so far, over all streams.
+    /// Returns the number of appends that took effect on all streams.
     #[must_use]
     pub fn append_count(&self) -> u64 {
         self.state().appends
@@ -98,8 +98,8 @@
         let mut state = self.state();
         let fault = state.fault;
         match fault {
-            MemoryFault::Down => return Err(down()),
-            MemoryFault::LoseAppends => return Err(lost()),
+            MemoryFault::Down => return Err(unavailable()),
+            MemoryFault::LoseAppends => return Err(lost_reply()),
             MemoryFault::Throttle => {
                 return Err(LogError::Throttled {
                     retry_after: Duration::from_millis(100),
@@ -115,7 +115,7 @@
         drop(state);
         self.changed.send_modify(|count| *count += 1);
         if fault == MemoryFault::LoseReplies {
-            return Err(lost());
+            return Err(lost_reply());
         }
         Ok(AppendReceipt { offset })
     }
@@ -123,7 +123,7 @@
     fn read_now(&self, stream: &str, range: ReadRange) -> Result<LogPage, LogError> {
         let state = self.state();
         if state.fault == MemoryFault::Down {
-            return Err(down());
+            return Err(unavailable());
         }
         let Some(stored) = state.streams.get(stream) else {
             return Ok(LogPage::default());
@@ -169,13 +169,13 @@
     }
 }
 
-fn down() -> LogError {
+fn unavailable() -> LogError {
     LogError::Unavailable {
         reason: "down on command".to_owned(),
     }
 }
 
-fn lost() -> LogError {
+fn lost_reply() -> LogError {
     LogError::Uncertain {
         reason: "reply lost on command".to_owned(),
     }
--- a/crates/log/src/settle.rs
+++ b/crates/log/src/settle.rs
@@ -1,15 +1,14 @@
-//! Settling an append whose reply was lost.
+//! Resolves appends whose reply was lost.
 //!
-//! An append can take effect although its reply is lost. Appending again would put the change
-//! into the log twice, and a change that names its base version would then be answered as a
-//! conflict with itself. So the stream is read back from an offset known before the append, and
-//! the record is looked for by the change's own id.
+//! An append can take effect although its reply is lost. Appending again would write the change
+//! twice, and a change that names its base version would conflict with itself. The stream is
+//! instead read back from an offset known before the append, and searched for the id of the change.
 //!
 //! ```text
 //! append ──▶ receipt ───────────────────────────────▶ Taken
 //!        └─▶ uncertain ─▶ read back ─▶ found ───────▶ Taken
 //!                                  └─▶ end reached ─▶ NotSeen
-//!                                  └─▶ trimmed/down ▶ error, still uncertain
+//!                                  └─▶ trimmed/down ▶ error, outcome unknown
 //! ```
 
 use std::time::Duration;
@@ -18,41 +17,41 @@
 
 use crate::client::{LogClient, LogError, LogRecord, ReadRange};
 
-/// Records read at once while reading back.
+/// Number of records per read.
 const PAGE_RECORDS: u32 = 500;
 
-/// Where to look for a record whose append got no reply.
+/// Where to search for a record whose append got no reply.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadBack<'a> {
-    /// The stream.
+    /// Name of the stream.
     pub stream: &'a str,
-    /// An offset at or before the record's: the `next` of a read before the append.
+    /// Offset at or before that of the record: `next` of a read before the append.
     pub from: u64,
-    /// How long to wait at the end of the stream for an append that is still under way.
+    /// Time to wait at the end of the stream for an append that is still in progress.
     pub patience: Duration,
 }
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettleResult {
-    /// It took effect.
+    /// The append took effect.
     Taken {
         /// Offset of the record.
         offset: u64,
     },
-    /// It is not among the records before `next`. An append still under way may yet take effect
-    /// later, so that a second append is safe only when readers drop a change whose id they know.
+    /// The record is not among those before `next`. An append still in progress may take effect
+    /// later, so a second append is safe only if readers drop a change whose id they have seen.
     NotSeen {
-        /// End of the stream as seen.
+        /// End of the stream when it was read.
         next: u64,
     },
 }
 
-/// Looks for the first record that the matcher takes for the change's own.
+/// Searches the stream for the first record that matches `is_own`.
 ///
 /// # Errors
 ///
-/// When the log cannot be read to its end. The append stays uncertain.
+/// Fails if the log cannot be read to its end. The outcome of the append remains unknown.
 pub async fn read_back<F>(
     client: &dyn LogClient,
     range: ReadBack<'_>,
@@ -64,12 +63,12 @@
     let mut from = range.from;
     let mut wait = Duration::ZERO;
     loop {
-        let asked = ReadRange {
+        let request = ReadRange {
             from,
             max: PAGE_RECORDS,
             wait,
         };
-        let page = client.read(range.stream, asked).await?;
+        let page = client.read(range.stream, request).await?;
         if let Some(record) = page.records.iter().find(|record| is_own(record)) {
             return Ok(SettleResult::Taken {
                 offset: record.offset,
@@ -86,12 +85,12 @@
     }
 }
 
-/// Appends once, and settles a lost reply by reading back.
+/// Appends once, and reads the stream back if the reply is lost.
 ///
 /// # Errors
 ///
-/// An error of the append that says it took no effect, or [`LogError::Uncertain`] with the
-/// reason when the log could not be read back either.
+/// Returns the error of an append that had no effect, or [`LogError::Uncertain`] if the log could
+/// not be read back either.
 pub async fn append_and_settle<F>(
     client: &dyn LogClient,
     range: ReadBack<'_>,
--- a/crates/log/tests/follow.rs
+++ b/crates/log/tests/follow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use support::{STREAM, run};
+use support::{STREAM, run_local};
 use sycamorelink_log::{
     AppendBudget, AppendPurpose, BackoffSettings, FollowEvent, FollowSettings, FollowStep,
     LogClient, LogError, LogFollower, LogPage, LogRecord, MemoryFault, MemoryLog, OutageBackoff,
@@ -34,15 +34,15 @@
     }
 }
 
-/// Runs a follower against a log that is away from `lost` to `back`. Returns the number of calls
-/// meanwhile and the time from the log's return to the next call.
-fn outage(lost: Duration, back: Duration, seed: u64) -> (u32, Duration) {
+/// Runs a follower against a log that is down from `down_at` to `up_at`. Returns the number of
+/// calls during the outage and the time from its end to the next call.
+fn run_outage(down_at: Duration, up_at: Duration, seed: u64) -> (u32, Duration) {
     let mut follower = LogFollower::new(FollowSettings::default(), 0, seed);
-    let mut now = lost;
+    let mut now = down_at;
     let mut calls = 0;
     loop {
         match follower.step(now) {
-            FollowStep::Read(_) if now >= back => return (calls, now.saturating_sub(back)),
+            FollowStep::Read(_) if now >= up_at => return (calls, now.saturating_sub(up_at)),
             FollowStep::Read(_) => {
                 calls += 1;
                 follower.error(now, down());
@@ -53,23 +53,25 @@
     }
 }
 
-/// A short outage is over for the node less than a second after it is over, and an outage of
-/// hours costs a call each greatest pause.
+/// The recovery from a short outage is noticed in less than a second, and an outage of hours costs
+/// one call per maximum delay.
 #[test]
-fn back_off_follows_the_outage() {
+fn backoff_is_proportional_to_the_outage() {
     let mut table = String::new();
     for seconds in [1, 5, 9, 60, 3600, 6 * 3600] {
-        let lost = Duration::from_secs(100);
-        let back = lost + Duration::from_secs(seconds);
-        let runs: Vec<_> = (0..200).map(|seed| outage(lost, back, seed)).collect();
+        let down_at = Duration::from_secs(100);
+        let up_at = down_at + Duration::from_secs(seconds);
+        let runs: Vec<_> = (0..200)
+            .map(|seed| run_outage(down_at, up_at, seed))
+            .collect();
         let calls = runs.iter().map(|run| run.0).max().unwrap();
-        let late = runs.iter().map(|run| run.1).max().unwrap();
+        let delay = runs.iter().map(|run| run.1).max().unwrap();
         let _ = writeln!(
             table,
             "away {seconds} s: at most {calls} calls, {} ms late",
-            late.as_millis()
+            delay.as_millis()
         );
-        assert!(seconds >= 10 || late < Duration::from_secs(1));
+        assert!(seconds >= 10 || delay < Duration::from_secs(1));
     }
     insta::assert_snapshot!(table);
 }
@@ -102,12 +104,12 @@
             Ok(page) => follower.page(now, page),
             Err(error) => follower.error(now, error),
         };
-        let _ = writeln!(session, "{now:?} {step:?}\n  {}", short(&event));
+        let _ = writeln!(session, "{now:?} {step:?}\n  {}", describe(&event));
     }
     insta::assert_snapshot!(session);
 }
 
-fn short(event: &FollowEvent) -> String {
+fn describe(event: &FollowEvent) -> String {
     match event {
         FollowEvent::Records { records, at_end } => {
             let offsets: Vec<u64> = records.iter().map(|record| record.offset).collect();
@@ -117,26 +119,27 @@
     }
 }
 
-/// A page that was under way while its records were learned from a peer gives none of them again.
+/// A page that was requested before its records were received from a peer must not deliver them
+/// again.
 #[test]
-fn records_learned_elsewhere_are_not_given_again() {
+fn records_received_from_a_peer_are_not_delivered_again() {
     let mut follower = LogFollower::new(FollowSettings::default(), 0, 1);
     let now = Duration::from_secs(1);
     assert!(matches!(follower.step(now), FollowStep::Read(_)));
     follower.skip_to(4);
     follower.skip_to(2);
     let event = follower.page(now, page(0, 6, 0..6));
-    assert_eq!(short(&event), "records [4, 5], at end: true");
+    assert_eq!(describe(&event), "records [4, 5], at end: true");
 }
 
-/// Seeded trials: whatever the log answers, records come once, in order, and never below the
-/// place reached.
+/// Whatever the log answers, records are delivered once and in order, and the position never moves
+/// backward. Random sessions with fixed seeds.
 #[test]
-fn place_never_goes_back() {
+fn position_never_moves_backward() {
     for seed in 0..300_u64 {
         let mut follower = LogFollower::new(FollowSettings::default(), 0, seed);
         let mut now = Duration::ZERO;
-        let mut place = 0;
+        let mut position = 0;
         let mut state = seed;
         for _ in 0..200 {
             let from = match follower.step(now) {
@@ -147,7 +150,7 @@
                 }
                 FollowStep::Busy => panic!("the answer was given"),
             };
-            assert_eq!(from, place);
+            assert_eq!(from, position);
             state = state
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1);
@@ -163,20 +166,20 @@
                 assert!(
                     records
                         .iter()
-                        .zip(place..)
+                        .zip(position..)
                         .all(|(r, offset)| r.offset == offset)
                 );
             }
-            assert!(follower.next_offset() >= place);
-            place = follower.next_offset();
+            assert!(follower.next_offset() >= position);
+            position = follower.next_offset();
         }
     }
 }
 
-/// A node that falls behind while the log is down has every record after it is back.
+/// A node that falls behind during an outage of the log receives every record afterwards.
 #[test]
-fn outage_loses_no_record() {
-    run(async {
+fn no_record_is_lost_in_an_outage() {
+    run_local(async {
         let log = MemoryLog::new();
         let mut follower = LogFollower::new(FollowSettings::default(), 0, 1);
         let mut now = Duration::ZERO;
@@ -184,8 +187,8 @@
         for round in 0..40_u64 {
             log.set_fault(MemoryFault::None);
             log.append(STREAM, Bytes::from(vec![b'x'])).await.unwrap();
-            let away = (10..20).contains(&round);
-            log.set_fault(if away {
+            let is_down = (10..20).contains(&round);
+            log.set_fault(if is_down {
                 MemoryFault::Down
             } else {
                 MemoryFault::None
@@ -211,14 +214,14 @@
                 }
             }
         }
-        let all: Vec<u64> = (0..seen.len() as u64).collect();
-        assert_eq!(seen, all);
+        let expected: Vec<u64> = (0..seen.len() as u64).collect();
+        assert_eq!(seen, expected);
         assert!(seen.len() >= 39);
     });
 }
 
 #[test]
-fn seeds_spread_the_tries_of_nodes() {
+fn seeds_spread_the_retries_of_nodes() {
     let pauses: std::collections::BTreeSet<Duration> = (0..100)
         .map(|seed| {
             let mut backoff = OutageBackoff::new(BackoffSettings::default(), seed);
@@ -234,17 +237,17 @@
     );
 }
 
-/// An operator's change is appended at once, although the node has just carried state forward as
-/// fast as it may.
+/// An operator's change is appended at once even if background appends have used up their part of
+/// the budget.
 #[test]
-fn background_appends_leave_room_for_changes() {
+fn background_appends_leave_budget_for_operator_changes() {
     let mut budget = AppendBudget::new(1.0, 5);
     let now = Duration::from_secs(10);
-    let mut carried = 0;
+    let mut carried_forward = 0;
     while budget.take(now, AppendPurpose::CarryForward).is_ok() {
-        carried += 1;
+        carried_forward += 1;
     }
-    assert_eq!(carried, 3);
+    assert_eq!(carried_forward, 3);
     assert_eq!(budget.take(now, AppendPurpose::RosterChange), Ok(()));
     assert_eq!(budget.take(now, AppendPurpose::ContractChange), Ok(()));
     let wait = budget.take(now, AppendPurpose::ContractChange).unwrap_err();
--- a/crates/log/tests/http_log.rs
+++ b/crates/log/tests/http_log.rs
@@ -1,4 +1,4 @@
-//! The HTTP client against the log stand-in.
+//! HTTP client against the stand-in of the log service.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use support::{STREAM, client_of, from, run, start_log};
+use support::{STREAM, client_for, range_from, run_local, start_log};
 use sycamorelink_log::{LogClient, LogError, ReadRange};
 use sycamorelink_standin::{LogMode, LogStandinSettings};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// The reason is left out: its words come from libraries.
-fn name(error: &LogError) -> String {
+/// Formats an error without its reason, which contains text of libraries.
+fn error_name(error: &LogError) -> String {
     match error {
         LogError::Unavailable { .. } => "Unavailable".to_owned(),
         LogError::Uncertain { .. } => "Uncertain".to_owned(),
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn errors_say_whether_an_append_may_have_taken_effect() {
-    run(async {
+fn errors_tell_whether_an_append_may_have_taken_effect() {
+    run_local(async {
         let log = start_log(LogStandinSettings::default()).await;
-        let client = client_of(log.address());
+        let client = client_for(log.address());
         let mut session = String::new();
         for mode in [
             LogMode::Up,
@@ -44,9 +44,12 @@
             log.set_mode(mode);
             let before = log.append_count();
             let append = client.append(STREAM, Bytes::from_static(b"x")).await;
-            let read = client.read(STREAM, from(0)).await;
-            let append = append.map_or_else(|e| name(&e), |r| format!("offset {}", r.offset));
-            let read = read.map_or_else(|e| name(&e), |p| format!("{} records", p.records.len()));
+            let read = client.read(STREAM, range_from(0)).await;
+            let append = append.map_or_else(|e| error_name(&e), |r| format!("offset {}", r.offset));
+            let read = read.map_or_else(
+                |e| error_name(&e),
+                |p| format!("{} records", p.records.len()),
+            );
             let taken = log.append_count() - before;
             let _ = writeln!(
                 session,
@@ -58,19 +61,19 @@
 }
 
 #[test]
-fn limits_of_the_log_are_typed() {
-    run(async {
+fn log_limits_map_to_error_variants() {
+    run_local(async {
         let settings = LogStandinSettings {
             appends_per_second: 1,
             record_bytes: 10,
             ..LogStandinSettings::default()
         };
         let log = start_log(settings).await;
-        let client = client_of(log.address());
+        let client = client_for(log.address());
         let large = client
             .append(STREAM, Bytes::from_static(b"eleven bytes"))
             .await;
-        assert_eq!(name(&large.unwrap_err()), "Rejected 413");
+        assert_eq!(error_name(&large.unwrap_err()), "Rejected 413");
         client
             .append(STREAM, Bytes::from_static(b"a"))
             .await
@@ -81,30 +84,30 @@
             other => panic!("{other}"),
         }
         log.trim_to(STREAM, 1);
-        let trimmed = client.read(STREAM, from(0)).await.unwrap_err();
+        let trimmed = client.read(STREAM, range_from(0)).await.unwrap_err();
         assert_eq!(trimmed, LogError::Trimmed { first: 1 });
-        let odd = client.append("no such name\n", Bytes::new()).await;
-        assert_eq!(name(&odd.unwrap_err()), "Malformed");
+        let invalid_name = client.append("no such name\n", Bytes::new()).await;
+        assert_eq!(error_name(&invalid_name.unwrap_err()), "Malformed");
     });
 }
 
 #[test]
-fn log_that_is_not_there_took_nothing() {
-    run(async {
+fn failed_connect_means_the_append_had_no_effect() {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
-        let error = client_of(address)
+        let error = client_for(address)
             .append(STREAM, Bytes::from_static(b"x"))
             .await
             .unwrap_err();
-        assert_eq!(name(&error), "Unavailable");
+        assert_eq!(error_name(&error), "Unavailable");
         assert!(!error.may_have_taken_effect());
     });
 }
 
-/// Answers every connection with the same bytes.
-async fn answering(answer: String) -> SocketAddr {
+/// Starts a server that sends the same bytes on every connection.
+async fn serve_fixed_response(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -117,11 +120,11 @@
     address
 }
 
-/// An operator's command must not say that a change failed when it may stand in the log.
-/// Something between the client and the log answers for it, or cuts its answer short.
+/// A gateway answers instead of the log, or the response is truncated or malformed. The append may
+/// have taken effect, so a command must not report that the change failed.
 #[test]
-fn odd_answers_leave_an_append_uncertain() {
-    run(async {
+fn unexpected_responses_leave_an_append_uncertain() {
+    run_local(async {
         for answer in [
             "HTTP/1.1 504 Gateway Timeout\r\ncontent-length: 0\r\n\r\n",
             "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n",
@@ -129,7 +132,7 @@
             "HTTP/1.1 201 Created\r\ncontent-length: 20\r\n\r\n{\"offset\"",
             "not http at all\r\n\r\n",
         ] {
-            let client = client_of(answering(answer.to_owned()).await);
+            let client = client_for(serve_fixed_response(answer.to_owned()).await);
             let error = client
                 .append(STREAM, Bytes::from_static(b"x"))
                 .await
@@ -139,13 +142,14 @@
     });
 }
 
-/// A reader that took records at wrong offsets would hold another order than everybody else.
+/// Records at unexpected offsets are rejected; accepting them would apply changes in another order
+/// than all other readers.
 #[test]
-fn pages_out_of_order_are_no_pages() {
-    run(async {
+fn page_with_wrong_offsets_is_rejected() {
+    run_local(async {
         let page = r#"{"first":0,"next":9,"records":[{"offset":4,"wall_ms":1,"data":"eA=="}]}"#;
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", page.len());
-        let client = client_of(answering(head + page).await);
+        let client = client_for(serve_fixed_response(head + page).await);
         let range = ReadRange {
             from: 3,
             max: 10,
--- a/crates/log/tests/settle.rs
+++ b/crates/log/tests/settle.rs
@@ -1,18 +1,18 @@
-//! Appends whose reply is lost.
+//! Resolution of appends whose reply is lost.
 
 mod support;
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use support::{STREAM, client_of, run, start_log};
+use support::{STREAM, client_for, run_local, start_log};
 use sycamorelink_log::{
     LogClient, LogError, LogRecord, MemoryFault, MemoryLog, ReadBack, SettleResult,
     append_and_settle, read_back,
 };
 use sycamorelink_standin::{LogMode, LogStandinSettings};
 
-const BACK: ReadBack<'static> = ReadBack {
+const READ_BACK: ReadBack<'static> = ReadBack {
     stream: STREAM,
     from: 0,
     patience: Duration::ZERO,
@@ -26,72 +26,71 @@
     move |record| record.data == change(id)
 }
 
-/// The operator sees that the change was taken, and it stands in the log once.
-/// The append takes effect, its reply is lost, and other operators append before and after. The
-/// change is found by its own id; a second append would make it conflict with itself.
+/// The append takes effect and its reply is lost, while the stream holds another operator's change.
+/// The change is found by its id; a second append would conflict with the first.
 #[test]
-fn lost_reply_is_settled_without_a_second_append() {
-    run(async {
+fn lost_reply_is_resolved_without_a_second_append() {
+    run_local(async {
         let log = start_log(LogStandinSettings::default()).await;
-        let client = client_of(log.address());
+        let client = client_for(log.address());
         client.append(STREAM, change("other")).await.unwrap();
         log.set_mode(LogMode::LoseReplies);
-        let settled = append_and_settle(&client, BACK, change("own"), is_change("own")).await;
+        let settled = append_and_settle(&client, READ_BACK, change("own"), is_change("own")).await;
         assert_eq!(settled, Ok(SettleResult::Taken { offset: 1 }));
         assert_eq!(log.append_count(), 2);
     });
 }
 
-/// The operator sees that the change is not in the log so far, and not that it failed for good.
+/// A lost append is reported as not found rather than as failed, since it may still take effect.
 #[test]
-fn lost_append_is_not_seen() {
-    run(async {
+fn lost_append_is_reported_as_not_found() {
+    run_local(async {
         let log = MemoryLog::new();
         log.append(STREAM, change("other")).await.unwrap();
         log.set_fault(MemoryFault::LoseAppends);
-        let settled = append_and_settle(&log, BACK, change("own"), is_change("own")).await;
+        let settled = append_and_settle(&log, READ_BACK, change("own"), is_change("own")).await;
         assert_eq!(settled, Ok(SettleResult::NotSeen { next: 1 }));
     });
 }
 
-/// The operator sees that nobody knows: the log took the change, lost the reply and went down.
+/// The log neither answers the append nor can be read back: the outcome stays unknown until the log
+/// is up again.
 #[test]
 fn append_stays_uncertain_while_the_log_is_down() {
-    run(async {
+    run_local(async {
         let log = start_log(LogStandinSettings::default()).await;
-        let client = client_of(log.address());
+        let client = client_for(log.address());
         log.set_mode(LogMode::Hang);
-        let settled = append_and_settle(&client, BACK, change("own"), is_change("own")).await;
+        let settled = append_and_settle(&client, READ_BACK, change("own"), is_change("own")).await;
         assert!(settled.unwrap_err().may_have_taken_effect());
         log.set_mode(LogMode::Up);
-        let settled = read_back(&client, BACK, is_change("own")).await;
+        let settled = read_back(&client, READ_BACK, is_change("own")).await;
         assert_eq!(settled, Ok(SettleResult::NotSeen { next: 0 }));
     });
 }
 
-/// An append that took no effect is not looked for.
+/// An append that certainly had no effect is not read back.
 #[test]
-fn certain_refusal_is_passed_on() {
-    run(async {
+fn certain_failure_is_returned() {
+    run_local(async {
         let log = MemoryLog::new();
         log.set_fault(MemoryFault::Throttle);
-        let settled = append_and_settle(&log, BACK, change("own"), is_change("own")).await;
+        let settled = append_and_settle(&log, READ_BACK, change("own"), is_change("own")).await;
         assert!(matches!(settled, Err(LogError::Throttled { .. })));
         assert_eq!(log.append_count(), 0);
     });
 }
 
-/// The operator sees that the change was taken: the append was still under way when the end of
-/// the stream was first reached.
+/// The append is still in progress when the read-back first reaches the end of the stream.
 #[test]
-fn patience_finds_an_append_under_way() {
-    run(async {
+fn wait_at_the_end_finds_an_append_in_progress() {
+    run_local(async {
         let log = MemoryLog::new();
-        let patient = ReadBack {
+        let patient_range = ReadBack {
             patience: Duration::from_secs(10),
-            ..BACK
+            ..READ_BACK
         };
-        let (settled, ()) = tokio::join!(read_back(&log, patient, is_change("own")), async {
+        let (settled, ()) = tokio::join!(read_back(&log, patient_range, is_change("own")), async {
             tokio::time::sleep(Duration::from_millis(20)).await;
             log.append(STREAM, change("own")).await.unwrap();
         });
@@ -99,38 +98,37 @@
     });
 }
 
-/// The range to read back was trimmed: the change may be among what is gone.
+/// Part of the range to read back was trimmed, and may have held the change.
 #[test]
 fn trimmed_range_leaves_the_append_uncertain() {
-    run(async {
+    run_local(async {
         let log = MemoryLog::new();
         for id in ["a", "b", "c"] {
             log.append(STREAM, change(id)).await.unwrap();
         }
         log.trim_to(STREAM, 2);
         log.set_fault(MemoryFault::LoseReplies);
-        let settled = append_and_settle(&log, BACK, change("own"), is_change("own")).await;
+        let settled = append_and_settle(&log, READ_BACK, change("own"), is_change("own")).await;
         assert!(settled.unwrap_err().may_have_taken_effect());
     });
 }
 
-/// The operator sees that nobody knows yet, and later that the change was taken after all.
-/// The log is slow, the client gives up, the end of the stream shows nothing of the change, and
-/// the append takes effect after that. An answer "failed" and a second append would both be wrong.
+/// The log is slow, the client times out, the read-back does not find the change, and the append
+/// takes effect afterwards. Neither a reported failure nor a second append would be correct.
 #[test]
-fn slow_append_takes_effect_after_the_read_back() {
-    run(async {
+fn append_that_takes_effect_after_the_read_back_stays_uncertain() {
+    run_local(async {
         let log = start_log(LogStandinSettings::default()).await;
-        let client = client_of(log.address());
+        let client = client_for(log.address());
         log.set_mode(LogMode::Slow { ms: 600 });
-        let appending = append_and_settle(&client, BACK, change("own"), is_change("own"));
+        let appending = append_and_settle(&client, READ_BACK, change("own"), is_change("own"));
         assert!(appending.await.unwrap_err().may_have_taken_effect());
         log.set_mode(LogMode::Up);
-        let patient = ReadBack {
+        let patient_range = ReadBack {
             patience: Duration::from_secs(10),
-            ..BACK
+            ..READ_BACK
         };
-        let settled = read_back(&client, patient, is_change("own")).await;
+        let settled = read_back(&client, patient_range, is_change("own")).await;
         assert_eq!(settled, Ok(SettleResult::Taken { offset: 0 }));
     });
 }
--- a/crates/log/tests/support/mod.rs
+++ b/crates/log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the log client share.
+//! Helpers for the tests of the log client.
 
 #![allow(dead_code, reason = "each test binary uses its part")]
 
@@ -9,12 +9,12 @@
 use sycamorelink_log::{HttpLogClient, HttpLogSettings, ReadRange};
 use sycamorelink_standin::{LogStandin, LogStandinSettings, RunningLog};
 
-/// Bound on every wait.
+/// Maximum duration of every wait.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 pub const STREAM: &str = "contracts";
 
-pub fn run<F>(test: F)
+pub fn run_local<F>(test: F)
 where
     F: Future<Output = ()>,
 {
@@ -34,7 +34,7 @@
     LogStandin::start(bind, settings).await.unwrap()
 }
 
-pub fn client_of(address: SocketAddr) -> HttpLogClient {
+pub fn client_for(address: SocketAddr) -> HttpLogClient {
     let settings = HttpLogSettings {
         append_limit: Duration::from_millis(300),
         read_limit: Duration::from_millis(300),
@@ -43,7 +43,7 @@
     HttpLogClient::new(address, settings)
 }
 
-pub fn from(offset: u64) -> ReadRange {
+pub fn range_from(offset: u64) -> ReadRange {
     ReadRange {
         from: offset,
         max: 100,
--- a/crates/wire/examples/hop_cost.rs
+++ b/crates/wire/examples/hop_cost.rs
@@ -1,5 +1,5 @@
-//! Prints what a hop costs: empty work round trips over loopback, one after another and at once,
-//! and the memory of idle connections.
+//! Measures a hop between two nodes over loopback: latency and throughput of empty requests, sent
+//! sequentially and concurrently, and the memory of idle connections.
 //!
 //! ```text
 //! cargo run --release -p sycamorelink-wire --example hop_cost
@@ -21,12 +21,12 @@
 use tokio::task::{JoinSet, LocalSet};
 
 const ROUND_TRIPS: u64 = 20_000;
-const WARM_UP: u64 = 2_000;
+const WARM_UP_ROUND_TRIPS: u64 = 2_000;
 
-/// Requests under way at once in the second part.
-const AT_ONCE: u64 = 16;
+/// Number of concurrent requests in the second part.
+const CONCURRENCY: u64 = 16;
 
-/// Idle connections whose memory is measured.
+/// Number of idle connections whose memory is measured.
 const IDLE_CONNECTIONS: usize = 1_000;
 
 struct EmptyHandler(InstanceId);
@@ -67,13 +67,14 @@
         .expect("a runtime")
 }
 
-/// Serves on a thread of its own, as another process would.
-fn serve() -> std::net::SocketAddr {
-    let (told, address) = std::sync::mpsc::channel();
+/// Starts a server on a thread of its own, as in another process, and returns its address.
+fn start_server() -> std::net::SocketAddr {
+    let (address_sender, address) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         runtime().block_on(LocalSet::new().run_until(async move {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            told.send(listener.local_addr().expect("an address"))
+            address_sender
+                .send(listener.local_addr().expect("an address"))
                 .expect("a receiver");
             let own = identity("server");
             let (_drain, drained) = watch::channel(false);
@@ -118,41 +119,41 @@
 }
 
 async fn round_trip(connection: &PeerConnection, number: u64) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     let (body, mut reply) = connection.work(&head(number)).await.expect("a stream");
     body.finish_with(b"").await.expect("a body");
     reply.opening().await.expect("a reply");
     while reply.chunk().await.expect("a whole reply").is_some() {}
-    begun.elapsed()
+    started.elapsed()
 }
 
-async fn measure(connection: &PeerConnection, at_once: u64) {
-    let begun = Instant::now();
+async fn measure(connection: &PeerConnection, concurrency: u64) {
+    let started = Instant::now();
     let mut workers = JoinSet::new();
-    for worker in 0..at_once {
+    for worker in 0..concurrency {
         let connection = connection.clone();
         workers.spawn_local(async move {
             let mut times = Vec::new();
-            for number in (worker..ROUND_TRIPS).step_by(usize::try_from(at_once).unwrap_or(1)) {
+            for number in (worker..ROUND_TRIPS).step_by(usize::try_from(concurrency).unwrap_or(1)) {
                 times.push(round_trip(&connection, number).await);
             }
             times
         });
     }
     let mut times: Vec<Duration> = workers.join_all().await.concat();
-    let passed = begun.elapsed();
+    let elapsed = started.elapsed();
     times.sort_unstable();
-    let at = |permille: usize| times[(times.len() - 1) * permille / 1000].as_micros();
+    let percentile = |permille: usize| times[(times.len() - 1) * permille / 1000].as_micros();
     println!(
-        "{at_once:>3} at once: median {} us, p99 {} us, p99.9 {} us, {:.0} round trips/s",
-        at(500),
-        at(990),
-        at(999),
-        Duration::from_secs(ROUND_TRIPS).as_secs_f64() / passed.as_secs_f64(),
+        "{concurrency:>3} at once: median {} us, p99 {} us, p99.9 {} us, {:.0} round trips/s",
+        percentile(500),
+        percentile(990),
+        percentile(999),
+        Duration::from_secs(ROUND_TRIPS).as_secs_f64() / elapsed.as_secs_f64(),
     );
 }
 
-/// Resident memory of this process in KiB, as Linux tells it.
+/// Returns the resident memory of this process in KiB, read from `/proc` on Linux.
 fn resident_kib() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     status
@@ -162,7 +163,7 @@
         .unwrap_or(0)
 }
 
-/// Opens connections, uses each once, and prints what they hold at both ends together.
+/// Opens connections, sends one request on each, and prints their memory at both ends together.
 async fn measure_idle(address: std::net::SocketAddr) {
     let client = identity("client");
     let before = resident_kib();
@@ -175,28 +176,31 @@
         round_trip(&connection, number as u64).await;
         open.push(connection);
     }
-    let held = resident_kib().saturating_sub(before);
+    let used = resident_kib().saturating_sub(before);
     println!(
-        "{} idle connections: {held} KiB at both ends together",
+        "{} idle connections: {used} KiB at both ends together",
         open.len()
     );
 }
 
 fn main() {
-    let address = serve();
+    let address = start_server();
     runtime().block_on(LocalSet::new().run_until(async move {
-        let begun = Instant::now();
+        let started = Instant::now();
         let client = identity("client");
         let settings = WireSettings::default();
         let connection = PeerConnection::connect(address, &client, None, settings)
             .await
             .expect("a connection");
-        println!("connect and handshake: {} us", begun.elapsed().as_micros());
-        for number in 0..WARM_UP {
+        println!(
+            "connect and handshake: {} us",
+            started.elapsed().as_micros()
+        );
+        for number in 0..WARM_UP_ROUND_TRIPS {
             round_trip(&connection, number).await;
         }
         measure(&connection, 1).await;
-        measure(&connection, AT_ONCE).await;
+        measure(&connection, CONCURRENCY).await;
         measure_idle(address).await;
     }));
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answering side of one request: its body in, its reply out.
+//! Server side of one request: receives the body and sends the reply.
 
 use std::future::poll_fn;
 use std::time::Duration;
@@ -9,52 +9,52 @@
 use http::Response;
 use sycamorelink_core::{AttemptId, InstanceId};
 
+use crate::checksum::BodyChecksum;
 use crate::codec::decode_payload;
 use crate::connection::OpenWork;
 use crate::error::WireError;
 use crate::frame::{FrameKind, FrameLimits, put_frame};
 use crate::stream::{FrameReader, FrameWriter, chunk_frames, put_value, value_frame};
-use crate::tally::BodyTally;
 use crate::work::{BodyEnd, LoadReport, ReplyEnd, ReplyHead, WorkFailed, WorkHead, WorkRefused};
 
-/// A request that a peer sent for an upstream here.
+/// Request from a peer for an upstream of this node.
 #[derive(Debug)]
 pub struct WorkExchange {
-    /// The peer.
+    /// Instance of the peer that sent the request.
     pub peer: InstanceId,
-    /// The request.
+    /// Head of the request.
     pub head: WorkHead,
-    /// Its body.
+    /// Receiver of the request body.
     pub body: BodyReceiver,
-    /// The way back.
+    /// Sender of the reply.
     pub reply: ReplySender,
 }
 
-/// Receives the body of a request and checks that it is whole.
+/// Receiver of a request body, which verifies the body against the length and digest at its end.
 #[derive(Debug)]
 pub struct BodyReceiver {
     reader: FrameReader,
-    announced: Option<u64>,
-    tally: BodyTally,
+    declared_length: Option<u64>,
+    checksum: BodyChecksum,
     ended: bool,
 }
 
 impl BodyReceiver {
-    pub(crate) fn new(reader: FrameReader, announced: Option<u64>) -> Self {
+    pub(crate) fn new(reader: FrameReader, declared_length: Option<u64>) -> Self {
         Self {
             reader,
-            announced,
-            tally: BodyTally::default(),
+            declared_length,
+            checksum: BodyChecksum::default(),
             ended: false,
         }
     }
 
-    /// The next piece of the body, or nothing when it ended whole. May be dropped and called
-    /// again.
+    /// Returns the next chunk of the body, or `None` after its verified end. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// When the peer cancels, the connection ends or the body is not whole.
+    /// Fails if the peer cancels, the connection ends or the body does not match its length and
+    /// digest.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, WireError> {
         if self.ended {
             return Ok(None);
@@ -64,11 +64,11 @@
         };
         match frame.kind {
             FrameKind::BodyChunk => {
-                self.tally.add(&frame.payload);
+                self.checksum.update(&frame.payload);
                 Ok(Some(frame.payload))
             }
             FrameKind::BodyEnd => {
-                self.check_whole(&decode_payload(&frame.payload)?)?;
+                self.verify_body(&decode_payload(&frame.payload)?)?;
                 self.ended = true;
                 Ok(None)
             }
@@ -76,15 +76,17 @@
         }
     }
 
-    fn check_whole(&self, end: &BodyEnd) -> Result<(), WireError> {
-        let seen = self.tally;
-        let as_announced = self.announced.is_none_or(|length| length == seen.length);
-        if as_announced && end.length == seen.length && end.digest == seen.digest {
+    fn verify_body(&self, end: &BodyEnd) -> Result<(), WireError> {
+        let received = self.checksum;
+        let matches_declared = self
+            .declared_length
+            .is_none_or(|length| length == received.length);
+        if matches_declared && end.length == received.length && end.digest == received.digest {
             return Ok(());
         }
         Err(WireError::NotWhole {
-            expected: self.announced.unwrap_or(end.length),
-            actual: seen.length,
+            expected: self.declared_length.unwrap_or(end.length),
+            actual: received.length,
         })
     }
 }
@@ -95,16 +97,16 @@
     Open(FrameWriter),
 }
 
-/// Sends the reply to a request. Dropping it before the end resets the stream, and the peer
-/// learns that the reply broke off.
+/// Sender of the reply to a request. Dropping it before the end of the reply resets the stream, and
+/// the peer gets an error instead of a truncated reply.
 #[derive(Debug)]
 pub struct ReplySender {
     state: SendState,
     attempt: AttemptId,
     limits: FrameLimits,
-    tally: BodyTally,
+    checksum: BodyChecksum,
     finished: bool,
-    _open: OpenWork,
+    _open_work: OpenWork,
 }
 
 impl ReplySender {
@@ -118,21 +120,21 @@
             state: SendState::Unopened(response),
             attempt,
             limits,
-            tally: BodyTally::default(),
+            checksum: BodyChecksum::default(),
             finished: false,
-            _open: open,
+            _open_work: open,
         }
     }
 
-    /// Waits until the peer cancels the request or the connection ends. Never resolves while the
-    /// peer wants the reply. May be dropped and called again.
+    /// Waits until the peer cancels the request or the connection ends, and returns which. Never
+    /// resolves otherwise. Cancel-safe.
     pub async fn cancelled(&mut self) -> WireError {
         match &mut self.state {
             SendState::Unopened(response) => match poll_fn(|cx| response.poll_reset(cx)).await {
-                Ok(reason) => WireError::of_reason(reason),
+                Ok(reason) => WireError::from_reason(reason),
                 Err(error) => error.into(),
             },
-            SendState::Open(writer) => writer.reset().await,
+            SendState::Open(writer) => writer.wait_for_reset().await,
         }
     }
 
@@ -140,17 +142,17 @@
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn refuse(mut self, refused: &WorkRefused) -> Result<(), WireError> {
         let frame = value_frame(FrameKind::WorkRefused, refused, &self.limits)?;
         self.write_last(frame).await
     }
 
-    /// Says that the upstream failed, before or within the reply.
+    /// Reports that the upstream failed, before or during the reply.
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn fail(mut self, failed: &WorkFailed) -> Result<(), WireError> {
         let frame = value_frame(FrameKind::WorkFailed, failed, &self.limits)?;
         self.write_last(frame).await
@@ -160,23 +162,23 @@
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn head(&mut self, head: &ReplyHead) -> Result<(), WireError> {
         let frame = value_frame(FrameKind::ReplyHead, head, &self.limits)?;
         self.writer()?.write(frame, false).await
     }
 
-    /// Sends a piece of the body, as fast as the peer takes it.
+    /// Sends part of the body, waiting while the peer's flow-control window is full.
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn chunk(&mut self, chunk: &[u8]) -> Result<(), WireError> {
         let limits = self.limits;
         for (frame, piece) in chunk_frames(FrameKind::ReplyChunk, chunk, &limits)
             .zip(chunk.chunks(limits.chunk.max(1)))
         {
-            self.tally.add(piece);
+            self.checksum.update(piece);
             self.writer()?.write(frame, false).await?;
         }
         Ok(())
@@ -186,18 +188,18 @@
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn end(mut self, service_time: Duration, load: LoadReport) -> Result<(), WireError> {
         let mut buffer = BytesMut::new();
         self.put_end(&mut buffer, service_time, load)?;
         self.write_last(buffer.freeze()).await
     }
 
-    /// Sends a whole reply in one write.
+    /// Sends the whole reply in one write.
     ///
     /// # Errors
     ///
-    /// When the peer cancelled or the connection ended.
+    /// Fails if the peer cancelled the request or the connection ended.
     pub async fn whole(
         mut self,
         head: &ReplyHead,
@@ -207,7 +209,7 @@
         let mut buffer = BytesMut::new();
         put_value(&mut buffer, FrameKind::ReplyHead, head, &self.limits)?;
         for piece in body.chunks(self.limits.chunk.max(1)) {
-            self.tally.add(piece);
+            self.checksum.update(piece);
             put_frame(&mut buffer, FrameKind::ReplyChunk, piece);
         }
         self.put_end(&mut buffer, service_time, head.load)?;
@@ -222,8 +224,8 @@
     ) -> Result<(), WireError> {
         let end = ReplyEnd {
             attempt: self.attempt,
-            length: self.tally.length,
-            digest: self.tally.digest,
+            length: self.checksum.length,
+            digest: self.checksum.digest,
             service_time,
             load,
         };
@@ -236,7 +238,8 @@
         Ok(())
     }
 
-    /// The response goes out with the first frame, so that a short reply is one write.
+    /// Returns the frame writer. The h2 response headers are sent together with the first frame, so
+    /// that a short reply is a single write.
     fn writer(&mut self) -> Result<&mut FrameWriter, WireError> {
         if let SendState::Unopened(response) = &mut self.state {
             let stream = response.send_response(Response::new(()), false)?;
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! The connecting side of a connection between two nodes.
+//! Client side of a connection between two nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,23 +17,24 @@
 use crate::exchange::{BodySender, ReplyReceiver};
 use crate::frame::FrameKind;
 use crate::handshake::{PeerIdentity, connect_handshake};
-use crate::heartbeat::watch_silence;
+use crate::heartbeat::run_heartbeat;
 use crate::message::{MessageSender, write_messages};
 use crate::settings::WireSettings;
 use crate::stream::{FrameWriter, value_frame};
 use crate::work::WorkHead;
 
-/// Path of a work stream.
+/// Path of work streams.
 pub(crate) const WORK_PATH: &str = "/work";
 
-/// Path of a message stream.
+/// Path of message streams.
 pub(crate) const MESSAGE_PATH: &str = "/messages";
 
-/// The same as h2 wants them: whole. The authority says nothing; the handshake told who is who.
+/// The paths as absolute URIs, which h2 requires. The authority is a placeholder, since the
+/// handshake identifies both sides.
 const WORK_URI: &str = "http://peer/work";
 const MESSAGE_URI: &str = "http://peer/messages";
 
-/// An open connection to a peer. Clones share it; it closes when the last clone and the last
+/// Connection to a peer. Clones share the connection, which closes when the last clone and the last
 /// exchange are dropped.
 #[derive(Clone, Debug)]
 pub struct PeerConnection {
@@ -44,12 +45,12 @@
 }
 
 impl PeerConnection {
-    /// Connects to a peer and proves the fleet key. With a target, only that instance will do;
-    /// without one, whoever answers, such as at a seed address.
+    /// Connects to a peer and runs the handshake. With a target, the peer must be that instance;
+    /// without one, any instance is accepted, for example at a seed address.
     ///
     /// # Errors
     ///
-    /// When the peer cannot be reached, is another instance, or is not of this fleet.
+    /// Fails if the peer cannot be reached, is another instance, or holds no key of the fleet.
     pub async fn connect(
         address: SocketAddr,
         identity: &PeerIdentity,
@@ -101,103 +102,105 @@
         })
     }
 
-    /// The peer's instance, as it proved it.
+    /// Returns the peer's instance as authenticated in the handshake.
     #[must_use]
     pub fn peer(&self) -> InstanceId {
         self.peer
     }
 
-    /// Tells when and why the connection ends.
+    /// Returns a watch that reports when and why the connection ends.
     #[must_use]
     pub fn watch(&self) -> ConnectionWatch {
         self.state.watch()
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection has ended.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.state.close_reason().is_some()
     }
 
-    /// Streams of work that are open now.
+    /// Returns the number of open work streams.
     #[must_use]
     pub fn open_work(&self) -> usize {
         self.state.open_count()
     }
 
-    /// How long the peer has owed the answer to a heartbeat; none while it owes nothing.
+    /// Returns how long the reply to a heartbeat has been outstanding, or `None` if no heartbeat
+    /// waits for one.
     #[must_use]
-    pub fn quiet_for(&self) -> Option<Duration> {
-        self.state.quiet_for()
+    pub fn unresponsive_for(&self) -> Option<Duration> {
+        self.state.unresponsive_for()
     }
 
-    /// How long nothing was sent on it; nothing while work is open.
+    /// Returns the time since the connection was last used, or `None` while work is open.
     #[must_use]
     pub fn idle_for(&self) -> Option<Duration> {
         self.state.idle_for()
     }
 
-    /// Whether the peer answered a round trip no longer ago than `age`, or does so within `wait`.
+    /// Returns whether a round trip to the peer was confirmed at most `age` ago, or is confirmed
+    /// within `wait`.
     ///
-    /// Failure: a peer is lost without a word, and a request is sent into a connection that was
-    /// idle since; nobody can say afterwards whether it ran. Asked first, a peer that does not
-    /// answer has certainly not got it. Open work makes the heartbeat go out at once, so a peer in
-    /// health costs a round trip, and only after a pause.
+    /// If a peer disappeared while the connection was idle, a request sent to it would fail without
+    /// showing whether it ran. A request withheld after a failed check has certainly not run. The
+    /// check counts as open work and so triggers a heartbeat at once; it costs one round trip, and
+    /// only after an idle period.
     pub async fn is_alive(&self, age: Duration, wait: Duration) -> bool {
-        if self.state.proved_for() <= age {
+        if self.state.time_since_round_trip() <= age {
             return true;
         }
-        // With all streams taken, sending the work fails as not sent anyway.
-        let Some(_open) = self.state.open_work(self.settings.streams) else {
+        // With all streams in use, sending the request fails as not sent anyway.
+        let Some(_open) = self.state.open_work(self.settings.max_streams) else {
             return true;
         };
-        let proof = self.state.proved_within(age);
-        tokio::time::timeout(wait, proof).await.is_ok()
+        let round_trip = self.state.wait_for_round_trip(age);
+        tokio::time::timeout(wait, round_trip).await.is_ok()
     }
 
-    /// Sends the head of a request. The body and the reply then go their own ways; dropping both
-    /// cancels the request at the peer.
+    /// Sends the head of a request and returns the body sender and the reply receiver. Dropping
+    /// both cancels the request at the peer.
     ///
     /// # Errors
     ///
-    /// When no stream can be opened; see [`WireError::run_state`].
+    /// Fails if no stream can be opened; see [`WireError::run_state`].
     pub async fn work(&self, head: &WorkHead) -> Result<(BodySender, ReplyReceiver), WireError> {
         let limits = self.settings.frames;
         let frame = value_frame(FrameKind::WorkHead, head, &limits)
             .map_err(|error| WireError::NotOpened(error.to_string()))?;
-        // Beyond the peer's limit a stream would wait inside h2, and nobody could say whether it
-        // was sent. Here it certainly was not.
+        // Above the peer's limit a stream would wait inside h2, and a later failure would not show
+        // whether it was sent. An error returned here guarantees that it was not.
         let open = self
             .state
-            .open_work(self.settings.streams)
+            .open_work(self.settings.max_streams)
             .ok_or(WireError::TooManyStreams)?;
         let (response, stream) = self.open_stream(WORK_URI).await?;
         let mut writer = FrameWriter::new(stream);
         writer
             .write(frame, false)
             .await
-            .map_err(|error| self.state.explain(error))?;
+            .map_err(|error| self.state.refine_error(error))?;
         let body = BodySender::new(writer, limits, self.state.clone());
         let reply = ReplyReceiver::new(response, open, self.peer, head.attempt, limits);
         Ok((body, reply))
     }
 
-    /// Opens the stream of messages to the peer.
+    /// Opens the message stream to the peer.
     ///
     /// # Errors
     ///
-    /// When no stream can be opened.
+    /// Fails if no stream can be opened.
     pub async fn messages<M>(&self) -> Result<MessageSender<M>, WireError>
     where
         M: Serialize,
     {
         let (response, stream) = self.open_stream(MESSAGE_URI).await?;
-        let (sender, queue) = mpsc::channel(self.settings.message_queue);
+        let (sender, queue) = mpsc::channel(self.settings.message_queue_capacity);
         let limit = self.settings.connect_limit;
         tokio::spawn(async move {
             write_messages(queue, FrameWriter::new(stream)).await;
-            // Dropped before the peer has read to the end, the stream would be reset and the
-            // messages under way lost with it.
+            // If the response were dropped before the peer has read to the end, the stream would be
+            // reset and the messages in flight lost.
             let _ = tokio::time::timeout(limit, response).await;
         });
         Ok(MessageSender::new(
@@ -235,7 +238,7 @@
     }
 }
 
-/// Moves the connection's bytes until it ends or goes silent.
+/// Drives the connection until it ends or a heartbeat times out.
 async fn drive<I>(
     connection: h2::client::Connection<I, Bytes>,
     pings: Option<h2::PingPong>,
@@ -244,9 +247,9 @@
 ) where
     I: AsyncRead + AsyncWrite + Unpin,
 {
-    let silence = async {
+    let heartbeat = async {
         match pings {
-            Some(pings) => watch_silence(pings, state.clone(), settings).await,
+            Some(pings) => run_heartbeat(pings, state.clone(), settings).await,
             None => std::future::pending().await,
         }
     };
@@ -255,8 +258,8 @@
             Ok(()) => CloseReason::Lost("closed".to_owned()),
             Err(error) => CloseReason::Lost(error.to_string()),
         },
-        () = silence => CloseReason::Silent,
+        () = heartbeat => CloseReason::Silent,
     };
-    tracing::debug!(?reason, "connection to a peer ended");
+    tracing::debug!(?reason, "peer connection ended");
     state.close(reason);
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,38 +1,38 @@
-//! Payloads by bincode, with a limit on what a decoder may allocate.
+//! Bincode encoding of payloads, with a limit on the memory that decoding may allocate.
 
 use bincode::config::{Configuration, Fixint, LittleEndian, Varint};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Greatest size in bytes that decoding one payload may claim.
-const DECODE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum number of bytes that decoding one payload may allocate.
+const MAX_DECODE_BYTES: usize = 8 * 1024 * 1024;
 
-/// The standard configuration of bincode 2: little end, varint.
+/// Standard configuration of bincode 2: little endian, variable-length integers.
 const CONFIG: Configuration<LittleEndian, Varint> = bincode::config::standard();
 
-/// The same with fixed widths, for what is authenticated.
-const FIXED: Configuration<LittleEndian, Fixint> =
+/// Fixed-width configuration for data covered by a MAC.
+const FIXED_CONFIG: Configuration<LittleEndian, Fixint> =
     bincode::config::standard().with_fixed_int_encoding();
 
-/// A payload that cannot be encoded or decoded.
+/// Error of encoding or decoding a payload.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// The value has no encoding.
+    /// The value cannot be encoded.
     #[error("cannot encode: {0}")]
     Encode(String),
-    /// The bytes are no such value.
+    /// The bytes are not a valid encoding of the type.
     #[error("cannot decode: {0}")]
     Decode(String),
-    /// Bytes are left over after the value.
+    /// Number of bytes that follow the value.
     #[error("{0} bytes left over after the value")]
     Trailing(usize),
 }
 
-/// Encodes a payload.
+/// Encodes a payload with the standard configuration.
 ///
 /// # Errors
 ///
-/// When the type cannot be encoded, such as a sequence of unknown length.
+/// Fails if the type cannot be encoded, for example a sequence of unknown length.
 pub fn encode_payload<T>(value: &T) -> Result<Vec<u8>, CodecError>
 where
     T: Serialize,
@@ -41,16 +41,16 @@
         .map_err(|error| CodecError::Encode(error.to_string()))
 }
 
-/// Decodes a payload, which must be used up.
+/// Decodes a payload, which must end with the value.
 ///
 /// # Errors
 ///
-/// When the bytes are no such value or go on after it.
+/// Fails if the bytes are not a valid encoding of `T`, or if bytes follow the value.
 pub fn decode_payload<T>(bytes: &[u8]) -> Result<T, CodecError>
 where
     T: DeserializeOwned,
 {
-    let config = CONFIG.with_limit::<DECODE_BYTES>();
+    let config = CONFIG.with_limit::<MAX_DECODE_BYTES>();
     let (value, used) = bincode::serde::decode_from_slice(bytes, config)
         .map_err(|error| CodecError::Decode(error.to_string()))?;
     if used == bytes.len() {
@@ -60,11 +60,11 @@
     }
 }
 
-/// Encodes what goes into a message authentication code.
+/// Encodes data to be covered by a MAC.
 pub(crate) fn encode_fixed<T>(value: &T) -> Result<Vec<u8>, CodecError>
 where
     T: Serialize,
 {
-    bincode::serde::encode_to_vec(value, FIXED)
+    bincode::serde::encode_to_vec(value, FIXED_CONFIG)
         .map_err(|error| CodecError::Encode(error.to_string()))
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,5 +1,5 @@
-//! Shared state of a connection: whether it lives, how much work is open, when a round trip was
-//! proved last.
+//! Shared state of a connection: close reason, number of open work streams and time of the last
+//! confirmed round trip.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,16 +9,16 @@
 
 use crate::error::WireError;
 
-/// Why a connection ended.
+/// Reason why a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It went silent: heartbeats got no answer.
+    /// A heartbeat timed out.
     Silent,
-    /// It was closed or broke.
+    /// The connection was closed or broke; the text says how.
     Lost(String),
 }
 
-/// Shared by the handle, the driver, the heartbeat and the streams of a connection.
+/// State shared by the handle, the driver, the heartbeat and the streams of a connection.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionState {
     shared: Arc<SharedState>,
@@ -28,12 +28,12 @@
 struct SharedState {
     closed: watch::Sender<Option<CloseReason>>,
     open: watch::Sender<usize>,
-    proved: Mutex<Instant>,
-    used: Mutex<Instant>,
-    /// When the heartbeat was sent that is still unanswered.
-    asked: Mutex<Option<Instant>>,
-    /// Told of each proof of a round trip.
-    proofs: Notify,
+    last_round_trip: Mutex<Instant>,
+    last_used: Mutex<Instant>,
+    /// Send time of the heartbeat that waits for a reply.
+    pending_ping: Mutex<Option<Instant>>,
+    /// Notified on each confirmed round trip.
+    round_trips: Notify,
 }
 
 impl ConnectionState {
@@ -42,22 +42,22 @@
             shared: Arc::new(SharedState {
                 closed: watch::Sender::new(None),
                 open: watch::Sender::new(0),
-                proved: Mutex::new(Instant::now()),
-                used: Mutex::new(Instant::now()),
-                asked: Mutex::new(None),
-                proofs: Notify::new(),
+                last_round_trip: Mutex::new(Instant::now()),
+                last_used: Mutex::new(Instant::now()),
+                pending_ping: Mutex::new(None),
+                round_trips: Notify::new(),
             }),
         }
     }
 
-    /// Notes the end; the first reason stays.
+    /// Marks the connection as closed. Only the first reason is kept.
     pub(crate) fn close(&self, reason: CloseReason) {
         self.shared.closed.send_if_modified(|closed| {
-            let first = closed.is_none();
-            if first {
+            let is_first = closed.is_none();
+            if is_first {
                 *closed = Some(reason);
             }
-            first
+            is_first
         });
     }
 
@@ -69,8 +69,9 @@
         self.shared.closed.borrow().clone()
     }
 
-    /// Names a stream's error by what became of the connection.
-    pub(crate) fn explain(&self, error: WireError) -> WireError {
+    /// Replaces a stream's error by [`WireError::ConnectionSilent`] if a heartbeat timeout closed
+    /// the connection.
+    pub(crate) fn refine_error(&self, error: WireError) -> WireError {
         match (error, self.close_reason()) {
             (
                 WireError::ConnectionLost(_) | WireError::EndedEarly | WireError::Reset(_),
@@ -80,18 +81,18 @@
         }
     }
 
-    /// Counts a stream of work as open until the guard is dropped, and wakes the heartbeat.
-    /// Nothing when the limit is reached.
+    /// Counts a work stream as open until the returned guard is dropped, and wakes the heartbeat.
+    /// Returns `None` if `limit` streams are open.
     pub(crate) fn open_work(&self, limit: u32) -> Option<OpenWork> {
         let limit = usize::try_from(limit).unwrap_or(usize::MAX);
-        let opened = self.shared.open.send_if_modified(|open| {
-            let room = *open < limit;
-            *open += usize::from(room);
-            room
+        let is_opened = self.shared.open.send_if_modified(|open| {
+            let has_room = *open < limit;
+            *open += usize::from(has_room);
+            has_room
         });
-        opened.then(|| OpenWork {
+        is_opened.then(|| OpenWork {
             state: self.clone(),
-            since: Instant::now(),
+            opened_at: Instant::now(),
         })
     }
 
@@ -99,66 +100,67 @@
         *self.shared.open.borrow()
     }
 
-    /// Notes that the connection was used.
+    /// Records that the connection was used now.
     pub(crate) fn touch(&self) {
-        *locked(&self.shared.used) = Instant::now();
+        *lock(&self.shared.last_used) = Instant::now();
     }
 
-    /// How long nothing was sent, or nothing while work is open.
+    /// Returns the time since the last use, or `None` while work is open.
     pub(crate) fn idle_for(&self) -> Option<Duration> {
-        (self.open_count() == 0).then(|| locked(&self.shared.used).elapsed())
+        (self.open_count() == 0).then(|| lock(&self.shared.last_used).elapsed())
     }
 
-    /// Follows the count of open streams of work.
-    pub(crate) fn open_watch(&self) -> watch::Receiver<usize> {
+    /// Returns a receiver of the number of open work streams.
+    pub(crate) fn watch_open_work(&self) -> watch::Receiver<usize> {
         self.shared.open.subscribe()
     }
 
-    /// Notes that something sent at the time was answered.
-    pub(crate) fn prove_round_trip(&self, sent: Instant) {
-        let mut proved = locked(&self.shared.proved);
-        *proved = sent.max(*proved);
-        drop(proved);
-        self.shared.proofs.notify_waiters();
+    /// Records that the peer answered something sent at `sent`.
+    pub(crate) fn record_round_trip(&self, sent: Instant) {
+        let mut last_round_trip = lock(&self.shared.last_round_trip);
+        *last_round_trip = sent.max(*last_round_trip);
+        drop(last_round_trip);
+        self.shared.round_trips.notify_waiters();
     }
 
-    /// Waits until a round trip was proved that began no longer ago than `age`.
-    pub(crate) async fn proved_within(&self, age: Duration) {
+    /// Waits for a confirmed round trip that began at most `age` ago.
+    pub(crate) async fn wait_for_round_trip(&self, age: Duration) {
         loop {
-            let proof = self.shared.proofs.notified();
-            if self.proved_for() <= age {
+            let notified = self.shared.round_trips.notified();
+            if self.time_since_round_trip() <= age {
                 return;
             }
-            proof.await;
+            notified.await;
         }
     }
 
-    /// Notes that a heartbeat waits for its answer, or no longer does.
-    pub(crate) fn note_asked(&self, asked: Option<Instant>) {
-        *locked(&self.shared.asked) = asked;
+    /// Sets the send time of the heartbeat that waits for a reply, `None` once the reply arrived.
+    pub(crate) fn set_pending_ping(&self, pending_ping: Option<Instant>) {
+        *lock(&self.shared.pending_ping) = pending_ping;
     }
 
-    /// How long the peer has owed an answer; none while it owes nothing.
-    pub(crate) fn quiet_for(&self) -> Option<Duration> {
-        let asked = (*locked(&self.shared.asked))?;
-        let answered = *locked(&self.shared.proved) > asked;
-        (!answered).then(|| asked.elapsed())
+    /// Returns how long the reply to a heartbeat has been outstanding, or `None` if no heartbeat
+    /// waits for one.
+    pub(crate) fn unresponsive_for(&self) -> Option<Duration> {
+        let pending_ping = (*lock(&self.shared.pending_ping))?;
+        let is_answered = *lock(&self.shared.last_round_trip) > pending_ping;
+        (!is_answered).then(|| pending_ping.elapsed())
     }
 
-    pub(crate) fn proved_for(&self) -> Duration {
-        locked(&self.shared.proved).elapsed()
+    pub(crate) fn time_since_round_trip(&self) -> Duration {
+        lock(&self.shared.last_round_trip).elapsed()
     }
 }
 
-fn locked<T>(time: &Mutex<T>) -> MutexGuard<'_, T> {
-    time.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One open stream of work.
+/// Guard that counts a work stream as open.
 #[derive(Debug)]
 pub(crate) struct OpenWork {
     state: ConnectionState,
-    since: Instant,
+    opened_at: Instant,
 }
 
 impl OpenWork {
@@ -166,9 +168,9 @@
         &self.state
     }
 
-    /// Notes that the peer answered this stream.
-    pub(crate) fn answered(&self) {
-        self.state.prove_round_trip(self.since);
+    /// Records a round trip: the peer answered on this stream.
+    pub(crate) fn record_reply(&self) {
+        self.state.record_round_trip(self.opened_at);
     }
 }
 
@@ -179,12 +181,12 @@
     }
 }
 
-/// Tells when and why a connection ends.
+/// Watch that reports when and why a connection ends.
 #[derive(Clone, Debug)]
 pub struct ConnectionWatch(watch::Receiver<Option<CloseReason>>);
 
 impl ConnectionWatch {
-    /// Waits for the end.
+    /// Waits until the connection ends and returns the reason.
     pub async fn closed(&mut self) -> CloseReason {
         match self.0.wait_for(Option::is_some).await {
             Ok(reason) => reason.clone().unwrap_or(CloseReason::Silent),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// The reason, when it has ended.
+    /// Returns the reason why the connection ended, or `None` while it is open.
     #[must_use]
     pub fn reason(&self) -> Option<CloseReason> {
         self.0.borrow().clone()
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,80 +1,80 @@
-//! Sealed datagrams for gossip.
+//! Authenticated datagrams for gossip.
 //!
 //! ```text
 //! byte   0        1     2..           last 16
-//!        version  kind  bincode       HMAC-SHA256 over all before it, truncated
+//!        version  kind  bincode       HMAC-SHA256 over the preceding bytes, truncated
 //! ```
 //!
-//! The code proves that a node of the fleet made the datagram. It does not stop a replay: gossip
-//! content carries its own versions, and an older one changes nothing.
+//! The MAC proves that a node of the fleet created the datagram. It does not prevent replay: gossip
+//! content carries its own versions, and receivers ignore an older version.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::codec::{CodecError, decode_payload, encode_payload};
 use crate::frame::{FrameKind, WIRE_VERSION};
-use crate::keys::{CodePurpose, FleetKeys, SHORT_CODE_BYTES, same_code};
+use crate::keys::{FleetKeys, MacPurpose, SHORT_MAC_BYTES, macs_equal};
 
-/// Greatest size of a datagram in bytes: below the smallest common path MTU, so that it is never
-/// cut into fragments, of which each may be lost.
+/// Maximum size of a datagram in bytes. It is below the smallest common path MTU, since the loss of
+/// any IP fragment would lose the whole datagram.
 pub const DATAGRAM_BYTES: usize = 1200;
 
-/// Bytes before the payload.
+/// Version and kind, which precede the payload.
 const PREFIX: [u8; 2] = [WIRE_VERSION, FrameKind::Datagram as u8];
 
-/// Greatest size of what a datagram carries, in bytes.
-pub const DATAGRAM_PAYLOAD: usize = DATAGRAM_BYTES - PREFIX.len() - SHORT_CODE_BYTES;
+/// Maximum size of an encoded datagram payload in bytes.
+pub const DATAGRAM_PAYLOAD: usize = DATAGRAM_BYTES - PREFIX.len() - SHORT_MAC_BYTES;
 
-/// A datagram that cannot be made or is not of this fleet.
+/// Reason why a datagram cannot be encoded or is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It would be larger than [`DATAGRAM_BYTES`].
+    /// The datagram is larger than [`DATAGRAM_BYTES`].
     #[error("datagram of {0} bytes is above the limit of {DATAGRAM_BYTES}")]
     Oversized(usize),
-    /// It is shorter than its fixed parts.
+    /// The datagram is too short to hold the prefix and the MAC.
     #[error("datagram of {0} bytes is too short")]
     Truncated(usize),
-    /// Another version or kind.
+    /// The first two bytes are not [`WIRE_VERSION`] and [`FrameKind::Datagram`].
     #[error("datagram has version {version} and kind {kind}")]
     Version {
-        /// First byte.
+        /// Version, the first byte.
         version: u8,
-        /// Second byte.
+        /// Kind, the second byte.
         kind: u8,
     },
-    /// No known key made its code.
-    #[error("datagram is not sealed by a key of this fleet")]
+    /// No accepted fleet key matches the MAC.
+    #[error("datagram is not authenticated with a key of this fleet")]
     WrongKey,
-    /// Its content is not what it should be.
+    /// The payload cannot be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Encodes and seals a datagram by the current key.
+/// Encodes a datagram and authenticates it with the current key.
 ///
 /// # Errors
 ///
-/// When the content has no encoding or is too large.
+/// Fails if the content cannot be encoded or is too large.
 pub fn encode_datagram<T>(keys: &FleetKeys, content: &T) -> Result<Vec<u8>, DatagramError>
 where
     T: Serialize,
 {
     let mut bytes = PREFIX.to_vec();
     bytes.extend(encode_payload(content)?);
-    let size = bytes.len() + SHORT_CODE_BYTES;
+    let size = bytes.len() + SHORT_MAC_BYTES;
     if size > DATAGRAM_BYTES {
         return Err(DatagramError::Oversized(size));
     }
-    let code = keys.current.short_code(CodePurpose::Datagram, &bytes);
-    bytes.extend(code);
+    let mac = keys.current.short_mac(MacPurpose::Datagram, &bytes);
+    bytes.extend(mac);
     Ok(bytes)
 }
 
-/// Checks and decodes a datagram sealed by any accepted key.
+/// Verifies and decodes a datagram authenticated with any accepted key.
 ///
 /// # Errors
 ///
-/// When it is not whole, not of this fleet or not such content.
+/// Fails if the datagram is malformed, the MAC matches no accepted key or the payload is not a `T`.
 pub fn decode_datagram<T>(keys: &FleetKeys, bytes: &[u8]) -> Result<T, DatagramError>
 where
     T: DeserializeOwned,
@@ -82,21 +82,21 @@
     if bytes.len() > DATAGRAM_BYTES {
         return Err(DatagramError::Oversized(bytes.len()));
     }
-    let Some((sealed, code)) = bytes.split_last_chunk::<SHORT_CODE_BYTES>() else {
+    let Some((authenticated, mac)) = bytes.split_last_chunk::<SHORT_MAC_BYTES>() else {
         return Err(DatagramError::Truncated(bytes.len()));
     };
-    let Some((prefix, payload)) = sealed.split_first_chunk::<2>() else {
+    let Some((prefix, payload)) = authenticated.split_first_chunk::<2>() else {
         return Err(DatagramError::Truncated(bytes.len()));
     };
     if *prefix != PREFIX {
         let [version, kind] = *prefix;
         return Err(DatagramError::Version { version, kind });
     }
-    let known = keys
+    let is_authentic = keys
         .accepted()
         .iter()
-        .any(|key| same_code(&key.short_code(CodePurpose::Datagram, sealed), code));
-    if !known {
+        .any(|key| macs_equal(&key.short_mac(MacPurpose::Datagram, authenticated), mac));
+    if !is_authentic {
         return Err(DatagramError::WrongKey);
     }
     Ok(decode_payload(payload)?)
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -7,115 +7,121 @@
 use crate::frame::{FrameError, FrameKind};
 use crate::handshake::HandshakeRefusal;
 
-/// Why a connection did not come about. No work was sent.
+/// Reason why a connection was not established. No request was sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The address does not answer or the connection broke in the handshake.
+    /// The TCP connection failed, or broke during the handshake.
     #[error("cannot reach the peer: {0}")]
     Unreachable(String),
-    /// The handshake took too long.
-    #[error("handshake took too long")]
+    /// TCP connect and handshake exceeded [`WireSettings::connect_limit`].
+    ///
+    /// [`WireSettings::connect_limit`]: crate::WireSettings::connect_limit
+    #[error("handshake timed out")]
     TimedOut,
-    /// The peer refuses.
-    #[error("peer refuses: {0}")]
+    /// The peer refused the handshake.
+    #[error("peer refused the handshake: {0}")]
     Refused(HandshakeRefusal),
-    /// Another instance, or another life of it, answers at the address.
+    /// The address belongs to another node or to another incarnation of the expected node.
     #[error("expected instance {expected}, but {actual} answers")]
     WrongInstance {
-        /// The one wanted.
+        /// Instance that the client asked for.
         expected: InstanceId,
-        /// The one that answers.
+        /// Instance that answered.
         actual: InstanceId,
     },
-    /// The peer does not know the fleet's key.
-    #[error("peer is not of this fleet")]
+    /// The peer cannot prove that it holds a key of this fleet.
+    #[error("peer does not hold a key of this fleet")]
     NotOfFleet,
-    /// The peer sends bytes that are not frames.
+    /// The peer sent bytes that are not valid frames.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The peer sends a frame that cannot be decoded.
+    /// The peer sent a frame whose payload cannot be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The peer sends a frame out of turn.
-    #[error("frame {0:?} out of turn")]
+    /// The peer sent a frame of an unexpected kind.
+    #[error("unexpected frame {0:?}")]
     OutOfTurn(FrameKind),
 }
 
-/// Why a stream failed.
+/// Reason why a stream failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The connection takes no new stream; nothing was sent.
-    #[error("connection takes no new stream: {0}")]
+    /// The connection accepts no new streams; nothing was sent.
+    #[error("connection accepts no new streams: {0}")]
     NotOpened(String),
-    /// As many streams of work are open as the connection takes; nothing was sent.
-    #[error("connection carries as many requests as it may")]
+    /// [`WireSettings::max_streams`] work streams are open; nothing was sent.
+    ///
+    /// [`WireSettings::max_streams`]: crate::WireSettings::max_streams
+    #[error("connection has reached its limit of open requests")]
     TooManyStreams,
-    /// The peer refused the stream before it looked at it.
+    /// The peer refused the stream without processing any of it.
     #[error("peer refused the stream unprocessed")]
     StreamRefused,
-    /// Nothing comes back on the connection any more, not even heartbeats. The path is at fault,
-    /// not the upstream.
+    /// The peer no longer answers heartbeats. The network path or the peer is at fault, not the
+    /// upstream.
     #[error("connection went silent")]
     ConnectionSilent,
     /// The connection broke.
     #[error("connection lost: {0}")]
     ConnectionLost(String),
-    /// This side gave the exchange up, such as by dropping its body before the end.
-    #[error("this side gave the exchange up")]
+    /// This side dropped the exchange, for example the body before its end.
+    #[error("exchange was dropped on this side")]
     Abandoned,
-    /// The other side cancelled the stream.
-    #[error("other side cancelled")]
+    /// The peer cancelled the stream.
+    #[error("peer cancelled the stream")]
     Cancelled,
-    /// The other side has answered and wants no more of the body; the answer says the rest.
-    #[error("other side wants no more of the body")]
-    BodyUnwanted,
-    /// A write was dropped half way, so that the stream is of no more use.
-    #[error("an earlier write was dropped half way")]
-    HalfWritten,
-    /// The other side gave the stream up.
-    #[error("other side reset the stream: {0}")]
+    /// The peer has replied and needs no more of the request body; the reply holds the result.
+    #[error("peer needs no more of the body")]
+    BodyNotNeeded,
+    /// An earlier write was cancelled midway, so the stream is unusable.
+    #[error("an earlier write was cancelled midway")]
+    WriteInterrupted,
+    /// The peer reset the stream.
+    #[error("peer reset the stream: {0}")]
     Reset(String),
-    /// The other side ended the stream too early.
-    #[error("stream ended too early")]
+    /// The stream ended before its last frame.
+    #[error("stream ended early")]
     EndedEarly,
-    /// The stream carries bytes that are not frames.
+    /// The stream carries bytes that are not valid frames.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The stream carries a frame that cannot be decoded.
+    /// The stream carries a frame whose payload cannot be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The stream carries a frame out of turn.
-    #[error("frame {0:?} out of turn")]
+    /// The stream carries a frame of an unexpected kind.
+    #[error("unexpected frame {0:?}")]
     OutOfTurn(FrameKind),
-    /// The body has another length or digest than its end says.
-    #[error("body is not whole: {actual} bytes of {expected}")]
+    /// The body does not match the length or digest sent with it.
+    #[error("body does not match its length or digest: got {actual} bytes, expected {expected}")]
     NotWhole {
-        /// Length announced.
+        /// Declared length in bytes.
         expected: u64,
-        /// Length seen.
+        /// Received length in bytes.
         actual: u64,
     },
-    /// The reply is for another try or request.
+    /// The reply is for another attempt or request.
     #[error("reply is for attempt {actual}, not {expected}")]
     WrongAttempt {
-        /// The one asked.
+        /// Attempt that was sent.
         expected: AttemptId,
-        /// The one answered.
+        /// Attempt that the reply names.
         actual: AttemptId,
     },
-    /// The reply is from another instance than the connection's peer.
+    /// A reply, or the upstream of a request, names an instance other than the connection's server.
     #[error("reply is from instance {0}")]
     WrongInstance(InstanceId),
-    /// A head, an end or a chunk is larger than its limit.
+    /// An encoded payload is larger than its limit in [`FrameLimits`], in bytes.
+    ///
+    /// [`FrameLimits`]: crate::FrameLimits
     #[error("payload of {0} bytes is above the limit")]
     Oversized(usize),
 }
 
 impl WireError {
-    /// Whether a request whose exchange ended so may have run.
+    /// Returns whether a request that failed with this error may have run.
     ///
-    /// Certain is only that nothing runs of a stream that never opened or that the peer refused
-    /// unprocessed. A broken or silent connection says nothing of what happened behind it.
+    /// Only a stream that was never opened or that the peer refused unprocessed certainly did not
+    /// run. A broken or silent connection gives no information about the peer's side.
     #[must_use]
     pub const fn run_state(&self) -> RunState {
         match self {
@@ -124,11 +130,11 @@
         }
     }
 
-    pub(crate) fn of_reason(reason: Reason) -> Self {
+    pub(crate) fn from_reason(reason: Reason) -> Self {
         match reason {
             Reason::REFUSED_STREAM => Self::StreamRefused,
             Reason::CANCEL => Self::Cancelled,
-            Reason::NO_ERROR => Self::BodyUnwanted,
+            Reason::NO_ERROR => Self::BodyNotNeeded,
             other => Self::Reset(other.description().to_owned()),
         }
     }
@@ -137,7 +143,7 @@
 impl From<h2::Error> for WireError {
     fn from(error: h2::Error) -> Self {
         match error.reason() {
-            Some(reason) if error.is_reset() && error.is_remote() => Self::of_reason(reason),
+            Some(reason) if error.is_reset() && error.is_remote() => Self::from_reason(reason),
             Some(_) if error.is_reset() => Self::Abandoned,
             _ => Self::ConnectionLost(error.to_string()),
         }
--- a/crates/wire/src/exchange.rs
+++ b/crates/wire/src/exchange.rs
@@ -1,25 +1,25 @@
-//! The sending side of one request: its body out, its reply back.
+//! Client side of one request: sends the body and receives the reply.
 
 use bytes::{Bytes, BytesMut};
 use h2::Reason;
 use h2::client::ResponseFuture;
 use sycamorelink_core::{AttemptId, InstanceId};
 
+use crate::checksum::BodyChecksum;
 use crate::codec::decode_payload;
 use crate::connection::{ConnectionState, OpenWork};
 use crate::error::WireError;
 use crate::frame::{Frame, FrameKind, FrameLimits, put_frame};
 use crate::stream::{FrameReader, FrameWriter, chunk_frames, put_value};
-use crate::tally::BodyTally;
 use crate::work::{BodyEnd, ReplyEnd, ReplyHead, WorkFailed, WorkRefused};
 
-/// Sends the body of a request. Dropping it before [`Self::finish`] cancels the request.
+/// Sender of a request body. Dropping it before [`Self::finish`] cancels the request.
 #[derive(Debug)]
 pub struct BodySender {
     writer: FrameWriter,
     limits: FrameLimits,
     state: ConnectionState,
-    tally: BodyTally,
+    checksum: BodyChecksum,
     finished: bool,
 }
 
@@ -29,24 +29,24 @@
             writer,
             limits,
             state,
-            tally: BodyTally::default(),
+            checksum: BodyChecksum::default(),
             finished: false,
         }
     }
 
-    /// Sends a piece of the body, as fast as the peer takes it.
+    /// Sends part of the body, waiting while the peer's flow-control window is full.
     ///
     /// # Errors
     ///
-    /// When the peer wants no more of it, or the connection ends.
+    /// Fails if the peer needs no more of the body or the connection ends.
     pub async fn send(&mut self, chunk: &[u8]) -> Result<(), WireError> {
         let limits = self.limits;
         for (frame, piece) in chunk_frames(FrameKind::BodyChunk, chunk, &limits)
             .zip(chunk.chunks(limits.chunk.max(1)))
         {
-            self.tally.add(piece);
+            self.checksum.update(piece);
             let written = self.writer.write(frame, false).await;
-            written.map_err(|error| self.state.explain(error))?;
+            written.map_err(|error| self.state.refine_error(error))?;
         }
         Ok(())
     }
@@ -55,22 +55,22 @@
     ///
     /// # Errors
     ///
-    /// When the peer wants no more of it, or the connection ends.
+    /// Fails if the peer needs no more of the body or the connection ends.
     pub async fn finish(mut self) -> Result<(), WireError> {
         let mut buffer = BytesMut::new();
         self.put_end(&mut buffer)?;
         self.write_end(buffer).await
     }
 
-    /// Sends a whole body and its end in one write.
+    /// Sends the whole body and its end in one write.
     ///
     /// # Errors
     ///
-    /// When the peer wants no more of it, or the connection ends.
+    /// Fails if the peer needs no more of the body or the connection ends.
     pub async fn finish_with(mut self, body: &[u8]) -> Result<(), WireError> {
         let mut buffer = BytesMut::with_capacity(body.len() + self.limits.chunk.min(256));
         for piece in body.chunks(self.limits.chunk.max(1)) {
-            self.tally.add(piece);
+            self.checksum.update(piece);
             put_frame(&mut buffer, FrameKind::BodyChunk, piece);
         }
         self.put_end(&mut buffer)?;
@@ -79,8 +79,8 @@
 
     fn put_end(&self, buffer: &mut BytesMut) -> Result<(), WireError> {
         let end = BodyEnd {
-            length: self.tally.length,
-            digest: self.tally.digest,
+            length: self.checksum.length,
+            digest: self.checksum.digest,
         };
         put_value(buffer, FrameKind::BodyEnd, &end, &self.limits)
     }
@@ -88,7 +88,7 @@
     async fn write_end(&mut self, buffer: BytesMut) -> Result<(), WireError> {
         let written = self.writer.write(buffer.freeze(), true).await;
         self.finished = written.is_ok();
-        written.map_err(|error| self.state.explain(error))
+        written.map_err(|error| self.state.refine_error(error))
     }
 }
 
@@ -100,14 +100,14 @@
     }
 }
 
-/// How a reply begins.
+/// First frame of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyOpening {
-    /// The peer refuses the request.
+    /// The peer refused the request.
     Refused(WorkRefused),
     /// The upstream failed before it replied.
     Failed(WorkFailed),
-    /// The upstream replies; the body follows.
+    /// The upstream replied; the body follows.
     Reply(ReplyHead),
 }
 
@@ -117,48 +117,48 @@
     Open(FrameReader),
 }
 
-/// Receives the reply to a request. Every part of it is checked against the request's attempt,
-/// and the body against the length and digest at its end.
+/// Receiver of the reply to a request. Each frame is checked against the request's attempt, and the
+/// body against the length and digest in its last frame.
 #[derive(Debug)]
 pub struct ReplyReceiver {
     state: ReceiveState,
-    open: OpenWork,
+    open_work: OpenWork,
     peer: InstanceId,
     attempt: AttemptId,
     limits: FrameLimits,
-    announced: Option<u64>,
-    tally: BodyTally,
+    declared_length: Option<u64>,
+    checksum: BodyChecksum,
     outcome: Option<Result<ReplyEnd, WorkFailed>>,
 }
 
 impl ReplyReceiver {
     pub(crate) fn new(
         response: ResponseFuture,
-        open: OpenWork,
+        open_work: OpenWork,
         peer: InstanceId,
         attempt: AttemptId,
         limits: FrameLimits,
     ) -> Self {
         Self {
             state: ReceiveState::Waiting(response),
-            open,
+            open_work,
             peer,
             attempt,
             limits,
-            announced: None,
-            tally: BodyTally::default(),
+            declared_length: None,
+            checksum: BodyChecksum::default(),
             outcome: None,
         }
     }
 
-    /// Waits for the beginning of the reply. May be dropped and called again.
+    /// Waits for the first frame of the reply. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// When the exchange ends without one, or it is not the answer to this attempt.
+    /// Fails if the stream ends without a reply or the reply is for another attempt.
     pub async fn opening(&mut self) -> Result<ReplyOpening, WireError> {
         let frame = self.next_frame().await?;
-        self.open.answered();
+        self.open_work.record_reply();
         match frame.kind {
             FrameKind::WorkRefused => {
                 let refused: WorkRefused = decode_payload(&frame.payload)?;
@@ -176,19 +176,19 @@
                 if head.instance != self.peer {
                     return Err(WireError::WrongInstance(head.instance));
                 }
-                self.announced = head.body_length;
+                self.declared_length = head.body_length;
                 Ok(ReplyOpening::Reply(head))
             }
             other => Err(WireError::OutOfTurn(other)),
         }
     }
 
-    /// The next piece of the body, or nothing when it ended; [`Self::outcome`] then says how. May
-    /// be dropped and called again.
+    /// Returns the next chunk of the body, or `None` at its end; [`Self::outcome`] then tells
+    /// whether the body is complete. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// When the exchange breaks off or the body is not whole.
+    /// Fails if the stream ends early or the body does not match its length and digest.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, WireError> {
         if self.outcome.is_some() {
             return Ok(None);
@@ -196,13 +196,13 @@
         let frame = self.next_frame().await?;
         match frame.kind {
             FrameKind::ReplyChunk => {
-                self.tally.add(&frame.payload);
+                self.checksum.update(&frame.payload);
                 Ok(Some(frame.payload))
             }
             FrameKind::ReplyEnd => {
                 let end: ReplyEnd = decode_payload(&frame.payload)?;
                 self.check_attempt(end.attempt)?;
-                self.check_whole(&end)?;
+                self.verify_body(&end)?;
                 self.outcome = Some(Ok(end));
                 Ok(None)
             }
@@ -216,7 +216,8 @@
         }
     }
 
-    /// How the body ended: whole, or because the upstream failed within it.
+    /// Returns how the body ended, or `None` before its end: complete, or cut short because the
+    /// upstream failed.
     #[must_use]
     pub fn outcome(&self) -> Option<Result<ReplyEnd, WorkFailed>> {
         self.outcome
@@ -229,8 +230,8 @@
         };
         match frame {
             Ok(Some(frame)) => Ok(frame),
-            Ok(None) => Err(self.open.state().explain(WireError::EndedEarly)),
-            Err(error) => Err(self.open.state().explain(error)),
+            Ok(None) => Err(self.open_work.state().refine_error(WireError::EndedEarly)),
+            Err(error) => Err(self.open_work.state().refine_error(error)),
         }
     }
 
@@ -256,15 +257,17 @@
         })
     }
 
-    fn check_whole(&self, end: &ReplyEnd) -> Result<(), WireError> {
-        let seen = self.tally;
-        let as_announced = self.announced.is_none_or(|length| length == seen.length);
-        if as_announced && end.length == seen.length && end.digest == seen.digest {
+    fn verify_body(&self, end: &ReplyEnd) -> Result<(), WireError> {
+        let received = self.checksum;
+        let matches_declared = self
+            .declared_length
+            .is_none_or(|length| length == received.length);
+        if matches_declared && end.length == received.length && end.digest == received.digest {
             return Ok(());
         }
         Err(WireError::NotWhole {
-            expected: self.announced.unwrap_or(end.length),
-            actual: seen.length,
+            expected: self.declared_length.unwrap_or(end.length),
+            actual: received.length,
         })
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //! byte   0        1     2..6              6..
-//!        version  kind  length, big end   payload
+//!        version  kind  length, BE        payload
 //! ```
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -10,12 +10,12 @@
 /// Version of the inner protocol.
 pub const WIRE_VERSION: u8 = 1;
 
-/// Size of a frame's header in bytes.
+/// Size of a frame header in bytes.
 pub(crate) const HEADER_BYTES: usize = 6;
 
 macro_rules! frame_kinds {
     ($($(#[$doc:meta])* $name:ident = $code:literal,)+) => {
-        /// What a frame carries.
+        /// Kind of a frame's payload, encoded as one byte.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         #[repr(u8)]
         pub enum FrameKind {
@@ -23,7 +23,7 @@
         }
 
         impl FrameKind {
-            /// Every kind, in order of its code.
+            /// All kinds in order of their codes.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
             fn from_code(code: u8) -> Option<Self> {
@@ -37,44 +37,44 @@
 }
 
 frame_kinds! {
-    /// Who connects, to whom, with which keys.
+    /// Client's instance, target, nonce and key ids; opens the handshake.
     Hello = 1,
-    /// Who answers, with a nonce.
+    /// Server's instance, nonce and selected key id.
     Challenge = 2,
-    /// The connecting node's proof of the fleet key.
+    /// Client's proof of the fleet key.
     Proof = 3,
-    /// The answering node's proof of the fleet key.
+    /// Server's proof of the fleet key.
     Accepted = 4,
-    /// The handshake ends without a connection.
+    /// Refusal of the handshake; the server closes the connection.
     HandshakeRefused = 5,
-    /// A request for an upstream.
+    /// Head of a request for an upstream.
     WorkHead = 16,
-    /// A piece of a request's body.
+    /// Chunk of a request body.
     BodyChunk = 17,
-    /// The end of a request's body.
+    /// End of a request body, with length and digest.
     BodyEnd = 18,
-    /// The request is refused and did not run here.
+    /// Refusal of a request that did not run on the receiving node.
     WorkRefused = 32,
-    /// The head of a reply.
+    /// Head of a reply.
     ReplyHead = 33,
-    /// A piece of a reply's body.
+    /// Chunk of a reply body.
     ReplyChunk = 34,
-    /// The end of a reply's body.
+    /// End of a reply body, with length and digest.
     ReplyEnd = 35,
-    /// The upstream failed, before or within the reply.
+    /// Failure of the upstream before or during the reply.
     WorkFailed = 36,
-    /// A one-way message.
+    /// One-way message.
     Message = 48,
-    /// The content of a datagram.
+    /// Payload of a UDP datagram; never sent on a stream.
     Datagram = 64,
 }
 
-/// Greatest payloads in bytes.
+/// Maximum payload sizes in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameLimits {
-    /// Heads and ends of requests and replies.
+    /// Heads and ends of requests and replies, refusals and failures.
     pub head: usize,
-    /// One piece of a body.
+    /// One chunk of a body.
     pub chunk: usize,
     /// One message.
     pub message: usize,
@@ -91,15 +91,15 @@
 }
 
 impl FrameLimits {
-    /// Greatest payload of frames of this kind.
+    /// Returns the maximum payload in bytes of frames of a kind.
     #[must_use]
-    pub const fn of(&self, kind: FrameKind) -> usize {
+    pub const fn for_kind(&self, kind: FrameKind) -> usize {
         match kind {
             FrameKind::Hello
             | FrameKind::Challenge
             | FrameKind::Proof
             | FrameKind::Accepted
-            | FrameKind::HandshakeRefused => crate::handshake::HANDSHAKE_BYTES,
+            | FrameKind::HandshakeRefused => crate::handshake::MAX_HANDSHAKE_BYTES,
             FrameKind::BodyChunk | FrameKind::ReplyChunk => self.chunk,
             FrameKind::Message => self.message,
             FrameKind::Datagram => crate::datagram::DATAGRAM_BYTES,
@@ -113,30 +113,30 @@
     }
 }
 
-/// One frame.
+/// Decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What it carries.
+    /// Kind of the payload.
     pub kind: FrameKind,
-    /// The payload.
+    /// Encoded payload, without the header.
     pub payload: Bytes,
 }
 
-/// Bytes that are not frames of this protocol.
+/// Reason why bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Another version of the protocol.
-    #[error("protocol version {0} is not known here, only {WIRE_VERSION}")]
+    /// The header has another protocol version.
+    #[error("unsupported protocol version {0}, expected {WIRE_VERSION}")]
     Version(u8),
-    /// A kind that this version does not have.
-    #[error("frame kind {0} is not known")]
+    /// The header has an unknown kind.
+    #[error("unknown frame kind {0}")]
     Kind(u8),
-    /// A payload above the limit of its kind.
+    /// The payload is above the limit of its kind.
     #[error("frame of {length} bytes is above the limit of {limit}")]
     Oversized {
-        /// Length in the header.
+        /// Payload length in the header, in bytes.
         length: usize,
-        /// The limit.
+        /// Limit of the kind in bytes.
         limit: usize,
     },
     /// The stream ended within a frame.
@@ -144,7 +144,7 @@
     Truncated,
 }
 
-/// Encodes one frame.
+/// Encodes a frame, header and payload.
 #[must_use]
 pub fn encode_frame(kind: FrameKind, payload: &[u8]) -> Bytes {
     let mut buffer = BytesMut::with_capacity(HEADER_BYTES + payload.len());
@@ -152,7 +152,8 @@
     buffer.freeze()
 }
 
-/// Appends one frame to a buffer. Payloads are bounded far below 4 GiB by [`FrameLimits`].
+/// Appends a frame to a buffer. [`FrameLimits`] keep payloads far below the 4 GiB that the length
+/// field can express.
 pub(crate) fn put_frame(buffer: &mut BytesMut, kind: FrameKind, payload: &[u8]) {
     buffer.put_u8(WIRE_VERSION);
     buffer.put_u8(kind as u8);
@@ -160,11 +161,11 @@
     buffer.put_slice(payload);
 }
 
-/// Reads the header of a frame.
+/// Parses a frame header and returns the kind and the payload length.
 ///
 /// # Errors
 ///
-/// When version, kind or length are not acceptable.
+/// Fails if the version or kind is unknown or the length is above the limit.
 pub(crate) fn read_header(
     header: [u8; HEADER_BYTES],
     limits: &FrameLimits,
@@ -175,15 +176,15 @@
     }
     let kind = FrameKind::from_code(code).ok_or(FrameError::Kind(code))?;
     let length = usize::try_from(u32::from_be_bytes(length)).unwrap_or(usize::MAX);
-    let limit = limits.of(kind);
+    let limit = limits.for_kind(kind);
     if length > limit {
         return Err(FrameError::Oversized { length, limit });
     }
     Ok((kind, length))
 }
 
-/// Cuts frames out of the bytes of a stream. It holds no more than one frame and one piece of
-/// input, whatever the header claims.
+/// Incremental decoder of the frames in a byte stream. The decoder buffers at most one frame and
+/// one piece of input, regardless of the length in the header.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     limits: FrameLimits,
@@ -191,7 +192,7 @@
 }
 
 impl FrameDecoder {
-    /// Creates a decoder.
+    /// Creates a decoder that rejects payloads above `limits`.
     #[must_use]
     pub fn new(limits: FrameLimits) -> Self {
         Self {
@@ -200,16 +201,17 @@
         }
     }
 
-    /// Takes bytes of the stream.
+    /// Appends bytes received on the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next frame, or `None` until enough bytes were pushed.
     ///
     /// # Errors
     ///
-    /// When the bytes are not frames of this protocol. The stream is then of no more use.
+    /// Fails if the bytes are not a valid frame. The stream cannot be decoded further after an
+    /// error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
@@ -223,11 +225,11 @@
         Ok(Some(Frame { kind, payload }))
     }
 
-    /// Says that the stream ended.
+    /// Checks that the stream ended on a frame boundary.
     ///
     /// # Errors
     ///
-    /// When it ended within a frame.
+    /// Fails with [`FrameError::Truncated`] if the stream ended within a frame.
     pub fn finish(&self) -> Result<(), FrameError> {
         if self.buffer.is_empty() {
             Ok(())
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake before h2: both sides prove the fleet key, for this connection only.
+//! Handshake before h2, in which both sides prove that they hold a fleet key.
 //!
 //! ```text
 //! client                                   server
@@ -8,11 +8,11 @@
 //!                                      ◀── Accepted{code}                  or HandshakeRefused
 //! ```
 //!
-//! A code covers the protocol version, both instances, the target and both nonces. A recorded
-//! hello or proof is of no use later, since the other side's nonce is new; a code of one side is of
-//! no use as the other's, since the purpose goes into it. The server answers only the target meant:
-//! a node restarted at the same address is another instance, and work meant for its earlier life
-//! must not start in this one.
+//! Each `code` is a MAC over the protocol version, both instances, the target and both nonces. A
+//! recorded hello or proof cannot be replayed, since the other side picks a new nonce; a MAC of one
+//! side cannot be reflected as that of the other, since it also covers its purpose. The server
+//! refuses a hello whose target is another instance: a node restarted at the same address is
+//! another instance, and must not run work sent to its earlier incarnation.
 
 use std::io;
 use std::sync::Arc;
@@ -29,14 +29,15 @@
 use crate::frame::{
     FrameError, FrameKind, FrameLimits, HEADER_BYTES, WIRE_VERSION, encode_frame, read_header,
 };
-use crate::keys::{CodePurpose, FleetKey, FleetKeys, FullCode, KeyId, same_code};
+use crate::keys::{FleetKey, FleetKeys, FullMac, KeyId, MacPurpose, macs_equal};
 
-/// Greatest payload of a handshake frame in bytes. It bounds what a stranger can make us read.
-pub(crate) const HANDSHAKE_BYTES: usize = 512;
+/// Maximum payload of a handshake frame in bytes. It bounds what an unauthenticated client can make
+/// the server read.
+pub(crate) const MAX_HANDSHAKE_BYTES: usize = 512;
 
 type HandshakeNonce = [u8; 16];
 
-fn fresh_nonce() -> Result<HandshakeNonce, ConnectError> {
+fn random_nonce() -> Result<HandshakeNonce, ConnectError> {
     let mut nonce = HandshakeNonce::default();
     OsRng
         .try_fill_bytes(&mut nonce)
@@ -44,17 +45,17 @@
     Ok(nonce)
 }
 
-/// Who a node is to its peers.
+/// Identity of a node towards its peers.
 #[derive(Clone, Debug)]
 pub struct PeerIdentity {
-    /// Its instance.
+    /// Instance of the node.
     pub instance: InstanceId,
-    /// The fleet's keys.
+    /// Keys of the fleet.
     pub keys: Arc<FleetKeys>,
 }
 
 impl PeerIdentity {
-    /// Creates an identity.
+    /// Creates an identity from an instance and the fleet keys.
     #[must_use]
     pub fn new(instance: InstanceId, keys: FleetKeys) -> Self {
         Self {
@@ -64,26 +65,26 @@
     }
 }
 
-/// Why a node refuses a handshake.
+/// Reason why a node refuses a handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum HandshakeRefusal {
-    /// The client speaks another version.
-    #[error("protocol version is not known")]
+    /// The client uses an unknown protocol version.
+    #[error("unknown protocol version")]
     UnknownVersion,
-    /// The client has no key that the node accepts: it is not of this fleet.
+    /// The client offers no key that the node accepts, so it is not part of this fleet.
     #[error("no common fleet key")]
     UnknownKey,
-    /// The client's proof is wrong: it is not of this fleet.
-    #[error("proof of the fleet key is wrong")]
+    /// The client's MAC does not match, so it does not hold the key that it named.
+    #[error("invalid proof of the fleet key")]
     WrongProof,
-    /// The client means another instance or another life of this one.
+    /// The client's target is another node or another incarnation of this node.
     #[error("this is instance {actual}")]
     WrongInstance {
-        /// The one that answers.
+        /// Instance of the refusing node.
         actual: InstanceId,
     },
-    /// The client's first frame makes no sense.
-    #[error("frame makes no sense")]
+    /// A handshake frame of the client cannot be parsed or is of an unexpected kind.
+    #[error("handshake frame is malformed")]
     Malformed,
 }
 
@@ -104,10 +105,10 @@
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct ProofFrame {
-    code: FullCode,
+    code: FullMac,
 }
 
-/// What a code covers.
+/// Data covered by the MACs of a handshake.
 #[derive(Serialize)]
 struct HandshakeTranscript<'a> {
     version: u8,
@@ -116,12 +117,12 @@
 }
 
 impl HandshakeTranscript<'_> {
-    fn code(&self, key: &FleetKey, purpose: CodePurpose) -> Result<FullCode, ConnectError> {
-        Ok(key.code(purpose, &encode_fixed(self)?))
+    fn mac(&self, key: &FleetKey, purpose: MacPurpose) -> Result<FullMac, ConnectError> {
+        Ok(key.mac(purpose, &encode_fixed(self)?))
     }
 }
 
-/// Runs the connecting side and returns the peer's instance.
+/// Runs the client side and returns the peer's instance.
 pub(crate) async fn connect_handshake<I>(
     io: &mut I,
     identity: &PeerIdentity,
@@ -134,7 +135,7 @@
     let hello = HelloFrame {
         client: identity.instance,
         target,
-        nonce: fresh_nonce()?,
+        nonce: random_nonce()?,
         keys: keys.iter().map(|key| key.id()).collect(),
     };
     send(io, FrameKind::Hello, &hello).await?;
@@ -148,13 +149,13 @@
         hello: &hello,
         challenge: &challenge,
     };
-    let code = transcript.code(key, CodePurpose::ClientProof)?;
+    let code = transcript.mac(key, MacPurpose::ClientProof)?;
     send(io, FrameKind::Proof, &ProofFrame { code }).await?;
     let accepted: ProofFrame = receive(io, FrameKind::Accepted)
         .await
-        .map_err(|error| named_instance(error, target))?;
-    let expected = transcript.code(key, CodePurpose::ServerProof)?;
-    if !same_code(&accepted.code, &expected) {
+        .map_err(|error| map_wrong_instance(error, target))?;
+    let expected = transcript.mac(key, MacPurpose::ServerProof)?;
+    if !macs_equal(&accepted.code, &expected) {
         return Err(ConnectError::NotOfFleet);
     }
     match target {
@@ -166,7 +167,7 @@
     }
 }
 
-fn named_instance(error: ConnectError, target: Option<InstanceId>) -> ConnectError {
+fn map_wrong_instance(error: ConnectError, target: Option<InstanceId>) -> ConnectError {
     match (error, target) {
         (ConnectError::Refused(HandshakeRefusal::WrongInstance { actual }), Some(expected)) => {
             ConnectError::WrongInstance { expected, actual }
@@ -175,7 +176,7 @@
     }
 }
 
-/// Runs the answering side and returns the client's instance. The client is told of a refusal.
+/// Runs the server side and returns the client's instance. A refusal is sent to the client.
 pub(crate) async fn accept_handshake<I>(
     io: &mut I,
     identity: &PeerIdentity,
@@ -193,7 +194,7 @@
     };
     let challenge = ChallengeFrame {
         server: identity.instance,
-        nonce: fresh_nonce()?,
+        nonce: random_nonce()?,
         key: key.id(),
     };
     send(io, FrameKind::Challenge, &challenge).await?;
@@ -206,10 +207,7 @@
         hello: &hello,
         challenge: &challenge,
     };
-    if !same_code(
-        &proof.code,
-        &transcript.code(key, CodePurpose::ClientProof)?,
-    ) {
+    if !macs_equal(&proof.code, &transcript.mac(key, MacPurpose::ClientProof)?) {
         return refuse(io, HandshakeRefusal::WrongProof).await;
     }
     if hello
@@ -219,7 +217,7 @@
         let actual = identity.instance;
         return refuse(io, HandshakeRefusal::WrongInstance { actual }).await;
     }
-    let code = transcript.code(key, CodePurpose::ServerProof)?;
+    let code = transcript.mac(key, MacPurpose::ServerProof)?;
     send(io, FrameKind::Accepted, &ProofFrame { code }).await?;
     Ok(hello.client)
 }
@@ -253,25 +251,23 @@
     T: Serialize,
 {
     let frame = encode_frame(kind, &encode_payload(value)?);
-    io.write_all(&frame).await.map_err(unreachable_peer)?;
-    io.flush().await.map_err(unreachable_peer)
+    io.write_all(&frame).await.map_err(unreachable)?;
+    io.flush().await.map_err(unreachable)
 }
 
-async fn receive<I, T>(io: &mut I, wanted: FrameKind) -> Result<T, ConnectError>
+async fn receive<I, T>(io: &mut I, expected: FrameKind) -> Result<T, ConnectError>
 where
     I: AsyncRead + Unpin,
     T: DeserializeOwned,
 {
     let mut header = [0; HEADER_BYTES];
-    io.read_exact(&mut header).await.map_err(unreachable_peer)?;
+    io.read_exact(&mut header).await.map_err(unreachable)?;
     let (kind, length) = read_header(header, &FrameLimits::default())?;
-    if kind != wanted && kind != FrameKind::HandshakeRefused {
+    if kind != expected && kind != FrameKind::HandshakeRefused {
         return Err(ConnectError::OutOfTurn(kind));
     }
     let mut payload = vec![0; length];
-    io.read_exact(&mut payload)
-        .await
-        .map_err(unreachable_peer)?;
+    io.read_exact(&mut payload).await.map_err(unreachable)?;
     if kind == FrameKind::HandshakeRefused {
         return Err(ConnectError::Refused(decode_payload(&payload)?));
     }
@@ -279,6 +275,6 @@
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "the signature of map_err")]
-fn unreachable_peer(error: io::Error) -> ConnectError {
+fn unreachable(error: io::Error) -> ConnectError {
     ConnectError::Unreachable(error.to_string())
 }
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -1,9 +1,10 @@
-//! Heartbeats: finds a connection that something between the two ends has lost track of.
+//! Heartbeats, which detect connections whose state was lost on the network path.
 //!
-//! Such a connection takes what is written and gives nothing back, for good, while new
-//! connections work. Seen from a request it looks like a slow upstream; taken for that, a healthy
-//! backend server would be ejected. A PING answered by the peer's h2 layer tells the two apart:
-//! it does not wait for any backend server.
+//! A middlebox that drops its state for a connection leaves both ends open: writes succeed and
+//! nothing ever arrives, while new connections work. To a waiting request this looks like a slow
+//! upstream, and a healthy backend server would be ejected for it. The peer's h2 layer answers a
+//! PING without waiting for any backend server, so an unanswered PING identifies the connection as
+//! the cause.
 
 use std::time::Duration;
 
@@ -14,80 +15,82 @@
 use crate::connection::ConnectionState;
 use crate::settings::WireSettings;
 
-/// Slices into which the wait for an answer is cut.
-const SLICES: u32 = 7;
+/// Number of slices into which the wait for a PING reply is divided.
+const TIMEOUT_SLICES: u32 = 7;
 
-/// A slice that took this many times its length was slept through.
-const PAUSE_FACTOR: u32 = 3;
+/// A slice that takes more than this multiple of its length indicates that the process was paused.
+const PROCESS_PAUSE_FACTOR: u32 = 3;
 
-/// Sends heartbeats and returns when one stays unanswered.
+/// Sends heartbeats and returns when one times out.
 ///
-/// While replies come back, each proves a round trip, and no PING is sent.
-pub(crate) async fn watch_silence(
+/// Each reply to a request also confirms a round trip, so no PING is sent while replies arrive.
+pub(crate) async fn run_heartbeat(
     mut pings: PingPong,
     state: ConnectionState,
     settings: WireSettings,
 ) {
-    let mut open = state.open_watch();
+    let mut open = state.watch_open_work();
     loop {
         let busy = *open.borrow_and_update() > 0;
         let interval = if busy {
-            settings.heartbeat
+            settings.heartbeat_interval
         } else {
-            settings.idle_heartbeat
+            settings.idle_heartbeat_interval
         };
-        let rest = interval.saturating_sub(state.proved_for());
-        if !rest.is_zero() {
-            pause(rest, busy, &mut open).await;
+        let remaining = interval.saturating_sub(state.time_since_round_trip());
+        if !remaining.is_zero() {
+            sleep_until_due(remaining, busy, &mut open).await;
             continue;
         }
         let sent = Instant::now();
-        state.note_asked(Some(sent));
-        match await_pong(&mut pings, settings.silence_limit).await {
+        state.set_pending_ping(Some(sent));
+        match await_pong(&mut pings, settings.heartbeat_limit).await {
             PongResult::Answered => {
-                state.note_asked(None);
-                state.prove_round_trip(sent);
+                state.set_pending_ping(None);
+                state.record_round_trip(sent);
             }
-            PongResult::Ended => return std::future::pending().await,
-            PongResult::Silent => return,
+            PongResult::ConnectionClosed => return std::future::pending().await,
+            PongResult::TimedOut => return,
         }
     }
 }
 
 enum PongResult {
     Answered,
-    Silent,
-    /// The connection ended by itself and says so elsewhere.
-    Ended,
+    TimedOut,
+    /// The connection closed; the driver of the connection records the reason.
+    ConnectionClosed,
 }
 
-/// Waits for the answer in slices, and does not count those that this node itself slept through.
+/// Waits for the PING reply in slices and does not count slices in which this process was paused.
 ///
-/// After a pause of this process every timer is due at once, while the answer may lie unread in
-/// the socket. Counted as silence, each such pause would end all connections of the node and leave
-/// the fate of their requests unknown. The slice after the pause gives the answer time to be read.
+/// After a pause of this process all timers fire at once, while the reply may be unread in the
+/// socket. If the pause counted as silence, each pause would close all connections of the node and
+/// leave the outcome of their requests unknown. The slice after the pause leaves time to read the
+/// reply.
 async fn await_pong(pings: &mut PingPong, limit: Duration) -> PongResult {
-    let slice = limit / SLICES;
+    let slice = limit / TIMEOUT_SLICES;
     let mut waited = 0;
     let pong = pings.ping(Ping::opaque());
     let mut pong = std::pin::pin!(pong);
-    while waited < SLICES {
-        let begun = Instant::now();
+    while waited < TIMEOUT_SLICES {
+        let started = Instant::now();
         match tokio::time::timeout(slice, pong.as_mut()).await {
             Ok(Ok(_)) => return PongResult::Answered,
-            Ok(Err(_)) => return PongResult::Ended,
-            Err(_) if begun.elapsed() > slice * PAUSE_FACTOR => {}
+            Ok(Err(_)) => return PongResult::ConnectionClosed,
+            Err(_) if started.elapsed() > slice * PROCESS_PAUSE_FACTOR => {}
             Err(_) => waited += 1,
         }
     }
-    PongResult::Silent
+    PongResult::TimedOut
 }
 
-/// An idle connection's pause ends when work opens, so that its silence is found at once.
-async fn pause(rest: Duration, busy: bool, open: &mut watch::Receiver<usize>) {
+/// Sleeps until the next heartbeat is due. On an idle connection the sleep ends early when work
+/// opens, so that the shorter interval applies at once.
+async fn sleep_until_due(remaining: Duration, busy: bool, open: &mut watch::Receiver<usize>) {
     if busy {
-        tokio::time::sleep(rest).await;
+        tokio::time::sleep(remaining).await;
         return;
     }
-    let _ = tokio::time::timeout(rest, open.changed()).await;
+    let _ = tokio::time::timeout(remaining, open.changed()).await;
 }
--- a/crates/wire/src/keys.rs
+++ b/crates/wire/src/keys.rs
@@ -1,4 +1,4 @@
-//! Fleet keys and the codes made with them.
+//! Fleet keys and the message authentication codes (MACs) computed with them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,42 +9,42 @@
 use subtle::ConstantTimeEq;
 use sycamorelink_core::FindingList;
 
-/// Shortest key in bytes. Whoever records a handshake can try keys at leisure, so that a key must
-/// not be guessable.
-const KEY_BYTES: usize = 32;
+/// Minimum length of a key in bytes. Anyone who records a handshake can try keys offline, so a key
+/// must not be guessable.
+const MIN_KEY_BYTES: usize = 32;
 
-/// Size of a truncated code in bytes, as datagrams carry it.
-pub(crate) const SHORT_CODE_BYTES: usize = 16;
+/// Size in bytes of the truncated MAC that datagrams carry.
+pub(crate) const SHORT_MAC_BYTES: usize = 16;
 
-/// A whole code.
-pub(crate) type FullCode = [u8; 32];
+/// Full HMAC-SHA256 output.
+pub(crate) type FullMac = [u8; 32];
 
-/// A truncated code.
-pub(crate) type ShortCode = [u8; SHORT_CODE_BYTES];
+/// HMAC-SHA256 output truncated to [`SHORT_MAC_BYTES`].
+pub(crate) type ShortMac = [u8; SHORT_MAC_BYTES];
 
-/// One fleet key: text shared by all nodes of a fleet.
+/// Secret shared by all nodes of a fleet.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FleetKey(Arc<str>);
 
 impl FleetKey {
-    /// Wraps a key.
+    /// Creates a key from its text. [`FleetKeys::check`] reports keys that are too short.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
 
-    /// The id of the key, which tells nothing of it.
+    /// Returns the id of the key, which reveals nothing about the key itself.
     #[must_use]
     pub fn id(&self) -> KeyId {
-        let code = self.code(CodePurpose::KeyId, b"");
+        let mac = self.mac(MacPurpose::KeyId, b"");
         KeyId(
-            code.first_chunk()
+            mac.first_chunk()
                 .map_or(0, |part| u64::from_le_bytes(*part)),
         )
     }
 
-    pub(crate) fn code(&self, purpose: CodePurpose, data: &[u8]) -> FullCode {
+    pub(crate) fn mac(&self, purpose: MacPurpose, data: &[u8]) -> FullMac {
         let mut mac = Hmac::<Sha256>::new_from_slice(self.0.as_bytes())
             .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
         mac.update(&[purpose as u8]);
@@ -52,9 +52,9 @@
         mac.finalize().into_bytes().into()
     }
 
-    pub(crate) fn short_code(&self, purpose: CodePurpose, data: &[u8]) -> ShortCode {
-        let mut short = ShortCode::default();
-        short.copy_from_slice(&self.code(purpose, data)[..SHORT_CODE_BYTES]);
+    pub(crate) fn short_mac(&self, purpose: MacPurpose, data: &[u8]) -> ShortMac {
+        let mut short = ShortMac::default();
+        short.copy_from_slice(&self.mac(purpose, data)[..SHORT_MAC_BYTES]);
         short
     }
 }
@@ -65,21 +65,21 @@
     }
 }
 
-/// What a code is for. It goes into the code, so that none can be used for another purpose.
+/// Purpose of a MAC. The MAC covers its purpose, so that it cannot be reused for another one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum CodePurpose {
+pub(crate) enum MacPurpose {
     KeyId = 1,
     ClientProof = 2,
     ServerProof = 3,
     Datagram = 4,
 }
 
-/// Compares codes in constant time.
-pub(crate) fn same_code(left: &[u8], right: &[u8]) -> bool {
+/// Compares two MACs in constant time.
+pub(crate) fn macs_equal(left: &[u8], right: &[u8]) -> bool {
     left.ct_eq(right).into()
 }
 
-/// Id of a fleet key.
+/// Id of a fleet key: the first eight bytes of a MAC computed with the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyId(pub u64);
 
@@ -89,22 +89,22 @@
     }
 }
 
-/// The keys of a fleet: one to send by and one more to accept.
+/// Keys of a fleet: one to send with and optionally a second one to accept.
 ///
 /// A rotation takes three passes over the fleet: accept the new key (`current` old, `previous`
-/// new), send by it (`current` new, `previous` old), forget the old one (`current` new).
+/// new), send with it (`current` new, `previous` old), remove the old one (`current` new).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetKeys {
-    /// The key to send by.
+    /// Key to send with.
     pub current: FleetKey,
-    /// Another key to accept during a rotation.
+    /// Second key to accept during a rotation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub previous: Option<FleetKey>,
 }
 
 impl FleetKeys {
-    /// Keys without a rotation under way.
+    /// Creates a key set with a single key, that is without a rotation in progress.
     #[must_use]
     pub fn only(current: &str) -> Self {
         Self {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// What is wrong with the keys, with the place below `place`.
+    /// Returns findings about keys that are too short. Their paths begin with `place`.
     #[must_use]
     pub fn check(&self, place: &str) -> FindingList {
         let mut findings = FindingList::default();
@@ -122,7 +122,7 @@
             ("previous", self.previous.as_ref()),
         ] {
             findings.expect(
-                key.is_none_or(|key| key.0.len() >= KEY_BYTES),
+                key.is_none_or(|key| key.0.len() >= MIN_KEY_BYTES),
                 &format!("{place}.{name}"),
                 "must have at least 32 characters, from a random source",
             );
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,21 +1,23 @@
-//! Inner protocol between daemons: h2 streams with bincode frames, and sealed datagrams.
+//! Inner protocol between daemons: bincode frames over h2 streams, and authenticated datagrams.
 //!
 //! ```text
 //!  PeerConnection::connect ── TCP ── hello, challenge, proof, accepted ── serve_connection
 //!        │                                                                     │
 //!        ├─ work(head) ── h2 stream ── WorkHead, BodyChunk.., BodyEnd ────────▶ PeerHandler::work
 //!        │        ◀────── WorkRefused | ReplyHead, ReplyChunk.., ReplyEnd ─────┘
-//!        ├─ messages() ── one h2 stream ── Message.. ────────────────────────▶ PeerHandler::message
-//!        └─ h2 PING while work is open: a connection gone silent is found and named so
+//!        ├─ messages() ── one h2 stream ── Message.. ───────────────────────▶ PeerHandler::message
+//!        └─ h2 PING ── detects a connection on which the peer no longer answers
 //!  encode_datagram ── UDP ── decode_datagram
 //! ```
 //!
-//! Each node opens its own connections; a connection carries work and messages one way only. The
-//! format and what it protects against are written down in `docs/design/inner-protocol.md`.
-//! [`serve_connection`] runs its handlers by `spawn_local`, so it must run inside a
+//! Each node opens its own connections. A connection carries requests and messages in one
+//! direction only: from the node that opened it to the node that accepted it. The wire format
+//! and the threats it protects against are described in `docs/design/inner-protocol.md`.
+//! [`serve_connection`] spawns handlers with `spawn_local` and must run inside a
 //! `tokio::task::LocalSet`; the client side runs in any tokio runtime.
 
 mod answer;
+mod checksum;
 mod client;
 mod codec;
 mod connection;
@@ -32,7 +34,6 @@
 mod server;
 mod settings;
 mod stream;
-mod tally;
 mod work;
 
 pub use answer::{BodyReceiver, ReplySender, WorkExchange};
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of peers until a drain, and ends only when none is left.
+//! Accepts peer connections until a drain begins, then waits for the open ones to close.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use crate::server::{PeerHandler, serve_connection};
 use crate::settings::WireSettings;
 
-/// Pause after a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves connections until `drain` turns true, then until the last reply is written out.
+/// Serves connections until `drain` becomes true, then until the last reply has been written.
 ///
-/// The end of the work at the handlers is not yet the end of a reply: its last bytes wait for the
-/// peer's window. A node that stopped there would cut off a peer that reads slowly, so that this
-/// returns when all connections are closed, or after [`WireSettings::drain_limit`]. Must run inside
-/// a `LocalSet`.
+/// A handler may return while the last bytes of its reply still wait for the peer's flow-control
+/// window. Stopping there would truncate the reply to a slow reader, so this function returns only
+/// once all connections are closed, or after [`WireSettings::drain_limit`]. Must run inside a
+/// `LocalSet`.
 pub async fn serve_listener<M>(
     listener: TcpListener,
     identity: &PeerIdentity,
@@ -33,11 +33,11 @@
     M: DeserializeOwned + 'static,
 {
     let mut connections = JoinSet::new();
-    let mut stopped = drain.clone();
+    let mut drained = drain.clone();
     loop {
         tokio::select! {
-            accepted = listener.accept(), if connections.len() < settings.connections => {
-                let Some((stream, address)) = taken(accepted).await else {
+            accepted = listener.accept(), if connections.len() < settings.max_connections => {
+                let Some((stream, address)) = prepare_accepted(accepted).await else {
                     continue;
                 };
                 let (identity, handler) = (identity.clone(), Rc::clone(&handler));
@@ -51,28 +51,30 @@
                 });
             }
             Some(_) = connections.join_next() => {}
-            _ = stopped.wait_for(|drain| *drain) => break,
+            _ = drained.wait_for(|drain| *drain) => break,
         }
     }
     drop(listener);
-    let rest = async { while connections.join_next().await.is_some() {} };
-    if tokio::time::timeout(settings.drain_limit, rest)
+    let remaining = async { while connections.join_next().await.is_some() {} };
+    if tokio::time::timeout(settings.drain_limit, remaining)
         .await
         .is_err()
     {
-        tracing::warn!("connections of peers were cut off at the end of the drain");
+        tracing::warn!("drain timed out, closing the remaining peer connections");
     }
 }
 
-async fn taken(accepted: io::Result<(TcpStream, SocketAddr)>) -> Option<(TcpStream, SocketAddr)> {
+async fn prepare_accepted(
+    accepted: io::Result<(TcpStream, SocketAddr)>,
+) -> Option<(TcpStream, SocketAddr)> {
     match accepted {
         Ok((stream, address)) => {
             let _ = stream.set_nodelay(true);
             Some((stream, address))
         }
         Err(error) => {
-            tracing::warn!(%error, "cannot accept a connection of a peer");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tracing::warn!(%error, "failed to accept a peer connection");
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! One-way messages over one long-lived stream.
+//! One-way messages over a single long-lived stream.
 
 use std::marker::PhantomData;
 
@@ -11,24 +11,26 @@
 use crate::frame::{FrameKind, FrameLimits};
 use crate::stream::{FrameWriter, value_frame};
 
-/// Messages written at once at most.
-const BATCH: usize = 64;
+/// Maximum number of messages in one write.
+const MAX_BATCH: usize = 64;
 
-/// Why a message was not taken.
+/// Reason why a message was not queued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Too many messages wait already.
+    /// The queue holds [`WireSettings::message_queue_capacity`] messages already.
+    ///
+    /// [`WireSettings::message_queue_capacity`]: crate::WireSettings::message_queue_capacity
     #[error("message queue is full")]
     Full,
-    /// The connection is closed.
+    /// The connection or its message stream is closed.
     #[error("connection is closed")]
     Closed,
-    /// It cannot be encoded or is too large.
+    /// The message cannot be encoded or is larger than [`FrameLimits::message`].
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
-/// Sends messages of one type to one peer. A message taken may still be lost with the connection.
+/// Queue of messages of one type to one peer. Queued messages are lost if the connection breaks.
 #[derive(Debug)]
 pub struct MessageSender<M> {
     queue: mpsc::Sender<Bytes>,
@@ -65,11 +67,11 @@
         }
     }
 
-    /// Queues a message, without waiting.
+    /// Queues a message without waiting.
     ///
     /// # Errors
     ///
-    /// When the queue is full, the connection closed or the message too large.
+    /// Fails if the queue is full, the connection is closed or the message is too large.
     pub fn send(&self, message: &M) -> Result<(), MessageError> {
         let frame = value_frame(FrameKind::Message, message, &self.limits)?;
         self.state.touch();
@@ -79,33 +81,38 @@
         })
     }
 
-    /// Whether the connection is closed.
+    /// Returns whether the connection or its message stream is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 }
 
-/// Writes queued messages in batches until the queue or the stream ends. An idle writer must see
-/// the end of the stream too: its sender would go on taking messages for nobody.
+/// Writes queued messages in batches until the queue or the stream ends. The task also waits for a
+/// reset while the queue is empty; otherwise the sender would keep accepting messages for a dead
+/// stream.
 pub(crate) async fn write_messages(mut queue: mpsc::Receiver<Bytes>, mut writer: FrameWriter) {
-    let mut frames = Vec::with_capacity(BATCH);
+    let mut frames = Vec::with_capacity(MAX_BATCH);
     loop {
         let count = tokio::select! {
-            count = queue.recv_many(&mut frames, BATCH) => count,
-            _ = writer.reset() => return,
+            count = queue.recv_many(&mut frames, MAX_BATCH) => count,
+            _ = writer.wait_for_reset() => return,
         };
         if count == 0 {
             writer.finish();
             return;
         }
-        if writer.write(joined(&mut frames), false).await.is_err() {
+        if writer
+            .write(concat_frames(&mut frames), false)
+            .await
+            .is_err()
+        {
             return;
         }
     }
 }
 
-fn joined(frames: &mut Vec<Bytes>) -> Bytes {
+fn concat_frames(frames: &mut Vec<Bytes>) -> Bytes {
     let mut batch = BytesMut::with_capacity(frames.iter().map(Bytes::len).sum());
     for frame in frames.drain(..) {
         batch.extend_from_slice(&frame);
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -1,7 +1,8 @@
-//! A node's connections to its peers: one for each, opened when first needed.
+//! Pool of a node's connections to its peers: one per peer, opened on first use.
 //!
-//! Each end of an idle connection holds tens of kilobytes, and a node may come to talk to every
-//! other one. So a pool keeps a bounded number, and closes the one idle for longest.
+//! Each end of an idle connection uses tens of kilobytes, and a node may talk to every other node
+//! of the fleet. The pool therefore closes the connections that have been idle longest when it
+//! holds more than [`WireSettings::max_pooled`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,21 +21,22 @@
 use crate::message::{MessageError, MessageSender};
 use crate::settings::WireSettings;
 
-/// Why a message was not sent.
+/// Reason why a message was not queued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PoolError {
     /// The peer cannot be reached.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// The connection takes no message stream.
+    /// The message stream could not be opened.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The message stream takes no message.
+    /// The message stream did not accept the message.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// Connections to peers by their life: a restarted peer is another entry. Clones share it.
+/// Connections to peers, keyed by instance: a restarted peer has another entry. Clones share the
+/// pool.
 #[derive(Debug)]
 pub struct PeerPool<M> {
     shared: Rc<PoolShared<M>>,
@@ -57,15 +59,15 @@
 
 #[derive(Debug)]
 struct PeerEntry<M> {
-    /// Held while connecting, so that many requests at once open one connection.
+    /// Locked while connecting, so that concurrent requests open a single connection.
     link: Mutex<PeerLink<M>>,
 }
 
 #[derive(Debug)]
 enum PeerLink<M> {
     Closed,
-    /// The last try failed. Without it, each of the requests that waited for that try would make
-    /// one of its own, one after the other, and wait for a peer that does not answer.
+    /// The last connect failed. The error is kept so that the requests which waited for that
+    /// connect do not each retry in turn and time out one after another.
     Failed {
         at: Instant,
         error: ConnectError,
@@ -83,7 +85,7 @@
 where
     M: Serialize,
 {
-    /// A pool without connections.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(identity: PeerIdentity, settings: WireSettings) -> Self {
         Self {
@@ -95,11 +97,12 @@
         }
     }
 
-    /// The open connection to a peer, or a new one.
+    /// Returns the open connection to a peer, or opens one.
     ///
     /// # Errors
     ///
-    /// When none can be opened, or none could a moment ago; nothing was sent then.
+    /// Fails if the connection cannot be opened, or if a connect to the peer failed within the last
+    /// [`WireSettings::reconnect_delay`]. Nothing was sent.
     pub async fn connection(
         &self,
         peer: InstanceId,
@@ -107,14 +110,14 @@
     ) -> Result<PeerConnection, ConnectError> {
         let entry = self.entry(peer);
         let mut link = entry.link.lock().await;
-        self.open(&mut link, peer, address).await
+        self.open_or_connect(&mut link, peer, address).await
     }
 
-    /// Queues a message for a peer. It may still be lost with the connection.
+    /// Queues a message to a peer. Queued messages are lost if the connection breaks.
     ///
     /// # Errors
     ///
-    /// When the peer cannot be reached or the message cannot be queued.
+    /// Fails if the peer cannot be reached or the message cannot be queued.
     pub async fn send(
         &self,
         peer: InstanceId,
@@ -123,7 +126,7 @@
     ) -> Result<(), PoolError> {
         let entry = self.entry(peer);
         let mut link = entry.link.lock().await;
-        let connection = self.open(&mut link, peer, address).await?;
+        let connection = self.open_or_connect(&mut link, peer, address).await?;
         let PeerLink::Open(open) = &mut *link else {
             return Err(MessageError::Closed.into());
         };
@@ -137,33 +140,33 @@
         }
     }
 
-    /// Peers that have owed the answer to a heartbeat for longer than the limit. Their connections
-    /// are not given up yet.
+    /// Returns the peers whose reply to a heartbeat has been outstanding for longer than `limit`.
+    /// Their connections are still open.
     #[must_use]
     pub fn quiet_peers(&self, limit: Duration) -> Vec<InstanceId> {
         let entries = self.shared.entries.borrow();
-        let quiet = entries.iter().filter(|(_, entry)| {
+        let unresponsive = entries.iter().filter(|(_, entry)| {
             let Ok(link) = entry.link.try_lock() else {
                 return false;
             };
             match &*link {
                 PeerLink::Open(open) if !open.connection.is_closed() => {
-                    let owed = open.connection.quiet_for();
-                    owed.is_some_and(|owed| owed > limit)
+                    let overdue = open.connection.unresponsive_for();
+                    overdue.is_some_and(|overdue| overdue > limit)
                 }
                 _ => false,
             }
         });
-        quiet.map(|(peer, _)| *peer).collect()
+        unresponsive.map(|(peer, _)| *peer).collect()
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open_entries().len()
     }
 
-    async fn open(
+    async fn open_or_connect(
         &self,
         link: &mut PeerLink<M>,
         peer: InstanceId,
@@ -174,7 +177,7 @@
             PeerLink::Open(open) if !open.connection.is_closed() => {
                 return Ok(open.connection.clone());
             }
-            PeerLink::Failed { at, error } if at.elapsed() < settings.retry_pause => {
+            PeerLink::Failed { at, error } if at.elapsed() < settings.reconnect_delay => {
                 return Err(error.clone());
             }
             _ => *link = PeerLink::Closed,
@@ -182,7 +185,7 @@
         let identity = &self.shared.identity;
         match PeerConnection::connect(address, identity, Some(peer), settings).await {
             Ok(connection) => {
-                self.make_room();
+                self.evict_idle();
                 *link = PeerLink::Open(Box::new(OpenLink {
                     connection: connection.clone(),
                     messages: None,
@@ -199,11 +202,11 @@
         }
     }
 
-    /// Closes connections idle for longest until there is room for one more. Those with open work
-    /// stay, also beyond the bound.
-    fn make_room(&self) {
+    /// Closes the connections that have been idle longest until one more fits. Connections with
+    /// open work stay open even above the limit.
+    fn evict_idle(&self) {
         let mut idle = self.open_entries();
-        let excess = (idle.len() + 1).saturating_sub(self.shared.settings.pooled);
+        let excess = (idle.len() + 1).saturating_sub(self.shared.settings.max_pooled);
         idle.retain(|(idle_for, _)| idle_for.is_some());
         idle.sort_by_key(|(idle_for, _)| std::cmp::Reverse(*idle_for));
         for (_, entry) in idle.into_iter().take(excess) {
@@ -213,7 +216,7 @@
         }
     }
 
-    /// Open connections that nobody is busy with, each with the time it has been idle.
+    /// Returns the open connections whose entry is not locked, each with its idle time.
     fn open_entries(&self) -> Vec<(Option<Duration>, Rc<PeerEntry<M>>)> {
         let entries = self.shared.entries.borrow();
         let open = entries.values().filter_map(|entry| {
@@ -233,7 +236,7 @@
         if let Some(known) = entries.get(&peer) {
             return Rc::clone(known);
         }
-        // Entries of earlier lives of this node are of no more use.
+        // Entries of earlier incarnations of this node are no longer needed.
         entries.retain(|known, _| known.node != peer.node || *known > peer);
         let entry = Rc::new(PeerEntry {
             link: Mutex::new(PeerLink::Closed),
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of a connection between two nodes.
+//! Server side of a connection between two nodes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,40 +21,40 @@
 use crate::error::{ConnectError, WireError};
 use crate::frame::FrameKind;
 use crate::handshake::{PeerIdentity, accept_handshake};
-use crate::heartbeat::watch_silence;
+use crate::heartbeat::run_heartbeat;
 use crate::settings::WireSettings;
 use crate::stream::FrameReader;
 use crate::work::WorkHead;
 
-/// Greatest size in bytes of the h2 headers of a stream; ours have a path and no more.
-const H2_HEADER_BYTES: u32 = 4096;
+/// Maximum size of a stream's h2 header list in bytes. Requests of peers carry only pseudo-headers.
+const MAX_H2_HEADER_BYTES: u32 = 4096;
 
-/// What a handler's work resolves to.
+/// Future returned by [`PeerHandler::work`].
 pub type HandlerFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Takes what peers send. Handlers need not be `Send`.
+/// Handler of requests and messages from peers. Implementations need not be `Send`.
 pub trait PeerHandler<M>: 'static {
-    /// Runs a request. The future is driven to its end even when the peer goes away, so that it
-    /// can note what became of the run; it learns of that by [`ReplySender::cancelled`].
+    /// Handles a request. The future is polled to completion even if the peer disconnects, so that
+    /// it can record the outcome; [`ReplySender::cancelled`] reports the disconnect.
     fn work(&self, exchange: WorkExchange) -> HandlerFuture;
 
-    /// Takes a message.
+    /// Handles a message.
     fn message(&self, from: InstanceId, message: M);
 
-    /// Takes note of a connection that was refused or broke in its handshake.
+    /// Handles the failure of an incoming connection's handshake. Logs a warning by default.
     fn refused(&self, from: SocketAddr, error: &ConnectError) {
-        tracing::warn!(%from, %error, "refused a connection of a peer");
+        tracing::warn!(%from, %error, "refused a peer connection");
     }
 }
 
-/// Serves one connection until the peer closes it, it goes silent, or the drain is over.
+/// Serves one connection until the peer closes it, a heartbeat times out, or a drain completes.
 ///
-/// Once `drain` turns true, no new stream is taken and those in flight are finished. Must run
-/// inside a `LocalSet`.
+/// Once `drain` becomes true, new streams are refused and open ones are completed. Must run inside
+/// a `LocalSet`.
 ///
 /// # Errors
 ///
-/// When the handshake fails. Errors of single streams end only these.
+/// Fails if the handshake fails. An error on a single stream ends only that stream.
 pub async fn serve_connection<I, M>(
     mut io: I,
     identity: &PeerIdentity,
@@ -69,8 +69,8 @@
     let handshake = async {
         let peer = accept_handshake(&mut io, identity).await?;
         let connection = h2::server::Builder::new()
-            .max_concurrent_streams(settings.streams.saturating_add(1))
-            .max_header_list_size(H2_HEADER_BYTES)
+            .max_concurrent_streams(settings.max_streams.saturating_add(1))
+            .max_header_list_size(MAX_H2_HEADER_BYTES)
             .initial_window_size(settings.stream_window)
             .initial_connection_window_size(settings.connection_window())
             .handshake::<_, Bytes>(io)
@@ -92,7 +92,7 @@
     Ok(accept_streams(connection, &serving).await)
 }
 
-/// What the streams of a connection share.
+/// State shared by the streams of a connection.
 struct ServingContext<M> {
     peer: InstanceId,
     own: InstanceId,
@@ -103,14 +103,18 @@
 }
 
 impl<M> ServingContext<M> {
-    /// Waits until the drain has begun and the last work is done. Messages are taken until then:
-    /// requests in flight may still need what peers say.
+    /// Waits until the drain has begun and no work is open. Messages are accepted until then, since
+    /// requests in flight may depend on them.
     async fn drained(&self) {
         if self.drain.clone().wait_for(|drain| *drain).await.is_err() {
-            // Without a sender nobody can ask for a drain any more.
+            // The sender is gone, so a drain can no longer be requested.
             return std::future::pending().await;
         }
-        let _ = self.state.open_watch().wait_for(|open| *open == 0).await;
+        let _ = self
+            .state
+            .watch_open_work()
+            .wait_for(|open| *open == 0)
+            .await;
     }
 }
 
@@ -124,13 +128,13 @@
 {
     let state = serving.state.clone();
     let pings = connection.ping_pong();
-    let silence = async {
+    let heartbeat = async {
         match pings {
-            Some(pings) => watch_silence(pings, state, serving.settings.for_server()).await,
+            Some(pings) => run_heartbeat(pings, state, serving.settings.for_server()).await,
             None => std::future::pending().await,
         }
     };
-    let mut silence = std::pin::pin!(silence);
+    let mut heartbeat = std::pin::pin!(heartbeat);
     let mut drain = serving.drain.clone();
     let mut draining = false;
     loop {
@@ -142,7 +146,7 @@
                 Some(Err(error)) => return CloseReason::Lost(error.to_string()),
                 None => return CloseReason::Lost("closed".to_owned()),
             },
-            () = silence.as_mut() => return CloseReason::Silent,
+            () = heartbeat.as_mut() => return CloseReason::Silent,
             changed = drain.wait_for(|drain| *drain), if !draining => {
                 draining = true;
                 if changed.is_ok() {
@@ -190,15 +194,15 @@
 ) where
     M: 'static,
 {
-    let Some(open) = serving.state.open_work(serving.settings.streams) else {
+    let Some(open) = serving.state.open_work(serving.settings.max_streams) else {
         response.send_reset(Reason::REFUSED_STREAM);
         return;
     };
     let head = match read_head(serving, &mut reader).await {
         Ok(head) => head,
         Err(error) => {
-            tracing::debug!(peer = %serving.peer, %error, "work refused unprocessed");
-            // Nothing has run: the reason must be the one that says so.
+            tracing::debug!(peer = %serving.peer, %error, "refused a work stream unprocessed");
+            // REFUSED_STREAM tells the client that the request did not run.
             response.send_reset(Reason::REFUSED_STREAM);
             return;
         }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,81 +1,82 @@
-//! Limits of the inner protocol.
+//! Settings of the inner protocol.
 
 use std::time::Duration;
 
 use crate::frame::FrameLimits;
 
-/// Limits and times of the inner protocol. The same on all nodes of a fleet.
+/// Limits and intervals of the inner protocol. All nodes of a fleet use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct WireSettings {
-    /// Greatest payloads.
+    /// Maximum payload sizes.
     pub frames: FrameLimits,
-    /// Work streams that a connection carries at once; more wait at the sender.
-    pub streams: u32,
-    /// Bytes that a stream may have under way. With [`Self::streams`] it bounds the memory of a
-    /// connection: the connection's window is their product, so that a stream which nobody reads
-    /// never holds up the others.
+    /// Maximum number of open work streams on a connection; further requests fail unsent.
+    pub max_streams: u32,
+    /// Flow-control window of a stream in bytes. Together with [`Self::max_streams`] it bounds the
+    /// memory of a connection: the connection's window is their product, so that a stream that
+    /// is not read never blocks the others.
     pub stream_window: u32,
-    /// Longest TCP connect and handshake.
+    /// Maximum duration of TCP connect and handshake together.
     pub connect_limit: Duration,
-    /// Longest wait for the head of a work stream.
+    /// Maximum wait of the server for the head of a work stream.
     pub head_limit: Duration,
-    /// Time without proof of a round trip after which an active connection sends a heartbeat.
-    pub heartbeat: Duration,
-    /// The same for a connection without open work.
-    pub idle_heartbeat: Duration,
-    /// Longest wait for the answer to a heartbeat. With [`Self::heartbeat`] it bounds how long a
-    /// silent connection goes unnoticed under load.
-    pub silence_limit: Duration,
-    /// Connections that a listener serves at once; more wait to be accepted.
-    pub connections: usize,
-    /// Longest wait of a listener for the end of its connections once it drains.
+    /// Time since the last confirmed round trip after which a connection with open work sends a
+    /// heartbeat.
+    pub heartbeat_interval: Duration,
+    /// Heartbeat interval of a connection without open work.
+    pub idle_heartbeat_interval: Duration,
+    /// Maximum wait for the reply to a heartbeat. Together with [`Self::heartbeat_interval`] it
+    /// bounds how long a dead connection stays undetected while requests are open.
+    pub heartbeat_limit: Duration,
+    /// Maximum number of connections that a listener serves; further ones wait in the accept queue.
+    pub max_connections: usize,
+    /// Maximum wait of a draining listener for its connections to close.
     pub drain_limit: Duration,
-    /// Open connections that a pool keeps. Beyond it the one idle for longest is closed.
-    pub pooled: usize,
-    /// Time after a failed connect in which a pool does not try the same peer again.
-    pub retry_pause: Duration,
-    /// Messages that may wait to be sent; more are dropped.
-    pub message_queue: usize,
+    /// Number of open connections above which a pool closes the one that has been idle longest.
+    pub max_pooled: usize,
+    /// Time after a failed connect during which a pool does not retry the same peer.
+    pub reconnect_delay: Duration,
+    /// Maximum number of messages queued to a peer; sending fails beyond that.
+    pub message_queue_capacity: usize,
 }
 
 impl Default for WireSettings {
     fn default() -> Self {
         Self {
             frames: FrameLimits::default(),
-            streams: 128,
+            max_streams: 128,
             stream_window: 128 * 1024,
             connect_limit: Duration::from_secs(1),
             head_limit: Duration::from_secs(2),
-            heartbeat: Duration::from_millis(250),
-            idle_heartbeat: Duration::from_secs(20),
-            silence_limit: Duration::from_millis(700),
-            connections: 8192,
+            heartbeat_interval: Duration::from_millis(250),
+            idle_heartbeat_interval: Duration::from_secs(20),
+            heartbeat_limit: Duration::from_millis(700),
+            max_connections: 8192,
             drain_limit: Duration::from_secs(30),
-            pooled: 512,
-            retry_pause: Duration::from_millis(200),
-            message_queue: 1024,
+            max_pooled: 512,
+            reconnect_delay: Duration::from_millis(200),
+            message_queue_capacity: 1024,
         }
     }
 }
 
-/// How much slower the answering side's heartbeats and verdicts are than the connecting side's. It
-/// needs them only to give up work for a peer that is gone, and must not take a peer that pauses
-/// for one.
-const SERVER_SLOWNESS: u32 = 8;
+/// Factor by which heartbeat intervals and timeouts of the server side are longer than those of the
+/// client side. The server uses them only to cancel work of a peer that is gone, and must not close
+/// the connection of a peer that is merely paused.
+const SERVER_HEARTBEAT_FACTOR: u32 = 8;
 
 impl WireSettings {
     pub(crate) fn for_server(mut self) -> Self {
-        self.heartbeat *= SERVER_SLOWNESS;
-        self.idle_heartbeat *= SERVER_SLOWNESS;
-        self.silence_limit *= SERVER_SLOWNESS;
+        self.heartbeat_interval *= SERVER_HEARTBEAT_FACTOR;
+        self.idle_heartbeat_interval *= SERVER_HEARTBEAT_FACTOR;
+        self.heartbeat_limit *= SERVER_HEARTBEAT_FACTOR;
         self
     }
 
     pub(crate) fn connection_window(&self) -> u32 {
-        /// Greatest window of HTTP/2.
-        const WINDOW_LIMIT: u32 = (1 << 31) - 1;
+        /// Maximum flow-control window of HTTP/2 in bytes.
+        const MAX_WINDOW: u32 = (1 << 31) - 1;
         self.stream_window
-            .saturating_mul(self.streams.saturating_add(1))
-            .min(WINDOW_LIMIT)
+            .saturating_mul(self.max_streams.saturating_add(1))
+            .min(MAX_WINDOW)
     }
 }
--- a/crates/wire/src/stream.rs
+++ b/crates/wire/src/stream.rs
@@ -1,4 +1,4 @@
-//! Frames over the two directions of an h2 stream.
+//! Reader and writer of frames on an h2 stream.
 
 use std::future::poll_fn;
 
@@ -10,8 +10,8 @@
 use crate::error::WireError;
 use crate::frame::{Frame, FrameDecoder, FrameKind, FrameLimits, put_frame};
 
-/// Reads frames of an h2 stream. Bytes are taken, and the window opened again, only as frames are
-/// asked for, so that a reader which stops holds no more than the stream's window.
+/// Reader of frames from an h2 stream. Data is read, and flow-control capacity released, only when
+/// a frame is requested, so that an idle reader buffers at most the stream's window.
 #[derive(Debug)]
 pub(crate) struct FrameReader {
     stream: RecvStream,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The next frame, or nothing at the end of the stream. May be dropped and called again.
+    /// Returns the next frame, or `None` at the end of the stream. Cancel-safe.
     pub(crate) async fn next(&mut self) -> Result<Option<Frame>, WireError> {
         loop {
             if let Some(frame) = self.decoder.next_frame()? {
@@ -43,26 +43,26 @@
     }
 }
 
-/// Writes frames to an h2 stream, no faster than the peer's window allows.
+/// Writer of frames to an h2 stream, limited by the peer's flow-control window.
 #[derive(Debug)]
 pub(crate) struct FrameWriter {
     stream: SendStream<Bytes>,
-    half_written: bool,
+    write_pending: bool,
 }
 
 impl FrameWriter {
     pub(crate) fn new(stream: SendStream<Bytes>) -> Self {
         Self {
             stream,
-            half_written: false,
+            write_pending: false,
         }
     }
 
-    /// Writes whole frames. When dropped half way the stream is of no more use: the next frame
-    /// would be read as the rest of this one, so that every later write is refused.
+    /// Writes complete frames. A write that is cancelled midway makes the stream unusable, since
+    /// the peer would read the next frame as the rest of the current one; later writes fail.
     pub(crate) async fn write(&mut self, mut bytes: Bytes, end: bool) -> Result<(), WireError> {
-        if std::mem::replace(&mut self.half_written, true) {
-            return Err(WireError::HalfWritten);
+        if std::mem::replace(&mut self.write_pending, true) {
+            return Err(WireError::WriteInterrupted);
         }
         while !bytes.is_empty() {
             self.stream.reserve_capacity(bytes.len());
@@ -71,11 +71,11 @@
             let last = end && bytes.is_empty();
             self.stream.send_data(piece, last)?;
         }
-        self.half_written = false;
+        self.write_pending = false;
         Ok(())
     }
 
-    /// Ends the stream after what was written. A stream that has ended already stays so.
+    /// Ends the stream after the data written so far. Has no effect on a stream that has ended.
     pub(crate) fn finish(&mut self) {
         let _ = self.stream.send_data(Bytes::new(), true);
     }
@@ -90,15 +90,15 @@
                 Some(granted) => {
                     granted?;
                 }
-                None => return Err(self.reset().await),
+                None => return Err(self.wait_for_reset().await),
             }
         }
     }
 
-    /// Waits until the peer resets the stream or the connection ends.
-    pub(crate) async fn reset(&mut self) -> WireError {
+    /// Waits until the peer resets the stream or the connection ends, and returns the error.
+    pub(crate) async fn wait_for_reset(&mut self) -> WireError {
         match poll_fn(|cx| self.stream.poll_reset(cx)).await {
-            Ok(reason) => WireError::of_reason(reason),
+            Ok(reason) => WireError::from_reason(reason),
             Err(error) => error.into(),
         }
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// Encodes a value as a frame at the end of a buffer.
+/// Encodes a value as a frame and appends it to a buffer.
 pub(crate) fn put_value<T>(
     buffer: &mut BytesMut,
     kind: FrameKind,
@@ -119,7 +119,7 @@
     T: Serialize,
 {
     let payload = encode_payload(value)?;
-    if payload.len() > limits.of(kind) {
+    if payload.len() > limits.for_kind(kind) {
         return Err(WireError::Oversized(payload.len()));
     }
     put_frame(buffer, kind, &payload);
@@ -140,7 +140,7 @@
     Ok(buffer.freeze())
 }
 
-/// Cuts a chunk of any size into frames.
+/// Splits a chunk of any size into frames of at most [`FrameLimits::chunk`] bytes of payload.
 pub(crate) fn chunk_frames(
     kind: FrameKind,
     chunk: &[u8],
