--- a/crates/ops/src/burn.rs
+++ b/crates/ops/src/burn.rs
@@ -1,4 +1,4 @@
-//! `burn`: service-level burn, summed over the daemons in the settings.
+//! The `burn` command: error-budget burn rates, summed over the configured daemons.
 
 use std::path::PathBuf;
 
@@ -9,26 +9,27 @@
 use crate::client::{ApiCall, DaemonClient};
 use crate::context::ShellContext;
 
-/// Form of the burn report.
+/// Output format and destination of the burn report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BurnOutput {
-    /// A table on stdout.
+    /// Text table on stdout.
     Table,
     /// JSON on stdout.
     Json,
-    /// A page in a file.
+    /// HTML page with plots, written to a file.
     Page(PathBuf),
 }
 
-/// Prints the burn report.
+/// Collects the burn report from all configured daemons and prints it.
 ///
 /// # Errors
 ///
-/// When no daemon answers or the page cannot be written.
+/// Returns an error if no daemon answers or the page cannot be written.
 pub fn report_burn(context: &mut ShellContext, output: &BurnOutput) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
     let call = burn_call(output);
-    let report = gather(context, &client, &call).context("could not gather the burn report")?;
+    let report =
+        collect_reports(context, &client, &call).context("could not gather the burn report")?;
     let summary = BurnSummary::of(&report);
     match output {
         BurnOutput::Table => context.data_line(BurnTable(&summary)),
@@ -43,7 +44,8 @@
     }
 }
 
-/// Points are for the plots of the page only: they make a report many times as long.
+/// Requests data points only for the HTML page, which plots them. They make a reply many times as
+/// long.
 fn burn_call(output: &BurnOutput) -> ApiCall {
     match output {
         BurnOutput::Page(_) => ApiCall::get("/v1/burn?points=true"),
@@ -51,8 +53,8 @@
     }
 }
 
-/// Sums the reports of the daemons that answer. The first failure is returned when none does.
-fn gather(
+/// Sums the reports of all daemons that answer. Returns the first error if none answers.
+fn collect_reports(
     context: &mut ShellContext,
     client: &DaemonClient,
     call: &ApiCall,
@@ -60,7 +62,7 @@
     let mut sum = BurnReport::default();
     let mut answered = false;
     let mut failure = None;
-    for (daemon, reply) in client.call_each(call) {
+    for (daemon, reply) in client.call_all(call) {
         let report = reply.and_then(|reply| reply.json::<BurnReport>().map_err(Into::into));
         match report {
             Ok(report) => {
--- a/crates/ops/src/client/call.rs
+++ b/crates/ops/src/client/call.rs
@@ -1,4 +1,4 @@
-//! One call of the operators' API and its reply.
+//! Requests to the operators' API and their replies.
 
 use anyhow::Context;
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 
 use super::failure::ApiFailure;
 
-/// One call.
+/// Request to the operators' API.
 #[derive(Clone, Debug)]
 pub struct ApiCall {
     pub(super) method: Method,
@@ -16,17 +16,17 @@
     pub(super) base: Option<u64>,
     pub(super) change: Option<String>,
     pub(super) body: Bytes,
-    pub(super) one_daemon: bool,
+    pub(super) first_daemon_only: bool,
 }
 
 impl ApiCall {
-    /// A call that reads.
+    /// Returns a `GET` request for a path.
     #[must_use]
     pub fn get(path: &str) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// A call that changes something.
+    /// Returns a request with the given method and path, without a body.
     #[must_use]
     pub fn new(method: Method, path: &str) -> Self {
         Self {
@@ -35,11 +35,11 @@
             base: None,
             change: None,
             body: Bytes::new(),
-            one_daemon: false,
+            first_daemon_only: false,
         }
     }
 
-    /// Names the change and the version that it amends.
+    /// Sets the id of the change and the version that the change amends.
     #[must_use]
     pub fn change(mut self, id: &str, base: u64) -> Self {
         self.change = Some(id.to_owned());
@@ -47,11 +47,11 @@
         self
     }
 
-    /// Sets the body.
+    /// Sets the body to the value as JSON.
     ///
     /// # Errors
     ///
-    /// When the value cannot be written as JSON.
+    /// Returns an error if the value cannot be serialized.
     pub fn body<T>(mut self, value: &T) -> anyhow::Result<Self>
     where
         T: Serialize,
@@ -61,31 +61,31 @@
         Ok(self)
     }
 
-    /// Sends the call to the first daemon only.
+    /// Restricts the call to the first configured daemon.
     #[must_use]
-    pub const fn one_daemon(mut self) -> Self {
-        self.one_daemon = true;
+    pub const fn first_daemon_only(mut self) -> Self {
+        self.first_daemon_only = true;
         self
     }
 }
 
-/// The reply to a call that succeeded.
+/// Reply of a daemon. [`DaemonClient`](super::DaemonClient) returns only replies below status 400.
 #[derive(Clone, Debug)]
 pub struct ApiReply {
     /// HTTP status.
     pub status: u16,
-    /// Version from the `ETag`.
+    /// Version from the `ETag` header; `None` if the header is missing or not a number.
     pub version: Option<u64>,
-    /// The body.
+    /// Body, usually JSON.
     pub body: Bytes,
 }
 
 impl ApiReply {
-    /// Reads the body.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// When the body is not what the API promises.
+    /// Returns [`ApiFailure::Malformed`] if the body does not have the expected form.
     pub fn json<T>(&self) -> Result<T, ApiFailure>
     where
         T: DeserializeOwned,
--- a/crates/ops/src/client/daemon.rs
+++ b/crates/ops/src/client/daemon.rs
@@ -1,4 +1,4 @@
-//! Sends calls to the daemons.
+//! HTTP client that sends calls to daemons.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::exit::ToolFailure;
 use crate::settings::ToolSettings;
 
-/// Longest reply that is read, in bytes.
+/// Maximum size of a reply body, in bytes.
 const REPLY_LIMIT: usize = 64 << 20;
 
 /// Client of the operators' API.
@@ -29,17 +29,17 @@
     settings: ToolSettings,
 }
 
-/// How one try at one daemon ended without a final answer.
-struct TryFailure {
+/// Error of one attempt at one daemon that yielded no HTTP response.
+struct AttemptFailure {
     reason: String,
 }
 
 impl DaemonClient {
-    /// Opens a client for the daemons in the settings.
+    /// Creates a client for the configured daemons.
     ///
     /// # Errors
     ///
-    /// When no daemon is named.
+    /// Returns [`ToolFailure::NoDaemon`] if no daemon is configured.
     pub fn open(settings: &ToolSettings) -> anyhow::Result<Self> {
         if settings.daemons.is_empty() {
             return Err(ToolFailure::NoDaemon.into());
@@ -58,64 +58,68 @@
         })
     }
 
-    /// Makes a call and waits for its reply.
+    /// Sends a call to the configured daemons in order until one gives a final answer.
     ///
     /// # Errors
     ///
-    /// When no daemon answers, or one refuses.
+    /// Returns an error if no daemon answers or if one refuses the call.
     pub fn call(&self, call: &ApiCall) -> anyhow::Result<ApiReply> {
-        self.runtime.block_on(self.ask_in_turn(call))
+        self.runtime.block_on(self.call_in_order(call))
     }
 
-    /// Makes a call to every daemon in the settings, in order.
+    /// Sends a call to every configured daemon, in order, and returns all results.
     #[must_use]
-    pub fn call_each(&self, call: &ApiCall) -> Vec<(SocketAddr, anyhow::Result<ApiReply>)> {
+    pub fn call_all(&self, call: &ApiCall) -> Vec<(SocketAddr, anyhow::Result<ApiReply>)> {
         let daemons = self.settings.daemons.iter().copied();
         daemons
-            .map(|daemon| (daemon, self.runtime.block_on(self.ask_one(daemon, call))))
+            .map(|daemon| (daemon, self.runtime.block_on(self.call_one(daemon, call))))
             .collect()
     }
 
-    /// Waits without keeping the connections from their work.
+    /// Sleeps while the runtime keeps driving open connections.
     pub fn pause(&self, time: Duration) {
         self.runtime
             .block_on(async { tokio::time::sleep(time).await });
     }
 
-    async fn ask_in_turn(&self, call: &ApiCall) -> anyhow::Result<ApiReply> {
-        let daemons = if call.one_daemon {
+    async fn call_in_order(&self, call: &ApiCall) -> anyhow::Result<ApiReply> {
+        let daemons = if call.first_daemon_only {
             &self.settings.daemons[..1]
         } else {
             &self.settings.daemons[..]
         };
-        let mut tried = Vec::new();
+        let mut attempts = Vec::new();
         for (index, daemon) in daemons.iter().enumerate() {
             let last = index + 1 == daemons.len();
-            match self.ask(*daemon, call).await {
+            match self.attempt(*daemon, call).await {
                 Ok(reply) if reply.status < 400 => return Ok(reply),
-                Ok(reply) if !last && is_passing(reply.status) => {
-                    tried.push((*daemon, problem_of(&reply).to_string()));
+                Ok(reply) if !last && is_transient(reply.status) => {
+                    attempts.push((*daemon, to_problem(&reply).to_string()));
                 }
-                Ok(reply) => return Err(ApiFailure::Problem(Box::new(problem_of(&reply))).into()),
-                Err(failure) => tried.push((*daemon, failure.reason)),
+                Ok(reply) => return Err(ApiFailure::Problem(Box::new(to_problem(&reply))).into()),
+                Err(failure) => attempts.push((*daemon, failure.reason)),
             }
         }
-        Err(ApiFailure::Unreachable { tried }.into())
+        Err(ApiFailure::Unreachable { attempts }.into())
     }
 
-    async fn ask_one(&self, daemon: SocketAddr, call: &ApiCall) -> anyhow::Result<ApiReply> {
-        match self.ask(daemon, call).await {
+    async fn call_one(&self, daemon: SocketAddr, call: &ApiCall) -> anyhow::Result<ApiReply> {
+        match self.attempt(daemon, call).await {
             Ok(reply) if reply.status < 400 => Ok(reply),
-            Ok(reply) => Err(ApiFailure::Problem(Box::new(problem_of(&reply))).into()),
+            Ok(reply) => Err(ApiFailure::Problem(Box::new(to_problem(&reply))).into()),
             Err(failure) => {
-                let tried = vec![(daemon, failure.reason)];
-                Err(ApiFailure::Unreachable { tried }.into())
+                let attempts = vec![(daemon, failure.reason)];
+                Err(ApiFailure::Unreachable { attempts }.into())
             }
         }
     }
 
-    async fn ask(&self, daemon: SocketAddr, call: &ApiCall) -> Result<ApiReply, TryFailure> {
-        let request = self.request(daemon, call).map_err(|error| TryFailure {
+    async fn attempt(
+        &self,
+        daemon: SocketAddr,
+        call: &ApiCall,
+    ) -> Result<ApiReply, AttemptFailure> {
+        let request = self.request(daemon, call).map_err(|error| AttemptFailure {
             reason: error.to_string(),
         })?;
         let exchange = async {
@@ -123,8 +127,8 @@
                 .http
                 .request(request)
                 .await
-                .map_err(|error| TryFailure {
-                    reason: innermost(&error),
+                .map_err(|error| AttemptFailure {
+                    reason: innermost_cause(&error),
                 })?;
             read_reply(response).await
         };
@@ -132,7 +136,7 @@
         tokio::time::timeout(limit, exchange)
             .await
             .unwrap_or_else(|_| {
-                Err(TryFailure {
+                Err(AttemptFailure {
                     reason: format!("no answer within {limit:?}"),
                 })
             })
@@ -157,15 +161,16 @@
     }
 }
 
-/// Whether another daemon may answer better: this one is leaving, starting or overloaded.
-const fn is_passing(status: u16) -> bool {
+/// Returns whether a refusal is specific to one daemon, such as one that is draining, starting or
+/// overloaded, so that another daemon may accept the call.
+const fn is_transient(status: u16) -> bool {
     matches!(status, 429 | 500 | 502 | 503 | 504)
 }
 
-async fn read_reply(response: Response<Incoming>) -> Result<ApiReply, TryFailure> {
+async fn read_reply(response: Response<Incoming>) -> Result<ApiReply, AttemptFailure> {
     let (parts, body) = response.into_parts();
     let limited = Limited::new(body, REPLY_LIMIT);
-    let collected = limited.collect().await.map_err(|error| TryFailure {
+    let collected = limited.collect().await.map_err(|error| AttemptFailure {
         reason: format!("the reply was cut short: {error}"),
     })?;
     let etag = parts.headers.get(header::ETAG);
@@ -183,7 +188,7 @@
     text.trim_matches('"').parse().ok()
 }
 
-fn problem_of(reply: &ApiReply) -> ProblemDetails {
+fn to_problem(reply: &ApiReply) -> ProblemDetails {
     let mut problem: ProblemDetails = serde_json::from_slice(&reply.body).unwrap_or_default();
     problem.status = reply.status;
     if problem.title.is_empty() {
@@ -194,8 +199,9 @@
     problem
 }
 
-/// The innermost cause: the outer ones of the client only say that a request failed.
-fn innermost<E>(error: &E) -> String
+/// Returns the text of the innermost cause. The outer errors of the HTTP client only say that a
+/// request failed.
+fn innermost_cause<E>(error: &E) -> String
 where
     E: std::error::Error,
 {
--- a/crates/ops/src/client/failure.rs
+++ b/crates/ops/src/client/failure.rs
@@ -1,4 +1,4 @@
-//! Why a call got no useful reply.
+//! Errors of calls to the operators' API.
 
 use std::error::Error;
 use std::fmt;
@@ -7,19 +7,19 @@
 use serde::Deserialize;
 use sycamorelink_core::SettingFinding;
 
-/// Why a call got no useful reply.
+/// Errors of calls to the operators' API.
 #[derive(Debug)]
 pub enum ApiFailure {
     /// No daemon answered.
     Unreachable {
-        /// The daemons asked, each with what went wrong.
-        tried: Vec<(SocketAddr, String)>,
+        /// The daemons that were tried, each with its error.
+        attempts: Vec<(SocketAddr, String)>,
     },
-    /// The daemon refused.
+    /// A daemon refused the call.
     Problem(Box<ProblemDetails>),
-    /// The reply is not what the API promises.
+    /// The reply does not have the expected form.
     Malformed {
-        /// What is wrong with it.
+        /// Path in the reply and the parse error.
         message: String,
     },
 }
@@ -27,9 +27,9 @@
 impl fmt::Display for ApiFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable { tried } => {
+            Self::Unreachable { attempts } => {
                 f.write_str("no daemon answered")?;
-                for (address, reason) in tried {
+                for (address, reason) in attempts {
                     write!(f, "\n  {address}: {reason}")?;
                 }
                 Ok(())
@@ -44,33 +44,33 @@
 
 impl Error for ApiFailure {}
 
-/// Problem details of RFC 9457 as the daemon sends them.
+/// Problem details of a refusal, as in RFC 9457.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ProblemDetails {
-    /// What went wrong, in a few words.
+    /// Short description of the kind of problem.
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// Stable code.
+    /// Stable code of the kind of problem.
     pub code: String,
-    /// What went wrong with this call.
+    /// Explanation specific to this call.
     pub detail: Option<String>,
-    /// What is wrong with the document.
+    /// Validation findings in the document that was sent.
     pub findings: Vec<SettingFinding>,
-    /// The change that is in force instead.
-    pub winner: Option<ChangeWinner>,
+    /// Version in force, if it conflicts with the change that was sent.
+    pub winner: Option<VersionConflict>,
 }
 
-/// The change that is in force instead of the one that was sent.
+/// Version in force that conflicts with a change.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct ChangeWinner {
-    /// Id of the change.
+pub struct VersionConflict {
+    /// Id of the change that created the version.
     pub change: Option<String>,
-    /// Version in force; zero when the customer was removed.
+    /// Version in force; zero if the customer was removed.
     pub version: u64,
-    /// Who made it.
+    /// Operator who made the change.
     pub operator: Option<String>,
 }
 
@@ -80,8 +80,8 @@
         if let Some(detail) = &self.detail {
             write!(f, ": {detail}")?;
         }
-        if let Some(winner) = &self.winner {
-            write!(f, "\n{winner}")?;
+        if let Some(conflict) = &self.winner {
+            write!(f, "\n{conflict}")?;
         }
         for finding in &self.findings {
             write!(f, "\n{finding}")?;
@@ -90,7 +90,7 @@
     }
 }
 
-impl fmt::Display for ChangeWinner {
+impl fmt::Display for VersionConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "version {} is in force", self.version)?;
         if let Some(operator) = &self.operator {
--- a/crates/ops/src/client/mod.rs
+++ b/crates/ops/src/client/mod.rs
@@ -1,11 +1,12 @@
 //! Client of the operators' API.
 //!
-//! Any daemon takes any call, so the daemons in the settings are asked in order until one answers.
+//! Any daemon serves any call, so the client tries the configured daemons in order until one
+//! answers.
 //!
-//! Asking the next daemon after a call with an unknown end must not make a change twice. Reads
-//! change nothing; every change carries its id in `Idempotency-Key`, and the fleet makes a change
-//! with one id once, whichever daemons it was sent to. A call that concerns one daemon, such as
-//! a drain, is sent to that one only.
+//! Retrying at the next daemon when a reply was lost must not apply a change twice. Every change
+//! therefore carries its id in `Idempotency-Key`, and the fleet applies each id once, whichever
+//! daemons receive it. A call that concerns one daemon, such as a drain, is sent to that daemon
+//! only.
 
 mod call;
 mod daemon;
@@ -13,6 +14,6 @@
 
 pub use call::{ApiCall, ApiReply};
 pub use daemon::DaemonClient;
-pub use failure::{ApiFailure, ChangeWinner, ProblemDetails};
+pub use failure::{ApiFailure, ProblemDetails, VersionConflict};
 
 pub use http::Method;
--- a/crates/ops/src/context.rs
+++ b/crates/ops/src/context.rs
@@ -1,4 +1,4 @@
-//! What every operation gets: where output goes, the clock and the settings of the tool.
+//! Context passed to every operation: output streams, clock and tool settings.
 
 use std::fmt::{self, Display};
 use std::io::{self, Write};
@@ -11,20 +11,20 @@
 use crate::exit::ToolFailure;
 use crate::settings::ToolSettings;
 
-/// Width of the verb of a status line, so that verbs end in one column.
+/// Width to which the verb of a status line is right-aligned.
 const VERB_WIDTH: usize = 12;
 
-/// Form of the data on stdout.
+/// Format of the data on stdout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Human-readable tables and lines.
     #[default]
     Text,
-    /// For programs.
+    /// Indented JSON.
     Json,
 }
 
-/// Output, clock and settings of one run of the tool.
+/// Output streams, clock and settings of one invocation of the tool.
 pub struct ShellContext {
     out: Box<dyn Write + Send>,
     err: Box<dyn Write + Send>,
@@ -44,7 +44,8 @@
 }
 
 impl ShellContext {
-    /// Starts a context with the process's own output and the machine's clock.
+    /// Returns a builder that writes to the stdout and stderr of the process and reads the system
+    /// clock.
     #[must_use]
     pub fn builder(settings: ToolSettings) -> ShellBuilder {
         ShellBuilder {
@@ -59,19 +60,19 @@
         }
     }
 
-    /// The clock.
+    /// Returns the clock that operations use for their deadlines.
     #[must_use]
     pub fn clock(&self) -> &Arc<dyn NodeClock> {
         &self.clock
     }
 
-    /// Settings of the tool.
+    /// Returns the addresses, token and timeout for calls to daemons.
     #[must_use]
     pub fn settings(&self) -> &ToolSettings {
         &self.settings
     }
 
-    /// Whether stdout is a terminal.
+    /// Returns whether stdout is a terminal.
     #[must_use]
     pub const fn terminal(&self) -> bool {
         self.terminal
@@ -81,21 +82,21 @@
     ///
     /// # Errors
     ///
-    /// When stdout takes no more.
+    /// Returns an error if stdout cannot be written.
     pub fn data<T>(&mut self, data: T) -> anyhow::Result<()>
     where
         T: Display,
     {
         let text = data.to_string();
         let written = self.out.write_all(text.as_bytes());
-        finish_write(written.and_then(|()| self.out.flush()))
+        map_write_error(written.and_then(|()| self.out.flush()))
     }
 
-    /// Writes data and the end of the line to stdout.
+    /// Writes data and a newline to stdout.
     ///
     /// # Errors
     ///
-    /// When stdout takes no more.
+    /// Returns an error if stdout cannot be written.
     pub fn data_line<T>(&mut self, data: T) -> anyhow::Result<()>
     where
         T: Display,
@@ -107,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// When stdout takes no more.
+    /// Returns an error if stdout cannot be written.
     pub fn data_json<T>(&mut self, value: &T) -> anyhow::Result<()>
     where
         T: Serialize,
@@ -116,7 +117,7 @@
         self.data_line(text)
     }
 
-    /// Writes a status line to stderr: what is done, then to what.
+    /// Writes a status line to stderr: a verb, then its subject. Omitted in quiet mode.
     pub fn status<T>(&mut self, verb: &str, subject: T)
     where
         T: Display,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Writes a warning to stderr.
+    /// Writes a warning to stderr, also in quiet mode.
     pub fn warn<T>(&mut self, message: T)
     where
         T: Display,
@@ -134,7 +135,7 @@
         self.err_line(format_args!("warning: {message}"));
     }
 
-    /// Writes a hint to stderr.
+    /// Writes a hint to stderr. Omitted in quiet mode.
     pub fn hint<T>(&mut self, message: T)
     where
         T: Display,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Writes an error with its causes to stderr. The outer line says what was tried.
+    /// Writes an error with its causes to stderr. The first line names the operation that failed.
     pub fn error(&mut self, error: &anyhow::Error) {
         self.err_line(format_args!("error: {error}"));
         let causes: Vec<String> = error.chain().skip(1).map(ToString::to_string).collect();
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Writes a line to stderr. A closed stderr is nothing to fail over.
+    /// Writes a line to stderr. Write errors are ignored, so a closed stderr fails no operation.
     fn err_line<T>(&mut self, line: T)
     where
         T: Display,
@@ -169,8 +170,9 @@
     }
 }
 
-/// A reader that closed its end of the pipe, such as `head`, has what it wants.
-fn finish_write(written: io::Result<()>) -> anyhow::Result<()> {
+/// Maps a broken pipe to [`ToolFailure::OutputClosed`], which exits with success: a reader such as
+/// `head` closes the pipe once it has read enough.
+fn map_write_error(written: io::Result<()>) -> anyhow::Result<()> {
     match written {
         Err(error) if error.kind() == io::ErrorKind::BrokenPipe => {
             Err(ToolFailure::OutputClosed.into())
@@ -179,49 +181,49 @@
     }
 }
 
-/// Builds a [`ShellContext`].
+/// Builder of a [`ShellContext`].
 #[derive(Debug)]
 pub struct ShellBuilder {
     context: ShellContext,
 }
 
 impl ShellBuilder {
-    /// Sends data elsewhere than to the process's stdout.
+    /// Replaces the stdout of the process as the destination of data.
     #[must_use]
     pub fn out(mut self, out: Box<dyn Write + Send>) -> Self {
         self.context.out = out;
         self
     }
 
-    /// Sends status lines elsewhere than to the process's stderr.
+    /// Replaces the stderr of the process as the destination of status lines, warnings and errors.
     #[must_use]
     pub fn err(mut self, err: Box<dyn Write + Send>) -> Self {
         self.context.err = err;
         self
     }
 
-    /// Takes another clock.
+    /// Replaces the system clock.
     #[must_use]
     pub fn clock(mut self, clock: Arc<dyn NodeClock>) -> Self {
         self.context.clock = clock;
         self
     }
 
-    /// Says that stdout is a terminal.
+    /// Sets whether stdout is a terminal. The default is `false`.
     #[must_use]
     pub const fn terminal(mut self, terminal: bool) -> Self {
         self.context.terminal = terminal;
         self
     }
 
-    /// Leaves out status lines and hints.
+    /// Sets whether status lines and hints are omitted. The default is `false`.
     #[must_use]
     pub const fn quiet(mut self, quiet: bool) -> Self {
         self.context.quiet = quiet;
         self
     }
 
-    /// The context.
+    /// Returns the finished context.
     #[must_use]
     pub fn build(self) -> ShellContext {
         self.context
--- a/crates/ops/src/contract/change.rs
+++ b/crates/ops/src/contract/change.rs
@@ -1,4 +1,4 @@
-//! Changes: publish, amend, remove and roll back.
+//! Commands that change contracts: publish, amend, remove and roll back.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,38 +14,37 @@
 use crate::context::ShellContext;
 use crate::view::ChangeResult;
 
-/// HTTP status of a change that is sent but not yet confirmed.
-const ACCEPTED: u16 = 202;
+/// HTTP status of a change that the log has not confirmed yet.
+const STATUS_ACCEPTED: u16 = 202;
 
-/// How a change is made.
+/// Options common to all changes.
 #[derive(Clone, Debug)]
 pub struct ChangeOptions {
-    /// Id of the change; a new one when absent. The same id may be sent again, to any daemon.
+    /// Id of the change; `None` generates one. Sending the same id again, to any daemon, is safe.
     pub change: Option<Uuid>,
-    /// Longest wait for the log to confirm.
+    /// Maximum time to wait for the log to confirm the change.
     pub wait: Duration,
 }
 
-/// The version that a change amends.
+/// Version that a change amends.
 ///
-/// There is no default: failure: an operator edits version 5, another publishes version 6, and the
-/// first one's file is put in force over it. Symptom: the second change silently disappears. The
-/// version that the file was made from has to be named, and the fleet rejects the change when that
-/// version is no longer in force.
+/// There is no default, so that one operator cannot silently overwrite the change of another: a
+/// file edited from version 5 must not replace version 6, published meanwhile. The fleet rejects a
+/// change whose base version is no longer in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaseVersion {
-    /// The version that the file was made from.
+    /// Version that the file was edited from.
     Version(u64),
-    /// Whatever is in force now, on the operator's own word.
+    /// Version in force at the time of the call. May overwrite changes of other operators.
     Current,
 }
 
-/// What to amend and how.
+/// Options of a change to an existing contract.
 #[derive(Clone, Debug)]
 pub struct AmendOptions {
-    /// The version that the file was made from.
+    /// Version that the change amends.
     pub base: BaseVersion,
-    /// How the change is made.
+    /// Options common to all changes.
     pub change: ChangeOptions,
 }
 
@@ -54,11 +53,12 @@
     to: u64,
 }
 
-/// Creates a customer's contract.
+/// Publishes the first contract of a customer.
 ///
 /// # Errors
 ///
-/// When the file has findings, the customer has a contract already, or no daemon takes the change.
+/// Returns an error if the file has findings, the customer already has a contract, or no daemon
+/// accepts the change.
 pub fn publish_contract(
     context: &mut ShellContext,
     file: &Path,
@@ -77,11 +77,12 @@
         .with_context(|| format!("could not publish the contract of {customer}"))
 }
 
-/// Replaces a customer's contract.
+/// Replaces the contract of a customer.
 ///
 /// # Errors
 ///
-/// When the file has findings, another version is in force, or no daemon takes the change.
+/// Returns an error if the file has findings, another version is in force, or no daemon accepts the
+/// change.
 pub fn amend_contract(
     context: &mut ShellContext,
     file: &Path,
@@ -90,45 +91,45 @@
     let contract = read_contract(file)?;
     let client = DaemonClient::open(context.settings())?;
     let customer = contract.customer.to_string();
-    let tried = || format!("could not amend the contract of {customer}");
-    let base = base_version(&client, &customer, options.base).with_context(tried)?;
+    let error_context = || format!("could not amend the contract of {customer}");
+    let base = base_version(&client, &customer, options.base).with_context(error_context)?;
     let draft = ChangeDraft {
         verb: "Amending",
         customer: &customer,
         base,
     };
     let call = ApiCall::new(Method::PUT, &contract_path(&customer)).body(&contract)?;
-    send_change(context, &client, &draft, call, &options.change).with_context(tried)
+    send_change(context, &client, &draft, call, &options.change).with_context(error_context)
 }
 
-/// Removes a customer.
+/// Removes the contract of a customer.
 ///
 /// # Errors
 ///
-/// When another version is in force, or no daemon takes the change.
+/// Returns an error if another version is in force or no daemon accepts the change.
 pub fn remove_contract(
     context: &mut ShellContext,
     customer: &str,
     options: &AmendOptions,
 ) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
-    let tried = || format!("could not remove the customer {customer}");
-    let base = base_version(&client, customer, options.base).with_context(tried)?;
+    let error_context = || format!("could not remove the customer {customer}");
+    let base = base_version(&client, customer, options.base).with_context(error_context)?;
     let draft = ChangeDraft {
         verb: "Removing",
         customer,
         base,
     };
     let call = ApiCall::new(Method::DELETE, &contract_path(customer));
-    send_change(context, &client, &draft, call, &options.change).with_context(tried)
+    send_change(context, &client, &draft, call, &options.change).with_context(error_context)
 }
 
-/// Puts the content of an earlier version into force again, as a new version.
+/// Publishes the content of an earlier version as a new version.
 ///
 /// # Errors
 ///
-/// When the version is not known, another one is in force than named, or no daemon takes the
-/// change.
+/// Returns an error if the version is unknown, the base version is not in force, or no daemon
+/// accepts the change.
 pub fn roll_back_contract(
     context: &mut ShellContext,
     customer: &str,
@@ -136,8 +137,9 @@
     options: &AmendOptions,
 ) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
-    let tried = || format!("could not roll the contract of {customer} back to version {to}");
-    let base = base_version(&client, customer, options.base).with_context(tried)?;
+    let error_context =
+        || format!("could not roll the contract of {customer} back to version {to}");
+    let base = base_version(&client, customer, options.base).with_context(error_context)?;
     let draft = ChangeDraft {
         verb: "Rolling back",
         customer,
@@ -145,10 +147,10 @@
     };
     let path = format!("{}/rollback", contract_path(customer));
     let call = ApiCall::new(Method::POST, &path).body(&RollbackRequest { to })?;
-    send_change(context, &client, &draft, call, &options.change).with_context(tried)
+    send_change(context, &client, &draft, call, &options.change).with_context(error_context)
 }
 
-/// A change as the operator sees it.
+/// Description of a change for status lines.
 struct ChangeDraft<'a> {
     verb: &'static str,
     customer: &'a str,
@@ -177,11 +179,11 @@
     };
     let reply = match client.call(&call.change(&id, draft.base)) {
         Ok(reply) => reply,
-        Err(error) if own_change_won(&error, &id) => {
+        Err(error) if is_own_change(&error, &id) => {
             return follow_change(context, client, &id, &wait);
         }
         Err(error) => {
-            if !is_final(&error) {
+            if !is_definite_rejection(&error) {
                 context.hint(format_args!(
                     "the change may have taken effect if its reply was lost; ask with \
                      `sycamorelink contract wait {id}` or send it again with `--change {id}`"
@@ -190,7 +192,7 @@
             return Err(error);
         }
     };
-    if reply.status == ACCEPTED {
+    if reply.status == STATUS_ACCEPTED {
         return follow_change(context, client, &id, &wait);
     }
     let result: ChangeResult = reply.json()?;
@@ -202,22 +204,22 @@
     context.data_line(result.version)
 }
 
-/// Whether the change that stands in the way is this very one.
+/// Returns whether the conflicting change is the one that was sent.
 ///
-/// Failure: a daemon took the change and its reply was lost, and the next daemon finds the base
-/// stale because of it. Symptom: the operator is told that somebody else won. The id of the change
-/// is enough to tell, because nobody else has it.
-fn own_change_won(error: &anyhow::Error, id: &str) -> bool {
+/// If a daemon accepts the change and its reply is lost, the next daemon reports the base as stale
+/// because of that same change. Without this check the tool would report a conflict with another
+/// operator. Change ids are unique, so comparing them is sufficient.
+fn is_own_change(error: &anyhow::Error, id: &str) -> bool {
     let Some(ApiFailure::Problem(problem)) = error.downcast_ref() else {
         return false;
     };
-    let winner = problem.winner.as_ref();
-    let change = winner.and_then(|winner| winner.change.as_deref());
+    let conflict = problem.winner.as_ref();
+    let change = conflict.and_then(|conflict| conflict.change.as_deref());
     change.and_then(|change| change.parse().ok()) == id.parse::<Uuid>().ok()
 }
 
-/// Whether the refusal says for certain that the change has no effect.
-fn is_final(error: &anyhow::Error) -> bool {
+/// Returns whether the refusal guarantees that the change has no effect.
+fn is_definite_rejection(error: &anyhow::Error) -> bool {
     let failure = error.downcast_ref();
     matches!(failure, Some(ApiFailure::Problem(problem)) if problem.status < 500)
 }
--- a/crates/ops/src/contract/diff.rs
+++ b/crates/ops/src/contract/diff.rs
@@ -1,38 +1,38 @@
-//! Differences between two contracts, value by value.
+//! Structural comparison of two contracts.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use serde_json::Value;
 
-/// Fields that tell elements of a list apart, tried in order. Lists are compared by these and not
-/// by position, so that an element added at the front is one difference.
+/// Fields that identify the elements of a list, tried in order. Elements are matched by these
+/// fields instead of by position, so that an element inserted at the front is one difference.
 const ELEMENT_KEYS: [&[&str]; 3] = [&["name"], &["id"], &["prefix", "methods"]];
 
-/// One value that differs.
+/// Value that differs between two contracts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ContractDifference {
-    /// JSON path of the value.
-    pub place: String,
-    /// The value before; none when it was added.
+    /// Path of the value in the document, such as `services[orders].floor`.
+    pub path: String,
+    /// Value before; `None` if the value was added.
     pub before: Option<Value>,
-    /// The value after; none when it was removed.
+    /// Value after; `None` if the value was removed.
     pub after: Option<Value>,
 }
 
 impl fmt::Display for ContractDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let place = &self.place;
+        let path = &self.path;
         match (&self.before, &self.after) {
-            (Some(before), Some(after)) => write!(f, "~ {place}: {before} -> {after}"),
-            (Some(before), None) => write!(f, "- {place}: {before}"),
-            (None, Some(after)) => write!(f, "+ {place}: {after}"),
+            (Some(before), Some(after)) => write!(f, "~ {path}: {before} -> {after}"),
+            (Some(before), None) => write!(f, "- {path}: {before}"),
+            (None, Some(after)) => write!(f, "+ {path}: {after}"),
             (None, None) => Ok(()),
         }
     }
 }
 
-/// Everything that differs, in the order of the document.
+/// Returns all differences, fields in alphabetical order and list elements in document order.
 #[must_use]
 pub fn value_differences(before: &Value, after: &Value) -> Vec<ContractDifference> {
     let mut differences = Vec::new();
@@ -41,7 +41,7 @@
 }
 
 fn compare(
-    place: &str,
+    path: &str,
     before: Option<&Value>,
     after: Option<&Value>,
     differences: &mut Vec<ContractDifference>,
@@ -49,13 +49,15 @@
     match (before, after) {
         (Some(before), Some(after)) if before == after => {}
         (Some(Value::Object(_)), Some(Value::Object(_))) => {
-            compare_objects(place, before, after, differences);
+            compare_objects(path, before, after, differences);
         }
-        (Some(Value::Array(old)), Some(Value::Array(new))) if keyed(old) && keyed(new) => {
-            compare_lists(place, old, new, differences);
+        (Some(Value::Array(old)), Some(Value::Array(new)))
+            if has_unique_keys(old) && has_unique_keys(new) =>
+        {
+            compare_keyed_lists(path, old, new, differences);
         }
         _ => differences.push(ContractDifference {
-            place: place.to_owned(),
+            path: path.to_owned(),
             before: before.cloned(),
             after: after.cloned(),
         }),
@@ -63,7 +65,7 @@
 }
 
 fn compare_objects(
-    place: &str,
+    path: &str,
     before: Option<&Value>,
     after: Option<&Value>,
     differences: &mut Vec<ContractDifference>,
@@ -74,10 +76,10 @@
         .filter_map(|value| value.and_then(Value::as_object));
     let keys: BTreeSet<&String> = objects.flat_map(serde_json::Map::keys).collect();
     for key in keys {
-        let inner = if place.is_empty() {
+        let inner = if path.is_empty() {
             key.clone()
         } else {
-            format!("{place}.{key}")
+            format!("{path}.{key}")
         };
         let old = before.and_then(|value| value.get(key));
         let new = after.and_then(|value| value.get(key));
@@ -85,8 +87,8 @@
     }
 }
 
-fn compare_lists(
-    place: &str,
+fn compare_keyed_lists(
+    path: &str,
     before: &[Value],
     after: &[Value],
     differences: &mut Vec<ContractDifference>,
@@ -106,7 +108,7 @@
         let old = find(before, &key);
         let new = find(after, &key);
         compare(
-            &format!("{place}[{key}]"),
+            &format!("{path}[{key}]"),
             old.as_ref(),
             new.as_ref(),
             differences,
@@ -114,7 +116,7 @@
     }
 }
 
-fn keyed(list: &[Value]) -> bool {
+fn has_unique_keys(list: &[Value]) -> bool {
     let keys: BTreeSet<String> = list.iter().filter_map(element_key).collect();
     keys.len() == list.len()
 }
--- a/crates/ops/src/contract/follow.rs
+++ b/crates/ops/src/contract/follow.rs
@@ -1,4 +1,4 @@
-//! Following a change by its id until it is settled.
+//! Polls a change by its id until it is accepted or rejected.
 
 use std::time::Duration;
 
@@ -9,23 +9,24 @@
 use crate::exit::ToolFailure;
 use crate::view::{ChangeState, ChangeView, FleetView, MemberView};
 
-/// Pause between two questions about a change.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two queries for the state of a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long and how far a change is followed.
+/// Options of waiting for a change.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitOptions {
-    /// Longest wait.
+    /// Maximum time to wait.
     pub limit: Duration,
-    /// Wait until it is in force on every daemon of the fleet that can be reached.
+    /// Whether to wait until the change is in force on every live daemon whose contract version is
+    /// known.
     pub everywhere: bool,
 }
 
-/// Waits until a change is settled and says how.
+/// Waits until a change is accepted and prints the version that the change created.
 ///
 /// # Errors
 ///
-/// When it was rejected, is not settled in time, or no daemon answers.
+/// Returns an error if the change is rejected, is not confirmed in time, or no daemon answers.
 pub fn wait_for_change(
     context: &mut ShellContext,
     change: &str,
@@ -42,40 +43,40 @@
     change: &str,
     options: &WaitOptions,
 ) -> anyhow::Result<()> {
-    let end = context.clock().now() + options.limit;
+    let deadline = context.clock().now() + options.limit;
     context.status("Waiting", format_args!("for the change {change}"));
     let version = loop {
         if let Some(version) = settled_version(client, change)? {
             break version;
         }
-        pause_until(context, client, change, end)?;
+        pause_or_time_out(context, client, change, deadline)?;
     };
     context.status("Accepted", format_args!("as version {version}"));
     if options.everywhere {
-        follow_spread(
+        await_rollout(
             context,
             client,
-            &SpreadGoal {
+            &RolloutGoal {
                 change,
                 version,
-                end,
+                deadline,
             },
         )?;
     }
     context.data_line(version)
 }
 
-/// A version to be in force everywhere.
-struct SpreadGoal<'a> {
+/// Version that must be in force on every daemon before a deadline.
+struct RolloutGoal<'a> {
     change: &'a str,
     version: u64,
-    end: Duration,
+    deadline: Duration,
 }
 
-fn follow_spread(
+fn await_rollout(
     context: &mut ShellContext,
     client: &DaemonClient,
-    goal: &SpreadGoal<'_>,
+    goal: &RolloutGoal<'_>,
 ) -> anyhow::Result<()> {
     loop {
         let fleet: FleetView = client.call(&ApiCall::get("/v1/fleet"))?.json()?;
@@ -87,12 +88,12 @@
             );
             return Ok(());
         }
-        context.status("Waiting", format_args!("for {}", name_some(&behind)));
-        pause_until(context, client, goal.change, goal.end)?;
+        context.status("Waiting", format_args!("for {}", summarize_names(&behind)));
+        pause_or_time_out(context, client, goal.change, goal.deadline)?;
     }
 }
 
-/// The version that the change made; none while it is not settled.
+/// Returns the version that the change created; `None` while the change is pending.
 fn settled_version(client: &DaemonClient, change: &str) -> anyhow::Result<Option<u64>> {
     let call = ApiCall::get(&format!("/v1/changes/{change}"));
     let view: ChangeView = client.call(&call)?.json()?;
@@ -106,7 +107,7 @@
 fn rejection(change: &str, view: &ChangeView) -> ToolFailure {
     let reason = view.reason.as_deref().unwrap_or("no reason given");
     let reason = match &view.winner {
-        Some(winner) => format!("{reason}; {winner}"),
+        Some(conflict) => format!("{reason}; {conflict}"),
         None => reason.to_owned(),
     };
     ToolFailure::Rejected {
@@ -115,22 +116,22 @@
     }
 }
 
-fn pause_until(
+fn pause_or_time_out(
     context: &ShellContext,
     client: &DaemonClient,
     change: &str,
-    end: Duration,
+    deadline: Duration,
 ) -> anyhow::Result<()> {
-    if context.clock().now() >= end {
+    if context.clock().now() >= deadline {
         let change = change.to_owned();
         return Err(ToolFailure::Unconfirmed { change }.into());
     }
-    client.pause(ASK_PAUSE);
+    client.pause(POLL_INTERVAL);
     Ok(())
 }
 
-/// Names of the members that run and do not have the version yet. A version is in force where the
-/// next offset to be read is at least the version.
+/// Returns the names of live members that lack the version. A version is in force at a member whose
+/// next contract offset is at least the version.
 fn members_behind(fleet: &FleetView, version: u64) -> Vec<&str> {
     let behind = |member: &&MemberView| {
         let runs = member.state == "alive" || member.state == "leaving";
@@ -140,12 +141,12 @@
     members.map(|member| member.instance.as_str()).collect()
 }
 
-/// The first few names and how many more there are.
-fn name_some(names: &[&str]) -> String {
-    /// Most names in one line.
-    const SHOWN: usize = 4;
-    let shown = names.iter().take(SHOWN).copied().collect::<Vec<_>>();
-    match names.len().saturating_sub(SHOWN) {
+/// Joins the first names and appends the number of the remaining ones.
+fn summarize_names(names: &[&str]) -> String {
+    /// Maximum number of names in one line.
+    const MAX_NAMES: usize = 4;
+    let shown = names.iter().take(MAX_NAMES).copied().collect::<Vec<_>>();
+    match names.len().saturating_sub(MAX_NAMES) {
         0 => shown.join(", "),
         more => format!("{} and {more} more", shown.join(", ")),
     }
--- a/crates/ops/src/contract/local.rs
+++ b/crates/ops/src/contract/local.rs
@@ -1,4 +1,4 @@
-//! Contracts in files: checked, compared, and printed as samples.
+//! Commands on contract files: validate, compare, print samples and the schema.
 
 use std::path::{Path, PathBuf};
 
@@ -13,41 +13,41 @@
 use crate::context::ShellContext;
 use crate::exit::ToolFailure;
 
-/// Reads and checks a contract.
+/// Reads and validates a contract file.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or has findings.
+/// Returns an error if the file cannot be read or has findings.
 pub fn read_contract(file: &Path) -> anyhow::Result<CustomerContract> {
     let name = file.display();
     let text = std::fs::read_to_string(file).with_context(|| format!("could not read {name}"))?;
     CustomerContract::from_json(&text)
-        .map_err(|findings| ToolFailure::Findings(in_file(findings, file)))
+        .map_err(|findings| ToolFailure::Findings(prefix_with_file(findings, file)))
         .with_context(|| format!("the contract in {name} is not valid"))
 }
 
-fn in_file(mut findings: FindingList, file: &Path) -> FindingList {
+fn prefix_with_file(mut findings: FindingList, file: &Path) -> FindingList {
     for finding in &mut findings.0 {
         finding.place = format!("{}: {}", file.display(), finding.place);
     }
     findings
 }
 
-/// Checks every file and reports the findings of all.
+/// Validates all files and reports the findings of all of them.
 ///
 /// # Errors
 ///
-/// When a file cannot be read or has findings.
+/// Returns an error if a file cannot be read or has findings.
 pub fn validate_contracts(context: &mut ShellContext, files: &[PathBuf]) -> anyhow::Result<()> {
     let mut findings = FindingList::default();
-    let mut faulty = 0;
+    let mut invalid_count = 0;
     for file in files {
         let name = file.display();
         match read_contract(file) {
             Ok(contract) => context.status("Valid", format_args!("{name}: {}", contract.customer)),
             Err(error) => match error.downcast::<ToolFailure>()? {
                 ToolFailure::Findings(found) => {
-                    faulty += 1;
+                    invalid_count += 1;
                     findings.0.extend(found.0);
                 }
                 other => return Err(other.into()),
@@ -57,46 +57,50 @@
     findings
         .into_result()
         .map_err(ToolFailure::Findings)
-        .with_context(|| format!("{faulty} of {} contracts are not valid", files.len()))
+        .with_context(|| format!("{invalid_count} of {} contracts are not valid", files.len()))
 }
 
 /// Prints the JSON schema of a contract.
 ///
 /// # Errors
 ///
-/// When stdout takes no more.
+/// Returns an error if stdout cannot be written.
 pub fn print_schema(context: &mut ShellContext) -> anyhow::Result<()> {
     context.data_json(&contract_schema())
 }
 
-/// A contract to compare.
+/// Contract to compare a file with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ContractSide {
-    /// The one in a file.
+    /// Contract in another file.
     File(PathBuf),
-    /// The one that the fleet has in force for the customer of the other side.
+    /// Contract in force in the fleet for the same customer.
     Fleet,
 }
 
-/// Prints what differs between the contract in a file and another one.
+/// Prints the differences between the contract in a file and another contract.
 ///
 /// # Errors
 ///
-/// [`ToolFailure::Different`] when they differ; otherwise when one of them cannot be read.
+/// Returns [`ToolFailure::Different`] if the contracts differ, or another error if one cannot be
+/// read.
 pub fn diff_contracts(
     context: &mut ShellContext,
     file: &Path,
-    against: &ContractSide,
+    baseline: &ContractSide,
 ) -> anyhow::Result<()> {
     let after = read_contract(file)?;
-    let before = match against {
+    let before = match baseline {
         ContractSide::File(other) => read_contract(other)?,
         ContractSide::Fleet => {
             let client = DaemonClient::open(context.settings())?;
-            let held = fetch_contract(&client, after.customer.as_str())
+            let current = fetch_contract(&client, after.customer.as_str())
                 .with_context(|| format!("could not compare {} with the fleet", file.display()))?;
-            context.status("Comparing", format_args!("with version {}", held.version));
-            held.contract
+            context.status(
+                "Comparing",
+                format_args!("with version {}", current.version),
+            );
+            current.contract
         }
     };
     let differences = value_differences(&contract_value(&before)?, &contract_value(&after)?);
@@ -118,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// When there is no sample of this name.
+/// Returns [`ToolFailure::NotFound`] if there is no sample of this name.
 pub fn print_sample(context: &mut ShellContext, name: &str) -> anyhow::Result<()> {
     let text = match name {
         BRANNOCK => samples::brannock_json(),
@@ -128,9 +132,9 @@
     context.data_line(text.trim_end())
 }
 
-/// Sample of many small calls with bookings.
+/// Sample of a customer with many small calls and bookings.
 const BRANNOCK: &str = "brannock";
-/// Sample of lookups, payouts and large uploads.
+/// Sample of a customer with lookups, payouts and large uploads.
 const HARBOUR_MESH: &str = "harbour-mesh";
 
 fn unknown_sample(name: &str) -> ToolFailure {
--- a/crates/ops/src/contract/mod.rs
+++ b/crates/ops/src/contract/mod.rs
@@ -1,4 +1,5 @@
-//! Contracts: checked and compared in files, published and read through any daemon.
+//! The `contract` commands: validate and compare files, publish and read contracts through any
+//! daemon.
 //!
 //! ```text
 //! file ──validate──▶ change with an id ──PUT──▶ daemon ──▶ log ──▶ every daemon
@@ -30,8 +31,8 @@
 
 use crate::client::{ApiCall, DaemonClient};
 
-/// A contract as the fleet has it.
-struct HeldContract {
+/// Contract in force and its version.
+struct VersionedContract {
     contract: CustomerContract,
     version: u64,
 }
@@ -40,16 +41,16 @@
     format!("/v1/contracts/{}", escape_segment(customer))
 }
 
-fn fetch_contract(client: &DaemonClient, customer: &str) -> anyhow::Result<HeldContract> {
+fn fetch_contract(client: &DaemonClient, customer: &str) -> anyhow::Result<VersionedContract> {
     let reply = client.call(&ApiCall::get(&contract_path(customer)))?;
     let version = reply.version.context("the reply names no version")?;
-    Ok(HeldContract {
+    Ok(VersionedContract {
         contract: reply.json()?,
         version,
     })
 }
 
-/// Writes a name as one segment of a path.
+/// Percent-encodes a name for use as one segment of a URL path.
 pub(crate) fn escape_segment(name: &str) -> String {
     let plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(byte);
     name.bytes()
--- a/crates/ops/src/contract/read.rs
+++ b/crates/ops/src/contract/read.rs
@@ -1,4 +1,4 @@
-//! Reading contracts from the fleet.
+//! Commands that read contracts from the fleet.
 
 use anyhow::Context;
 
@@ -8,27 +8,27 @@
 use crate::table::TextTable;
 use crate::view::{ContractList, ContractSummary, HistoryEntry, HistoryView};
 
-/// Customers on one page of the list.
+/// Number of contracts requested per page of the list.
 const PAGE_SIZE: usize = 500;
 
-/// Prints the contract in force, and its version to stderr.
+/// Prints the contract in force to stdout and its version to stderr.
 ///
 /// # Errors
 ///
-/// When the customer has none or no daemon answers.
+/// Returns an error if the customer has no contract or no daemon answers.
 pub fn show_contract(context: &mut ShellContext, customer: &str) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
-    let held = fetch_contract(&client, customer)
+    let current = fetch_contract(&client, customer)
         .with_context(|| format!("could not show the contract of {customer}"))?;
-    context.status("Version", held.version);
-    context.data_line(held.contract.to_json())
+    context.status("Version", current.version);
+    context.data_line(current.contract.to_json())
 }
 
-/// Lists the customers with their versions.
+/// Prints all customers with the versions of their contracts.
 ///
 /// # Errors
 ///
-/// When no daemon answers.
+/// Returns an error if no daemon answers.
 pub fn list_contracts(context: &mut ShellContext, format: OutputFormat) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
     let contracts = fetch_list(&client).context("could not list the contracts")?;
@@ -50,7 +50,7 @@
         let path = list_path(after.as_deref());
         let page: ContractList = client.call(&ApiCall::get(&path))?.json()?;
         contracts.extend(page.contracts);
-        // The same place again would never end.
+        // A cursor that does not advance would repeat the same page forever.
         if page.next.is_none() || page.next == after {
             return Ok(contracts);
         }
@@ -68,11 +68,11 @@
     }
 }
 
-/// Prints the changes of a contract, newest first.
+/// Prints the history of a contract, newest change first.
 ///
 /// # Errors
 ///
-/// When the customer is not known or no daemon answers.
+/// Returns an error if the customer is unknown or no daemon answers.
 pub fn contract_history(
     context: &mut ShellContext,
     customer: &str,
@@ -98,7 +98,8 @@
 }
 
 fn history_row(entry: HistoryEntry) -> [String; 7] {
-    let number = |version: Option<u64>| version.map_or("-".to_owned(), |it| it.to_string());
+    let number =
+        |version: Option<u64>| version.map_or("-".to_owned(), |version| version.to_string());
     let outcome = match entry.reason {
         Some(reason) => format!("{}: {reason}", entry.outcome),
         None => entry.outcome,
--- a/crates/ops/src/dev/fleet.rs
+++ b/crates/ops/src/dev/fleet.rs
@@ -1,4 +1,5 @@
-//! Starts and stops the small fleet: a log stand-in, daemons, and a backend server beside each.
+//! Starts and stops the development fleet: a log stand-in, daemons, and one backend server per
+//! daemon.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,21 +15,22 @@
     BackendSettings, BackendStandin, LogStandin, LogStandinSettings, RunningBackend, RunningLog,
 };
 
-use super::host::RuntimeThread;
 use super::plan::{SERVICES, ServicePlan};
+use super::runtime::RuntimeThread;
 use crate::settings::ToolSettings;
 
-/// Token of the small fleet's operator. Everything listens on the loopback interface only.
+/// Token of the fleet's operator. It can be a constant because all servers listen on the loopback
+/// interface only.
 const OPERATOR_TOKEN: &str = "operator-demo";
-/// Secret of the small fleet.
+/// Shared secret of the fleet's daemons.
 const FLEET_SECRET: &str = "a-secret-of-the-development-fleet";
-/// Longest wait for the fleet to be ready.
+/// Maximum time to wait for all daemons to be ready.
 const READY_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks at whether it is.
-const READY_STEP: Duration = Duration::from_millis(50);
+/// Interval at which readiness is polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One instance of the small fleet.
-pub(super) struct SmallInstance {
+/// One instance of the development fleet.
+pub(super) struct DevInstance {
     pub(super) name: Arc<str>,
     pub(super) domain: Arc<str>,
     pub(super) plan: &'static ServicePlan,
@@ -36,8 +38,8 @@
     pub(super) backend: RunningBackend,
 }
 
-impl SmallInstance {
-    /// Settings of the tool for this instance alone.
+impl DevInstance {
+    /// Returns tool settings that address only this instance.
     pub(super) fn tool_settings(&self) -> ToolSettings {
         operator_settings(vec![self.daemon.addresses().operators])
     }
@@ -51,23 +53,25 @@
     }
 }
 
-/// The running small fleet.
-pub(super) struct SmallFleet {
-    pub(super) instances: Vec<SmallInstance>,
+/// The running development fleet.
+pub(super) struct DevFleet {
+    pub(super) instances: Vec<DevInstance>,
     _log: RunningLog,
     _standins: RuntimeThread,
 }
 
-impl SmallFleet {
-    /// Starts everything.
+impl DevFleet {
+    /// Starts the log stand-in and all instances.
     pub(super) fn start() -> anyhow::Result<Self> {
         let standins = RuntimeThread::start("stand-ins")?;
         let log = standins
             .wait(LogStandin::start(any_port(), LogStandinSettings::default()))
             .context("could not start the log stand-in")?;
-        let mut instances: Vec<SmallInstance> = Vec::new();
-        for (plan, number) in places() {
-            let seeds = instances.iter().map(|it| it.daemon.addresses().gossip);
+        let mut instances: Vec<DevInstance> = Vec::new();
+        for (plan, number) in planned_instances() {
+            let seeds = instances
+                .iter()
+                .map(|instance| instance.daemon.addresses().gossip);
             let seeds = seeds.take(2).collect();
             let instance = start_instance(&standins, plan, number, log.address(), seeds)
                 .with_context(|| format!("could not start {}-{number}", plan.service))?;
@@ -80,37 +84,45 @@
         })
     }
 
-    /// Settings of the tool for this fleet.
+    /// Returns tool settings that address all instances.
     pub(super) fn tool_settings(&self) -> ToolSettings {
         let daemons = self.instances.iter();
-        operator_settings(daemons.map(|it| it.daemon.addresses().operators).collect())
+        operator_settings(
+            daemons
+                .map(|instance| instance.daemon.addresses().operators)
+                .collect(),
+        )
     }
 
-    /// Waits until every daemon takes requests.
+    /// Waits until every daemon accepts requests.
     pub(super) fn wait_ready(&self, clock: &dyn NodeClock) -> anyhow::Result<()> {
-        let end = clock.now() + READY_LIMIT;
-        while !self.instances.iter().all(|it| it.daemon.is_ready()) {
-            if clock.now() >= end {
+        let deadline = clock.now() + READY_LIMIT;
+        while !self
+            .instances
+            .iter()
+            .all(|instance| instance.daemon.is_ready())
+        {
+            if clock.now() >= deadline {
                 bail!("not every daemon was ready within {READY_LIMIT:?}");
             }
-            thread::sleep(READY_STEP);
+            thread::sleep(READY_POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Stops the daemons. They are not drained: with nobody left to hand anything over to, a drain
-    /// of the whole fleet has no end.
+    /// Stops the daemons without draining them: a drain of the whole fleet would never end, because
+    /// no daemon remains to take over the work.
     pub(super) fn stop(self) {
         for instance in self.instances {
-            // Its announcements keep a connection to the daemon open.
+            // The announcements of the backend server keep a connection to the daemon open.
             drop(instance.backend);
             instance.daemon.stop();
         }
     }
 }
 
-/// Every instance to be started, as a service and a number in it.
-fn places() -> impl Iterator<Item = (&'static ServicePlan, usize)> {
+/// Returns the instances to start, each as a service and a number within the service.
+fn planned_instances() -> impl Iterator<Item = (&'static ServicePlan, usize)> {
     let plans = SERVICES.iter();
     plans.flat_map(|plan| (1..=plan.instances).map(move |number| (plan, number)))
 }
@@ -125,7 +137,7 @@
     number: usize,
     log: SocketAddr,
     seeds: Vec<SocketAddr>,
-) -> anyhow::Result<SmallInstance> {
+) -> anyhow::Result<DevInstance> {
     let name = format!("{}-{number}", plan.service);
     let domain = format!("d{}", (number - 1) % plan.domains + 1);
     let operator = OperatorAccount {
@@ -151,7 +163,7 @@
     let backend = standins
         .wait(BackendStandin::start(any_port(), backend))
         .context("could not start the backend server")?;
-    Ok(SmallInstance {
+    Ok(DevInstance {
         name: Arc::from(name),
         domain: Arc::from(domain),
         plan,
--- a/crates/ops/src/dev/mod.rs
+++ b/crates/ops/src/dev/mod.rs
@@ -1,36 +1,36 @@
-//! `dev`: a whole small fleet on the loopback interface, in one process.
+//! The `dev` command: a complete development fleet on the loopback interface, in one process.
 //!
 //! ```text
 //! callers ──HTTP──▶ any of 7 daemons ──▶ 7 backend stand-ins     log stand-in
 //!    │                    ▲    │                 ▲                    ▲
 //!    ▼                    │    └────contracts────┼────────────────────┘
-//!  tally ◀── audit ── runs by key ───────────────┤
+//!  stats ◀── audit ── runs by key ───────────────┤
 //!    │                    │ operators' API       │ faults
 //!    ▼                    │                      │
-//!  report, screen ◀── watch, chronicle ◀────── story
+//!  report, screen ◀── snapshot, timeline ◀─ scenario
 //! ```
 //!
-//! Contracts go in through the operators' API and everything shown comes out of it, so that the
-//! screen shows what an operator can know. Only the audit asks the backend servers what ran.
+//! Contracts are published and all displayed data is read through the operators' API, so the screen
+//! shows only what an operator can see. Only the final audit queries the backend servers directly.
 
-mod chronicle;
-mod closing;
 mod fleet;
-mod host;
 mod plan;
+mod report;
+mod runtime;
+mod scenario;
 mod screen;
 mod session;
 mod setup;
-mod story;
-mod tally;
+mod snapshot;
+mod stats;
+mod timeline;
 mod traffic;
-mod watch;
 
-pub use chronicle::{ChronicleLine, DrainRecord, FaultRecord, FleetChronicle};
-pub use closing::ClosingReport;
-pub use plan::{CallPlan, SERVICES, ServicePlan, small_contracts};
-pub use screen::{render_line, render_screen, render_status};
+pub use plan::{CallPlan, SERVICES, ServicePlan, dev_contracts};
+pub use report::ClosingReport;
+pub use scenario::{ScenarioAction, ScenarioStep, scenario_steps};
+pub use screen::{render_entry, render_screen, render_status};
 pub use session::{DevOptions, run_dev};
-pub use story::{StoryChange, StoryStep, story_steps};
-pub use tally::{CallCounts, KeyAudit, RecentCalls};
-pub use watch::{BurnLine, FleetSnapshot, ServiceSnapshot, UpstreamSnapshot};
+pub use snapshot::{BurnLine, FleetSnapshot, ServiceSnapshot, UpstreamSnapshot};
+pub use stats::{CallCounts, KeyAudit, RecentCalls};
+pub use timeline::{DrainRecord, FaultRecord, FleetTimeline, TimelineEntry};
--- a/crates/ops/src/dev/plan.rs
+++ b/crates/ops/src/dev/plan.rs
@@ -1,42 +1,42 @@
-//! The small fleet of `sycamorelink dev`: its services, its callers and its contracts.
+//! Layout of the development fleet: services, call rates and contracts.
 
 use std::time::Duration;
 
 use sycamorelink_contract::{CustomerContract, samples};
 
-/// One service of the small fleet.
+/// One service of the development fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct ServicePlan {
     /// Name of the service.
     pub service: &'static str,
-    /// Customer that uses it.
+    /// Customer that calls the service.
     pub customer: &'static str,
     /// Token of the customer's callers.
     pub token: &'static str,
-    /// Instances, each with one daemon and one backend server.
+    /// Number of instances, each with one daemon and one backend server.
     pub instances: usize,
-    /// Failure domains that the instances are spread over.
+    /// Number of failure domains that the instances are spread over.
     pub domains: usize,
-    /// Mean time of a run at a backend server.
+    /// Mean run time of a request at a backend server.
     pub service_time: Duration,
-    /// Calls that may be repeated.
+    /// Idempotent calls.
     pub reads: CallPlan,
-    /// Calls that must run at most once.
-    pub orders: CallPlan,
+    /// Calls that must run at most once, each with an idempotency key.
+    pub writes: CallPlan,
 }
 
-/// One kind of calls.
+/// One kind of call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallPlan {
-    /// What the customer calls it.
+    /// Name of the kind of call, for readers of the plan.
     pub name: &'static str,
-    /// Path; the number of the call is added.
+    /// Path prefix, to which the number of the call is appended.
     pub path: &'static str,
     /// Calls per second.
     pub rate: f64,
 }
 
-/// The services of the small fleet.
+/// Services of the development fleet.
 pub const SERVICES: [ServicePlan; 2] = [
     ServicePlan {
         service: "orders",
@@ -50,7 +50,7 @@
             path: "/prices/",
             rate: 150.0,
         },
-        orders: CallPlan {
+        writes: CallPlan {
             name: "bookings",
             path: "/bookings/",
             rate: 5.0,
@@ -68,7 +68,7 @@
             path: "/policies/",
             rate: 100.0,
         },
-        orders: CallPlan {
+        writes: CallPlan {
             name: "payouts",
             path: "/payouts/",
             rate: 4.0,
@@ -76,19 +76,19 @@
     },
 ];
 
-/// Share of the upstreams that ejection must leave in the small fleet.
-const SMALL_FLOOR: f64 = 0.5;
-/// Upstreams that ejection must leave in the small fleet.
-const SMALL_FLOOR_COUNT: u32 = 2;
+/// Fraction of the announced upstreams that ejections must leave in service.
+const DEV_FLOOR_SHARE: f64 = 0.5;
+/// Minimum number of upstreams that ejections must leave in service.
+const DEV_FLOOR_COUNT: u32 = 2;
 
-/// The sample contracts, with floors that fit so few upstreams.
+/// Returns the sample contracts, with capacity floors adapted to the few upstreams of this fleet.
 #[must_use]
-pub fn small_contracts() -> Vec<CustomerContract> {
+pub fn dev_contracts() -> Vec<CustomerContract> {
     let mut contracts = vec![samples::brannock(), samples::harbour_mesh()];
     for contract in &mut contracts {
         for terms in &mut contract.services {
-            terms.floor = SMALL_FLOOR;
-            terms.floor_count = SMALL_FLOOR_COUNT;
+            terms.floor = DEV_FLOOR_SHARE;
+            terms.floor_count = DEV_FLOOR_COUNT;
         }
     }
     contracts
--- a/crates/ops/src/dev/closing.rs
+++ b/crates/ops/src/dev/report.rs
@@ -1,42 +1,42 @@
-//! The closing report: what callers were told, what really ran, and how soon the fleet acted.
+//! Closing report of a `dev` session: call results, audit of runs, and reaction times of the fleet.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::time::Duration;
 
-use super::chronicle::{DrainRecord, FaultRecord, FleetChronicle};
 use super::screen::clock_text;
-use super::tally::{CallCounts, KeyAudit};
-use super::watch::BurnLine;
+use super::snapshot::BurnLine;
+use super::stats::{CallCounts, KeyAudit};
+use super::timeline::{DrainRecord, FaultRecord, FleetTimeline};
 use crate::table::TextTable;
 
-/// Everything that the closing report says.
+/// Data of the closing report.
 #[derive(Clone, Debug, Default)]
 pub struct ClosingReport {
-    /// How long the traffic ran.
+    /// Time that the scenario ran.
     pub length: Duration,
-    /// Calls by service.
+    /// Call counts by service.
     pub calls: BTreeMap<&'static str, CallCounts>,
-    /// What became of the keys.
+    /// Result of comparing the statuses that callers received with actual runs.
     pub audit: KeyAudit,
-    /// What happened.
-    pub chronicle: FleetChronicle,
-    /// Burn at the end.
+    /// Faults, drains and reactions of the fleet.
+    pub timeline: FleetTimeline,
+    /// Error-budget burn at the end.
     pub burns: Vec<BurnLine>,
-    /// The first calls without any answer.
+    /// The first few calls that got no answer.
     pub lost: Vec<String>,
-    /// Calls that had no end when the time was over and the wait for them too.
+    /// Number of calls still in flight after the final wait.
     pub unfinished: u64,
 }
 
 impl ClosingReport {
-    /// Broken promises: none on a good run.
+    /// Returns the guarantees that were violated. Empty on a correct run.
     #[must_use]
-    pub fn broken_promises(&self) -> Vec<String> {
-        let foreign: u64 = self.calls.values().map(|counts| counts.foreign).sum();
+    pub fn broken_guarantees(&self) -> Vec<String> {
+        let mismatched: u64 = self.calls.values().map(|counts| counts.mismatched).sum();
         let audit = &self.audit;
-        let promises = [
-            (audit.doubled, "keys that ran more than once"),
+        let guarantees = [
+            (audit.duplicated, "keys that ran more than once"),
             (
                 audit.false_not_run,
                 "callers told \"not run\" about a key that ran",
@@ -45,15 +45,15 @@
                 audit.false_ran,
                 "callers told \"ran\" about a key that did not",
             ),
-            (foreign, "callers with somebody else's reply"),
+            (mismatched, "callers with somebody else's reply"),
         ];
-        let broken = promises.into_iter().filter(|(count, _)| *count > 0);
-        broken
+        let violated = guarantees.into_iter().filter(|(count, _)| *count > 0);
+        violated
             .map(|(count, text)| format!("{text}: {count}"))
             .collect()
     }
 
-    /// The report as text.
+    /// Returns the report as text.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = format!("\nclosing report after {}\n\n", clock_text(self.length));
@@ -63,7 +63,7 @@
         self.render_faults(&mut text);
         self.render_drains(&mut text);
         self.render_burn(&mut text);
-        self.render_verdict(&mut text);
+        self.render_guarantees(&mut text);
         text
     }
 
@@ -87,7 +87,7 @@
                 counts.unknown,
                 counts.failed,
                 counts.lost,
-                counts.foreign,
+                counts.mismatched,
             ];
             let cells = numbers.iter().map(ToString::to_string);
             table.row(std::iter::once((*service).to_owned()).chain(cells));
@@ -116,8 +116,8 @@
              told \"not run\" though it ran {}, told \"ran\" though it did not {}\n",
             audit.keys,
             audit.resends,
-            audit.once,
-            audit.doubled,
+            audit.ran_once,
+            audit.duplicated,
             audit.unknown,
             audit.false_not_run,
             audit.false_ran,
@@ -126,19 +126,19 @@
 
     fn render_faults(&self, text: &mut String) {
         text.push_str("gray failures\n");
-        for fault in &self.chronicle.faults {
+        for fault in &self.timeline.faults {
             let _ = writeln!(text, "  {}", fault_text(fault));
         }
-        let count = self.chronicle.false_ejections;
+        let count = self.timeline.false_ejections;
         let _ = writeln!(text, "  healthy backend servers ejected: {count}\n");
     }
 
     fn render_drains(&self, text: &mut String) {
-        if self.chronicle.drains.is_empty() {
+        if self.timeline.drains.is_empty() {
             return;
         }
         text.push_str("drains\n");
-        for drain in &self.chronicle.drains {
+        for drain in &self.timeline.drains {
             let _ = writeln!(text, "  {}", drain_text(drain));
         }
         text.push('\n');
@@ -156,30 +156,30 @@
         text.push('\n');
     }
 
-    fn render_verdict(&self, text: &mut String) {
+    fn render_guarantees(&self, text: &mut String) {
         for call in &self.lost {
             let _ = writeln!(text, "no answer: {call}");
         }
         if self.unfinished > 0 {
             let _ = writeln!(text, "calls without an end: {}", self.unfinished);
         }
-        let broken = self.broken_promises();
-        if broken.is_empty() {
+        let violated = self.broken_guarantees();
+        if violated.is_empty() {
             text.push_str("every promise was kept\n");
         }
-        for promise in broken {
-            let _ = writeln!(text, "BROKEN: {promise}");
+        for guarantee in violated {
+            let _ = writeln!(text, "BROKEN: {guarantee}");
         }
     }
 }
 
 fn drain_text(drain: &DrainRecord) -> String {
-    let end = match drain.took {
-        Some(took) => format!("nothing left after {}", seconds_text(took)),
+    let end = match drain.duration {
+        Some(duration) => format!("nothing left after {}", seconds_text(duration)),
         None => "something was left at the end".to_owned(),
     };
-    let began = clock_text(drain.began);
-    format!("{} from {began}: {end}", drain.instance)
+    let started = clock_text(drain.started);
+    format!("{} from {started}: {end}", drain.instance)
 }
 
 fn fault_text(fault: &FaultRecord) -> String {
@@ -195,7 +195,7 @@
         "{} ({}) from {} to {}: {shifted}, {ejected}",
         fault.instance,
         fault.label,
-        clock_text(fault.began),
+        clock_text(fault.started),
         fault.ended.map_or("the end".to_owned(), clock_text),
     )
 }
--- a/crates/ops/src/dev/host.rs
+++ b/crates/ops/src/dev/runtime.rs
@@ -1,4 +1,4 @@
-//! A runtime on a thread of its own, on which stand-ins and callers run.
+//! Tokio runtime on its own thread, for stand-ins and callers.
 
 use std::future::Future;
 use std::thread::{self, JoinHandle};
@@ -7,7 +7,7 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::oneshot;
 
-/// A runtime on a thread of its own. It stops when dropped.
+/// Single-threaded runtime on its own thread. Dropping it stops the runtime and joins the thread.
 #[derive(Debug)]
 pub(super) struct RuntimeThread {
     handle: Handle,
@@ -16,7 +16,7 @@
 }
 
 impl RuntimeThread {
-    /// Starts the thread.
+    /// Starts a runtime on a new thread with the given name.
     pub(super) fn start(name: &str) -> anyhow::Result<Self> {
         let runtime = Builder::new_current_thread()
             .enable_all()
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Runs a future to its end, its connections and tasks on the thread.
+    /// Blocks until the future completes. Its connections and tasks run on the runtime thread.
     pub(super) fn wait<F>(&self, future: F) -> F::Output
     where
         F: Future,
@@ -45,7 +45,7 @@
         self.handle.block_on(future)
     }
 
-    /// Runs a future on the thread.
+    /// Spawns a future on the runtime thread.
     pub(super) fn spawn<F>(&self, future: F)
     where
         F: Future<Output = ()> + Send + 'static,
--- a/crates/ops/src/dev/screen.rs
+++ b/crates/ops/src/dev/screen.rs
@@ -1,21 +1,22 @@
-//! The small fleet as text: a screen for a terminal, a line a second for everything else.
+//! Text output of a `dev` session: a full screen on a terminal, otherwise one status line per
+//! second.
 
 use std::fmt::Write;
 use std::time::Duration;
 
-use super::chronicle::{ChronicleLine, FleetChronicle};
-use super::watch::{FleetSnapshot, ServiceSnapshot, UpstreamSnapshot};
+use super::snapshot::{FleetSnapshot, ServiceSnapshot, UpstreamSnapshot};
+use super::timeline::{FleetTimeline, TimelineEntry};
 use crate::table::TextTable;
-use crate::view::{FULL_WEIGHT, QUIET_SCORE, SHIFTED_WEIGHT};
+use crate::view::{FULL_WEIGHT, SHIFTED_WEIGHT, UNSUSPECTED_SCORE};
 
-/// Lines of the chronicle on the screen.
-const CHRONICLE_LINES: usize = 9;
+/// Maximum number of timeline entries on the screen.
+const MAX_TIMELINE_ENTRIES: usize = 9;
 /// Width of a full bar, in characters.
 const BAR_WIDTH: f64 = 12.0;
 
-/// The whole screen.
+/// Returns the screen as text.
 #[must_use]
-pub fn render_screen(snapshot: &FleetSnapshot, chronicle: &FleetChronicle) -> String {
+pub fn render_screen(snapshot: &FleetSnapshot, timeline: &FleetTimeline) -> String {
     let mut text = format!(
         "sycamorelink dev   {}   {} daemons, one backend server beside each   Ctrl-C ends it\n",
         time_text(snapshot),
@@ -34,9 +35,9 @@
         );
     }
     text.push_str("\nwhat happened   (! done to the fleet, > done by the fleet)\n");
-    let skipped = chronicle.lines.len().saturating_sub(CHRONICLE_LINES);
-    for line in &chronicle.lines[skipped..] {
-        let _ = writeln!(text, "  {}", render_line(line));
+    let skipped = timeline.entries.len().saturating_sub(MAX_TIMELINE_ENTRIES);
+    for entry in &timeline.entries[skipped..] {
+        let _ = writeln!(text, "  {}", render_entry(entry));
     }
     text
 }
@@ -94,10 +95,10 @@
         upstream.domain.clone(),
         fault.to_owned(),
         state_text(upstream, daemons).to_owned(),
-        bar(upstream.weight),
+        render_bar(upstream.weight),
         format!("{:>3.0}%", upstream.weight * 100.0),
         format!("{:>6}", upstream.runs),
-        format!("{}/{daemons}", upstream.wary),
+        format!("{}/{daemons}", upstream.reduced),
         format!("{}/{daemons}", upstream.ejected),
     ]
 }
@@ -109,14 +110,14 @@
         "" => "gone",
         _ if upstream.ejected * 2 > daemons => "ejected",
         _ if upstream.weight >= FULL_WEIGHT => "in service",
-        _ if upstream.suspicion < QUIET_SCORE => "ramping up",
+        _ if upstream.suspicion < UNSUSPECTED_SCORE => "ramping up",
         _ if upstream.weight < SHIFTED_WEIGHT => "shifted",
         _ => "suspected",
     }
 }
 
-/// A bar of block characters, in eighths.
-fn bar(share: f64) -> String {
+/// Returns a bar of block characters with a resolution of one eighth of a character.
+fn render_bar(share: f64) -> String {
     const EIGHTHS: [char; 8] = [' ', '▏', '▎', '▍', '▌', '▋', '▊', '▉'];
     let mut left = share.clamp(0.0, 1.0) * BAR_WIDTH;
     let mut text = String::new();
@@ -134,7 +135,7 @@
     text
 }
 
-/// One line that says how things are, for output that is no terminal.
+/// Returns a status line for output that is not a terminal.
 #[must_use]
 pub fn render_status(snapshot: &FleetSnapshot) -> String {
     let services = snapshot.services.iter().map(service_status);
@@ -166,7 +167,7 @@
 }
 
 fn time_text(snapshot: &FleetSnapshot) -> String {
-    if snapshot.warming {
+    if snapshot.warming_up {
         return "warming up".to_owned();
     }
     format!(
@@ -176,11 +177,11 @@
     )
 }
 
-/// One line of the chronicle.
+/// Returns a timeline entry as one line.
 #[must_use]
-pub fn render_line(line: &ChronicleLine) -> String {
-    let mark = if line.by_fleet { '>' } else { '!' };
-    format!("{} {mark} {}", clock_text(line.at), line.text)
+pub fn render_entry(entry: &TimelineEntry) -> String {
+    let mark = if entry.by_fleet { '>' } else { '!' };
+    format!("{} {mark} {}", clock_text(entry.at), entry.text)
 }
 
 pub(super) fn clock_text(time: Duration) -> String {
--- a/crates/ops/src/dev/session.rs
+++ b/crates/ops/src/dev/session.rs
@@ -1,4 +1,4 @@
-//! One session of `dev`, from the first daemon to the closing report.
+//! One `dev` session, from starting the fleet to the closing report.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,50 +9,51 @@
 use http::Method;
 use sycamorelink_standin::{BackendPhase, RunCounts};
 
-use super::chronicle::FleetChronicle;
-use super::closing::ClosingReport;
-use super::fleet::{SmallFleet, SmallInstance};
-use super::host::RuntimeThread;
+use super::fleet::{DevFleet, DevInstance};
 use super::plan::{SERVICES, ServicePlan};
-use super::screen::{render_line, render_screen, render_status};
-use super::setup::{publish_contracts, wait_settled};
-use super::story::{StoryChange, StoryStep, story_steps, take_due};
-use super::tally::TrafficTally;
-use super::traffic::SmallTraffic;
-use super::watch::{
-    FleetSnapshot, ServiceSnapshot, UpstreamSnapshot, ask_burn, ask_service, burn_lines,
+use super::report::ClosingReport;
+use super::runtime::RuntimeThread;
+use super::scenario::{ScenarioAction, ScenarioStep, scenario_steps, take_due_steps};
+use super::screen::{render_entry, render_screen, render_status};
+use super::setup::{publish_contracts, wait_until_settled};
+use super::snapshot::{
+    FleetSnapshot, ServiceSnapshot, UpstreamSnapshot, burn_lines, poll_burn, poll_service,
 };
+use super::stats::TrafficStats;
+use super::timeline::FleetTimeline;
+use super::traffic::DevTraffic;
 use crate::client::{ApiCall, DaemonClient};
 use crate::context::ShellContext;
 
-/// Length of the story unless told otherwise.
-const USUAL_LENGTH: Duration = Duration::from_mins(1);
-/// Time between two looks.
-const LOOK_STEP: Duration = Duration::from_secs(1);
-/// Longest wait for the last calls.
-const LAST_CALLS: Duration = Duration::from_secs(15);
-/// Longest wait for a drain that is under way when the story ends.
-const LAST_DRAIN: Duration = Duration::from_secs(15);
-/// Longest wait for the fleet to warm up.
-const WARM_LIMIT: Duration = Duration::from_secs(20);
-/// Moves the cursor of a terminal to the top and clears what is below it.
+/// Default duration of the scenario.
+const DEFAULT_LENGTH: Duration = Duration::from_mins(1);
+/// Interval between two snapshots of the fleet.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time to wait for calls in flight after the scenario.
+const LAST_CALLS_LIMIT: Duration = Duration::from_secs(15);
+/// Maximum time to wait for a drain that is in progress when the scenario ends.
+const LAST_DRAIN_LIMIT: Duration = Duration::from_secs(15);
+/// Maximum time to wait for the fleet to warm up.
+const WARM_UP_LIMIT: Duration = Duration::from_secs(20);
+/// Terminal escape sequence that moves the cursor to the top left and clears the screen.
 const CLEAR_SCREEN: &str = "\x1b[H\x1b[J";
 
-/// What a person chooses.
+/// Options of the `dev` command.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DevOptions {
-    /// Length of the story.
+    /// Duration of the scenario; `None` for the default of one minute.
     pub length: Option<Duration>,
 }
 
-/// Runs the small fleet and shows what it does.
+/// Runs the development fleet through the scenario and prints its state and a closing report.
 ///
 /// # Errors
 ///
-/// When something cannot be started, or a promise was broken.
+/// Returns an error if the fleet cannot be started, a scenario step fails, or a guarantee was
+/// violated.
 pub fn run_dev(context: &mut ShellContext, options: &DevOptions) -> anyhow::Result<()> {
     context.status("Starting", "a small fleet on the loopback interface");
-    let fleet = SmallFleet::start()?;
+    let fleet = DevFleet::start()?;
     let client = DaemonClient::open(&fleet.tool_settings())?;
     for instance in &fleet.instances {
         let operators = instance.daemon.addresses().operators;
@@ -63,46 +64,46 @@
     }
     publish_contracts(context, &client)?;
     fleet.wait_ready(context.clock().as_ref())?;
-    wait_settled(context, &client, fleet.instances.len())?;
+    wait_until_settled(context, &client, fleet.instances.len())?;
     let session = DevSession::start(context, fleet, client, options)?;
     let report = session.run(context)?;
     context.data(report.render())?;
-    let broken = report.broken_promises();
-    if !broken.is_empty() {
-        bail!("promises were broken: {}", broken.join("; "));
+    let violated = report.broken_guarantees();
+    if !violated.is_empty() {
+        bail!("promises were broken: {}", violated.join("; "));
     }
     Ok(())
 }
 
 struct DevSession {
-    fleet: SmallFleet,
+    fleet: DevFleet,
     client: DaemonClient,
-    traffic: SmallTraffic,
-    tally: Arc<TrafficTally>,
+    traffic: DevTraffic,
+    stats: Arc<TrafficStats>,
     interrupted: Arc<AtomicBool>,
     _signals: RuntimeThread,
-    steps: Vec<StoryStep>,
-    chronicle: FleetChronicle,
-    labels: BTreeMap<Arc<str>, &'static str>,
+    steps: Vec<ScenarioStep>,
+    timeline: FleetTimeline,
+    fault_labels: BTreeMap<Arc<str>, &'static str>,
     runs: BTreeMap<Arc<str>, u64>,
     started: Duration,
     length: Duration,
-    shown: usize,
+    printed_entries: usize,
 }
 
 impl DevSession {
     fn start(
         context: &ShellContext,
-        fleet: SmallFleet,
+        fleet: DevFleet,
         client: DaemonClient,
         options: &DevOptions,
     ) -> anyhow::Result<Self> {
-        let tally = Arc::new(TrafficTally::default());
+        let stats = Arc::new(TrafficStats::default());
         let callers = fleet
             .instances
             .iter()
-            .map(|it| it.daemon.addresses().callers);
-        let traffic = SmallTraffic::start(callers.collect(), Arc::clone(&tally))?;
+            .map(|instance| instance.daemon.addresses().callers);
+        let traffic = DevTraffic::start(callers.collect(), Arc::clone(&stats))?;
         let signals = RuntimeThread::start("signals")?;
         let interrupted = Arc::new(AtomicBool::new(false));
         let flag = Arc::clone(&interrupted);
@@ -115,55 +116,55 @@
             fleet,
             client,
             traffic,
-            tally,
+            stats,
             interrupted,
             _signals: signals,
-            steps: story_steps(),
-            chronicle: FleetChronicle::default(),
-            labels: BTreeMap::new(),
+            steps: scenario_steps(),
+            timeline: FleetTimeline::default(),
+            fault_labels: BTreeMap::new(),
             runs: BTreeMap::new(),
             started: context.clock().now(),
-            length: options.length.unwrap_or(USUAL_LENGTH),
-            shown: 0,
+            length: options.length.unwrap_or(DEFAULT_LENGTH),
+            printed_entries: 0,
         })
     }
 
     fn run(mut self, context: &mut ShellContext) -> anyhow::Result<ClosingReport> {
         self.warm_up(context)?;
-        let mut next = LOOK_STEP;
+        let mut next = POLL_INTERVAL;
         loop {
             self.client.pause(next.saturating_sub(self.now(context)));
-            next += LOOK_STEP;
+            next += POLL_INTERVAL;
             let now = self.now(context);
-            for step in take_due(&mut self.steps, now, self.length) {
-                self.take_step(now, &step)?;
+            for step in take_due_steps(&mut self.steps, now, self.length) {
+                self.apply_step(now, &step)?;
             }
-            let snapshot = self.look(now);
-            self.chronicle.note_fleet(&snapshot);
-            self.note_drained(now);
+            let snapshot = self.take_snapshot(now);
+            self.timeline.record_snapshot(&snapshot);
+            self.record_drained(now);
             self.show(context, &snapshot)?;
             if now >= self.length || self.interrupted.load(Ordering::Relaxed) {
-                return self.close(context, now);
+                return self.finish(context, now);
             }
         }
     }
 
-    /// Shows the fleet until it is warm; the story starts then. Backend servers that start cold
-    /// get little work at first, which is no verdict on them.
+    /// Waits for the fleet to warm up before the scenario starts. Backend servers receive little
+    /// work after a cold start, which the timeline must not report as suspicion.
     fn warm_up(&mut self, context: &mut ShellContext) -> anyhow::Result<()> {
-        let end = context.clock().now() + WARM_LIMIT;
-        while context.clock().now() < end && !self.interrupted.load(Ordering::Relaxed) {
-            self.client.pause(LOOK_STEP);
+        let deadline = context.clock().now() + WARM_UP_LIMIT;
+        while context.clock().now() < deadline && !self.interrupted.load(Ordering::Relaxed) {
+            self.client.pause(POLL_INTERVAL);
             let snapshot = FleetSnapshot {
-                warming: true,
-                ..self.look(Duration::ZERO)
+                warming_up: true,
+                ..self.take_snapshot(Duration::ZERO)
             };
-            if is_warm(&snapshot) {
+            if is_warmed_up(&snapshot) {
                 break;
             }
             self.show(context, &snapshot)?;
         }
-        self.tally.restart();
+        self.stats.restart();
         self.started = context.clock().now();
         Ok(())
     }
@@ -172,53 +173,53 @@
         context.clock().now().saturating_sub(self.started)
     }
 
-    fn take_step(&mut self, now: Duration, step: &StoryStep) -> anyhow::Result<()> {
+    fn apply_step(&mut self, now: Duration, step: &ScenarioStep) -> anyhow::Result<()> {
         let mut instances = self.fleet.instances.iter();
-        let Some(instance) = instances.find(|it| *it.name == *step.instance) else {
+        let Some(instance) = instances.find(|instance| *instance.name == *step.instance) else {
             return Ok(());
         };
-        match &step.change {
-            StoryChange::Fault { fault, label } => {
+        match &step.action {
+            ScenarioAction::Fault { fault, label } => {
                 instance.backend.set_fault(fault.clone());
-                self.labels.insert(Arc::clone(&instance.name), label);
-                self.chronicle.note_fault(now, step.instance, label);
+                self.fault_labels.insert(Arc::clone(&instance.name), label);
+                self.timeline.record_fault(now, step.instance, label);
             }
-            StoryChange::Drain => {
+            ScenarioAction::Drain => {
                 drain(instance)?;
-                self.chronicle.note_drain(now, step.instance);
+                self.timeline.record_drain(now, step.instance);
             }
         }
-        self.chronicle.note_story(now, step.instance, step.text);
+        self.timeline.record_step(now, step.instance, step.text);
         Ok(())
     }
 
-    fn look(&mut self, now: Duration) -> FleetSnapshot {
+    fn take_snapshot(&mut self, now: Duration) -> FleetSnapshot {
         let mut snapshot = FleetSnapshot {
             now,
             length: self.length,
-            warming: false,
+            warming_up: false,
             daemons: self.fleet.instances.len(),
             services: Vec::new(),
-            burns: burn_lines(&ask_burn(&self.client)),
+            burns: burn_lines(&poll_burn(&self.client)),
         };
         for plan in &SERVICES {
-            snapshot.services.push(self.look_at(plan));
+            snapshot.services.push(self.service_snapshot(plan));
         }
         snapshot
     }
 
-    fn look_at(&mut self, plan: &'static ServicePlan) -> ServiceSnapshot {
-        let opinion = ask_service(&self.client, plan);
+    fn service_snapshot(&mut self, plan: &'static ServicePlan) -> ServiceSnapshot {
+        let aggregate = poll_service(&self.client, plan);
         let mut upstreams = Vec::new();
         for instance in self
             .fleet
             .instances
             .iter()
-            .filter(|it| it.plan.service == plan.service)
+            .filter(|instance| instance.plan.service == plan.service)
         {
-            let began = instance.backend.runs().total.started;
-            let before = self.runs.insert(Arc::clone(&instance.name), began);
-            let seen = opinion
+            let started = instance.backend.runs().total.started;
+            let before = self.runs.insert(Arc::clone(&instance.name), started);
+            let upstream = aggregate
                 .upstreams
                 .get(&*instance.name)
                 .cloned()
@@ -226,76 +227,86 @@
             upstreams.push(UpstreamSnapshot {
                 instance: instance.name.to_string(),
                 domain: instance.domain.to_string(),
-                fault: self.labels.get(&instance.name).copied().unwrap_or_default(),
-                phase: seen.phase,
-                weight: seen.weight,
-                suspicion: seen.suspicion,
-                wary: seen.wary,
-                ejected: seen.ejected,
-                runs: began.saturating_sub(before.unwrap_or_default()),
+                fault: self
+                    .fault_labels
+                    .get(&instance.name)
+                    .copied()
+                    .unwrap_or_default(),
+                phase: upstream.phase,
+                weight: upstream.weight,
+                suspicion: upstream.suspicion,
+                reduced: upstream.reduced,
+                ejected: upstream.ejected,
+                runs: started.saturating_sub(before.unwrap_or_default()),
             });
         }
         ServiceSnapshot {
             service: plan.service,
             customer: plan.customer,
-            calls: self.tally.take_recent(plan.service),
-            floor: opinion.floor,
+            calls: self.stats.take_recent(plan.service),
+            floor: aggregate.floor,
             upstreams,
         }
     }
 
     fn show(&mut self, context: &mut ShellContext, snapshot: &FleetSnapshot) -> anyhow::Result<()> {
         if context.terminal() {
-            let screen = render_screen(snapshot, &self.chronicle);
+            let screen = render_screen(snapshot, &self.timeline);
             return context.data(format_args!("{CLEAR_SCREEN}{screen}"));
         }
-        self.show_news(context)?;
+        self.print_new_entries(context)?;
         context.data_line(render_status(snapshot))
     }
 
-    /// Prints the lines of the chronicle that were not printed yet.
-    fn show_news(&mut self, context: &mut ShellContext) -> anyhow::Result<()> {
-        let fresh = self.chronicle.lines[self.shown..].iter().map(render_line);
-        let fresh: Vec<String> = fresh.collect();
-        self.shown = self.chronicle.lines.len();
-        for line in fresh {
+    /// Prints the timeline entries that were not printed yet.
+    fn print_new_entries(&mut self, context: &mut ShellContext) -> anyhow::Result<()> {
+        let new_entries = self.timeline.entries[self.printed_entries..]
+            .iter()
+            .map(render_entry);
+        let new_entries: Vec<String> = new_entries.collect();
+        self.printed_entries = self.timeline.entries.len();
+        for line in new_entries {
             context.data_line(line)?;
         }
         Ok(())
     }
 
-    fn note_drained(&mut self, now: Duration) {
+    fn record_drained(&mut self, now: Duration) {
         let instances = self.fleet.instances.iter();
-        for instance in instances.filter(|it| it.daemon.is_drained()) {
-            self.chronicle.note_drained(now, &instance.name);
+        for instance in instances.filter(|instance| instance.daemon.is_drained()) {
+            self.timeline.record_drained(now, &instance.name);
         }
     }
 
-    /// Waits for drains that have not come to their end.
-    fn end_drains(&mut self, context: &mut ShellContext) -> anyhow::Result<()> {
-        if !self.chronicle.is_draining() {
+    /// Waits for drains that are still in progress.
+    fn wait_for_drains(&mut self, context: &mut ShellContext) -> anyhow::Result<()> {
+        if !self.timeline.is_draining() {
             return Ok(());
         }
         context.status("Waiting", "for the drained daemon to have nothing left");
-        let end = context.clock().now() + LAST_DRAIN;
-        while self.chronicle.is_draining() && context.clock().now() < end {
-            self.client.pause(LOOK_STEP / 10);
+        let deadline = context.clock().now() + LAST_DRAIN_LIMIT;
+        while self.timeline.is_draining() && context.clock().now() < deadline {
+            self.client.pause(POLL_INTERVAL / 10);
             let now = self.now(context);
-            self.note_drained(now);
+            self.record_drained(now);
         }
-        self.show_news(context)
+        self.print_new_entries(context)
     }
 
-    /// Lets the calls in flight end, stops the fleet and compares what callers were told with
-    /// what ran.
-    fn close(mut self, context: &mut ShellContext, now: Duration) -> anyhow::Result<ClosingReport> {
+    /// Waits for calls in flight, stops the fleet, and audits the statuses that callers received
+    /// against the runs of the backend servers.
+    fn finish(
+        mut self,
+        context: &mut ShellContext,
+        now: Duration,
+    ) -> anyhow::Result<ClosingReport> {
         self.traffic.stop();
-        let end = context.clock().now() + LAST_CALLS;
-        while self.traffic.in_flight() > 0 && context.clock().now() < end {
-            self.client.pause(LOOK_STEP / 10);
+        let deadline = context.clock().now() + LAST_CALLS_LIMIT;
+        while self.traffic.in_flight() > 0 && context.clock().now() < deadline {
+            self.client.pause(POLL_INTERVAL / 10);
         }
-        let burns = burn_lines(&ask_burn(&self.client));
-        self.end_drains(context)?;
+        let burns = burn_lines(&poll_burn(&self.client));
+        self.wait_for_drains(context)?;
         let mut runs: BTreeMap<String, RunCounts> = BTreeMap::new();
         for instance in &self.fleet.instances {
             for (key, counts) in instance.backend.runs().by_key {
@@ -305,16 +316,16 @@
             }
         }
         let calls = SERVICES.iter().map(|plan| {
-            let recent = self.tally.take_recent(plan.service);
+            let recent = self.stats.take_recent(plan.service);
             (plan.service, recent.counts)
         });
         let report = ClosingReport {
             length: now,
             calls: calls.collect(),
-            audit: self.tally.audit(&runs),
-            chronicle: self.chronicle,
+            audit: self.stats.audit(&runs),
+            timeline: self.timeline,
             burns,
-            lost: self.tally.lost(),
+            lost: self.stats.lost(),
             unfinished: self.traffic.in_flight(),
         };
         drop(self.traffic);
@@ -325,19 +336,20 @@
     }
 }
 
-/// Whether every daemon offers every upstream its full share: none is starting cold.
-fn is_warm(snapshot: &FleetSnapshot) -> bool {
+/// Returns whether every daemon gives every upstream its full share, so that none is ramping up.
+fn is_warmed_up(snapshot: &FleetSnapshot) -> bool {
     let mut upstreams = snapshot
         .services
         .iter()
         .flat_map(|service| &service.upstreams);
-    upstreams.all(|upstream| upstream.wary == 0 && upstream.phase == "ready")
+    upstreams.all(|upstream| upstream.reduced == 0 && upstream.phase == "ready")
 }
 
-/// Drains one instance as its operator would, and has its backend server announce that it leaves.
-fn drain(instance: &SmallInstance) -> anyhow::Result<()> {
+/// Drains an instance through the operators' API and makes its backend server announce that it
+/// leaves.
+fn drain(instance: &DevInstance) -> anyhow::Result<()> {
     instance.backend.set_phase(BackendPhase::Leaving);
-    let call = ApiCall::new(Method::POST, "/v1/drain").one_daemon();
+    let call = ApiCall::new(Method::POST, "/v1/drain").first_daemon_only();
     DaemonClient::open(&instance.tool_settings())?.call(&call)?;
     Ok(())
 }
--- a/crates/ops/src/dev/setup.rs
+++ b/crates/ops/src/dev/setup.rs
@@ -1,4 +1,4 @@
-//! Brings the small fleet to its beginning: contracts in force, every upstream known everywhere.
+//! Initial state of the development fleet: contracts in force, all upstreams known to all daemons.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use http::Method;
 use uuid::Uuid;
 
-use super::plan::{SERVICES, ServicePlan, small_contracts};
-use super::watch::ask_service;
+use super::plan::{SERVICES, ServicePlan, dev_contracts};
+use super::snapshot::poll_service;
 use crate::client::{ApiCall, DaemonClient};
 use crate::context::ShellContext;
 use crate::view::ChangeResult;
 
-/// Longest wait until every daemon sees every upstream.
+/// Maximum time to wait until every daemon knows every upstream.
 const SETTLE_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK_STEP: Duration = Duration::from_millis(200);
+/// Interval between two polls of the daemons.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Publishes the contracts of the small fleet, as an operator would.
+/// Publishes the contracts of the development fleet through the operators' API.
 pub(super) fn publish_contracts(
     context: &mut ShellContext,
     client: &DaemonClient,
 ) -> anyhow::Result<()> {
-    for contract in small_contracts() {
+    for contract in dev_contracts() {
         let customer = contract.customer.to_string();
         let call = ApiCall::new(Method::PUT, &format!("/v1/contracts/{customer}"))
             .body(&contract)?
@@ -39,26 +39,27 @@
     Ok(())
 }
 
-/// Waits until every daemon sees every upstream, so that the first verdicts are no start-up noise.
-pub(super) fn wait_settled(
+/// Waits until every daemon knows every upstream, so that the start-up does not affect the first
+/// health scores.
+pub(super) fn wait_until_settled(
     context: &ShellContext,
     client: &DaemonClient,
     daemons: usize,
 ) -> anyhow::Result<()> {
-    let end = context.clock().now() + SETTLE_LIMIT;
+    let deadline = context.clock().now() + SETTLE_LIMIT;
     let settled = |plan: &ServicePlan| {
-        let opinion = ask_service(client, plan);
-        let everyone = opinion
+        let aggregate = poll_service(client, plan);
+        let seen_by_all = aggregate
             .upstreams
             .values()
-            .all(|upstream| upstream.asked() == daemons);
-        everyone && opinion.upstreams.len() == plan.instances
+            .all(|upstream| upstream.reports() == daemons);
+        seen_by_all && aggregate.upstreams.len() == plan.instances
     };
     while !SERVICES.iter().all(settled) {
-        if context.clock().now() >= end {
+        if context.clock().now() >= deadline {
             bail!("not every daemon saw every upstream within {SETTLE_LIMIT:?}");
         }
-        client.pause(LOOK_STEP);
+        client.pause(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/ops/src/dev/chronicle.rs
+++ b/crates/ops/src/dev/timeline.rs
@@ -1,91 +1,91 @@
-//! What happened in the small fleet, in words, and how soon the fleet acted.
+//! Timeline of a `dev` session: faults, drains and the reactions of the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::watch::{FleetSnapshot, UpstreamSnapshot};
+use super::snapshot::{FleetSnapshot, UpstreamSnapshot};
 use crate::view::SHIFTED_WEIGHT;
 
-/// Weight from which an upstream counts as back.
-const BACK_WEIGHT: f64 = 0.9;
-/// Time after a fault's end during which an ejection still answers to it.
-const AFTERMATH: Duration = Duration::from_secs(10);
+/// Minimum weight of an upstream that counts as restored.
+const RESTORED_WEIGHT: f64 = 0.9;
+/// Time after the end of a fault during which reactions are still attributed to it.
+const FAULT_GRACE: Duration = Duration::from_secs(10);
 
-/// One line of the chronicle.
+/// One entry of the timeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChronicleLine {
-    /// When, since the traffic started.
+pub struct TimelineEntry {
+    /// Time since the scenario started.
     pub at: Duration,
-    /// Whether the fleet did it; otherwise it was done to the fleet.
+    /// Whether the fleet acted; otherwise the scenario acted on the fleet.
     pub by_fleet: bool,
-    /// What.
+    /// Text for the operator.
     pub text: String,
 }
 
-/// How the fleet dealt with one fault.
+/// One injected fault and the reaction times of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultRecord {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// The fault.
+    /// Label of the fault for tables.
     pub label: &'static str,
-    /// When it began.
-    pub began: Duration,
-    /// When it ended.
+    /// Start time, since the scenario started.
+    pub started: Duration,
+    /// End time, since the scenario started; `None` while the fault lasts.
     pub ended: Option<Duration>,
-    /// Time until most of its work had gone elsewhere.
+    /// Time from the start until most of the work was shifted elsewhere; `None` if never.
     pub shifted_after: Option<Duration>,
-    /// Time until most daemons had ejected it.
+    /// Time from the start until most daemons had ejected the upstream; `None` if never.
     pub ejected_after: Option<Duration>,
 }
 
-/// How the drain of one instance went.
+/// One drain of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainRecord {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// When it began.
-    pub began: Duration,
-    /// Time until the daemon had nothing left.
-    pub took: Option<Duration>,
+    /// Start time, since the scenario started.
+    pub started: Duration,
+    /// Time until the daemon was drained; `None` before that.
+    pub duration: Option<Duration>,
 }
 
-/// Where the fleet stands with one upstream.
+/// Reaction stage of the fleet towards one upstream, from mildest to strongest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum UpstreamStage {
     #[default]
     Serving,
-    Wary,
+    Reduced,
     Shifted,
     Ejected,
 }
 
-/// What happened so far.
+/// Everything that has happened in the session so far.
 #[derive(Clone, Debug, Default)]
-pub struct FleetChronicle {
-    /// The lines, in order.
-    pub lines: Vec<ChronicleLine>,
-    /// The faults, in order.
+pub struct FleetTimeline {
+    /// Entries in chronological order.
+    pub entries: Vec<TimelineEntry>,
+    /// Injected faults, in order of their start.
     pub faults: Vec<FaultRecord>,
-    /// The drains, in order.
+    /// Drains, in order of their start.
     pub drains: Vec<DrainRecord>,
-    /// Ejections of upstreams that were healthy.
+    /// Number of ejections of healthy upstreams.
     pub false_ejections: usize,
     stages: BTreeMap<String, UpstreamStage>,
 }
 
-impl FleetChronicle {
-    /// Notes what was done to an instance.
-    pub fn note_story(&mut self, at: Duration, instance: &str, text: &str) {
-        self.lines.push(ChronicleLine {
+impl FleetTimeline {
+    /// Records a scenario step that acted on an instance.
+    pub fn record_step(&mut self, at: Duration, instance: &str, text: &str) {
+        self.entries.push(TimelineEntry {
             at,
             by_fleet: false,
             text: format!("{instance} {text}"),
         });
     }
 
-    /// Notes that a fault begins; with an empty label, that the present one ends.
-    pub fn note_fault(&mut self, at: Duration, instance: &str, label: &'static str) {
+    /// Records the start of a fault, or with an empty label the end of the current one.
+    pub fn record_fault(&mut self, at: Duration, instance: &str, label: &'static str) {
         if label.is_empty() {
             let mut faults = self.faults.iter_mut().rev();
             if let Some(fault) = faults.find(|fault| fault.instance == instance) {
@@ -96,58 +96,60 @@
         self.faults.push(FaultRecord {
             instance: instance.to_owned(),
             label,
-            began: at,
+            started: at,
             ended: None,
             shifted_after: None,
             ejected_after: None,
         });
     }
 
-    /// Notes that a drain begins.
-    pub fn note_drain(&mut self, at: Duration, instance: &str) {
+    /// Records the start of a drain.
+    pub fn record_drain(&mut self, at: Duration, instance: &str) {
         self.drains.push(DrainRecord {
             instance: instance.to_owned(),
-            began: at,
-            took: None,
+            started: at,
+            duration: None,
         });
     }
 
-    /// Notes that a drained daemon has nothing left. Told once.
-    pub fn note_drained(&mut self, at: Duration, instance: &str) {
+    /// Records that a daemon is drained. Later calls for the same drain have no effect.
+    pub fn record_drained(&mut self, at: Duration, instance: &str) {
         let mut drains = self.drains.iter_mut();
-        let open = |drain: &&mut DrainRecord| drain.instance == instance && drain.took.is_none();
+        let open =
+            |drain: &&mut DrainRecord| drain.instance == instance && drain.duration.is_none();
         let Some(drain) = drains.find(open) else {
             return;
         };
-        let took = at.saturating_sub(drain.began);
-        drain.took = Some(took);
-        self.lines.push(ChronicleLine {
+        let duration = at.saturating_sub(drain.started);
+        drain.duration = Some(duration);
+        self.entries.push(TimelineEntry {
             at,
             by_fleet: true,
             text: format!(
                 "{instance} has nothing left and may be stopped ({:.0}s after its drain began)",
-                took.as_secs_f64()
+                duration.as_secs_f64()
             ),
         });
     }
 
-    /// Whether a drain has not come to its end.
+    /// Returns whether a drain is still in progress.
     #[must_use]
     pub fn is_draining(&self) -> bool {
-        self.drains.iter().any(|drain| drain.took.is_none())
+        self.drains.iter().any(|drain| drain.duration.is_none())
     }
 
-    /// Notes what the fleet did since the last look.
-    pub fn note_fleet(&mut self, snapshot: &FleetSnapshot) {
+    /// Records the reactions of the fleet since the previous snapshot.
+    pub fn record_snapshot(&mut self, snapshot: &FleetSnapshot) {
         for service in &snapshot.services {
             for upstream in &service.upstreams {
-                self.note_upstream(snapshot, upstream);
+                self.record_upstream(snapshot, upstream);
             }
         }
     }
 
-    fn note_upstream(&mut self, snapshot: &FleetSnapshot, upstream: &UpstreamSnapshot) {
-        // One that leaves, or left, gets no work for a reason that is no verdict on it.
+    fn record_upstream(&mut self, snapshot: &FleetSnapshot, upstream: &UpstreamSnapshot) {
+        // A leaving or departed upstream gets no work because it leaves, not because it is
+        // suspected.
         if matches!(upstream.phase.as_str(), "leaving" | "") {
             return;
         }
@@ -161,27 +163,27 @@
             return;
         }
         self.stages.insert(upstream.instance.clone(), stage);
-        self.note_fault_stage(snapshot.now, upstream, stage);
-        self.lines.push(ChronicleLine {
+        self.record_fault_stage(snapshot.now, upstream, stage);
+        self.entries.push(TimelineEntry {
             at: snapshot.now,
             by_fleet: true,
             text: stage_text(upstream, snapshot.daemons, before, stage),
         });
     }
 
-    fn note_fault_stage(
+    fn record_fault_stage(
         &mut self,
         now: Duration,
         upstream: &UpstreamSnapshot,
         stage: UpstreamStage,
     ) {
-        let answers = |fault: &&mut FaultRecord| {
+        let is_attributed = |fault: &&mut FaultRecord| {
             fault.instance == upstream.instance
-                && fault.ended.is_none_or(|ended| now <= ended + AFTERMATH)
+                && fault.ended.is_none_or(|ended| now <= ended + FAULT_GRACE)
         };
-        match self.faults.iter_mut().rev().find(answers) {
+        match self.faults.iter_mut().rev().find(is_attributed) {
             Some(fault) => {
-                let after = now.saturating_sub(fault.began);
+                let after = now.saturating_sub(fault.started);
                 if stage >= UpstreamStage::Shifted {
                     fault.shifted_after.get_or_insert(after);
                 }
@@ -194,7 +196,8 @@
     }
 }
 
-/// Between two weights an upstream stays what it was, so that the chronicle does not flicker.
+/// Returns the stage of an upstream. The thresholds have hysteresis, so that a weight that varies
+/// slightly does not flood the timeline with entries.
 fn stage_of(upstream: &UpstreamSnapshot, daemons: usize, before: UpstreamStage) -> UpstreamStage {
     if upstream.ejected * 2 > daemons {
         return UpstreamStage::Ejected;
@@ -202,13 +205,13 @@
     if upstream.weight < SHIFTED_WEIGHT {
         return UpstreamStage::Shifted;
     }
-    if upstream.weight >= BACK_WEIGHT {
+    if upstream.weight >= RESTORED_WEIGHT {
         return UpstreamStage::Serving;
     }
     match before {
-        UpstreamStage::Serving if upstream.wary * 2 > daemons => UpstreamStage::Wary,
+        UpstreamStage::Serving if upstream.reduced * 2 > daemons => UpstreamStage::Reduced,
         UpstreamStage::Serving => UpstreamStage::Serving,
-        _ => UpstreamStage::Wary,
+        _ => UpstreamStage::Reduced,
     }
 }
 
@@ -222,12 +225,12 @@
     let percent = upstream.weight * 100.0;
     match stage {
         UpstreamStage::Serving => format!("{instance} has its full share of work"),
-        UpstreamStage::Wary | UpstreamStage::Shifted if before > stage => {
+        UpstreamStage::Reduced | UpstreamStage::Shifted if before > stage => {
             format!("{instance} is given work again ({percent:.0}% of its share)")
         }
-        UpstreamStage::Wary => format!(
+        UpstreamStage::Reduced => format!(
             "{} of {daemons} daemons give {instance} less work ({percent:.0}% of its share)",
-            upstream.wary
+            upstream.reduced
         ),
         UpstreamStage::Shifted => {
             format!("most work of {instance} goes elsewhere ({percent:.0}% of its share left)")
--- a/crates/ops/src/dev/traffic.rs
+++ b/crates/ops/src/dev/traffic.rs
@@ -1,9 +1,9 @@
-//! Callers of the small fleet.
+//! Simulated callers of the development fleet.
 //!
-//! Calls arrive at a steady rate whatever the fleet does, as real callers do. Any daemon takes
-//! them. A caller of a call that must run at most once names it by a key; it sends the key again
-//! through another daemon when it got no answer, when the answer was "unknown", and now and then
-//! out of impatience although it was answered.
+//! Calls arrive at a constant rate regardless of how the fleet responds, and go to any daemon.
+//! Calls that must run at most once carry an idempotency key. Their caller resends the key through
+//! another daemon if it got no answer or the status "unknown", and sometimes even after an answer,
+//! so that duplicate suppression is exercised.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,25 +24,25 @@
 use sycamorelink_core::{RefusalCode, RunState};
 use uuid::Uuid;
 
-use super::host::RuntimeThread;
 use super::plan::{CallPlan, SERVICES, ServicePlan};
-use super::tally::{CallEnd, KeyWord, TrafficTally};
+use super::runtime::RuntimeThread;
+use super::stats::{CallOutcome, KeyStatus, TrafficStats};
 
-/// Longest wait of a caller.
-const CALLER_PATIENCE: Duration = Duration::from_secs(12);
-/// Sends of one key at most.
-const MOST_SENDS: u32 = 3;
-/// Share of the answered keys that are sent again.
-const IMPATIENT_SHARE: f64 = 0.2;
-/// Header of every answer that says whether the request ran.
+/// Timeout of a caller.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(12);
+/// Maximum number of sends of one key.
+const MAX_SENDS: u32 = 3;
+/// Fraction of the answered keys that are resent.
+const RESEND_SHARE: f64 = 0.2;
+/// Response header that states whether the request ran.
 const RUN_HEADER: &str = "sycamorelink-run";
-/// Code of the refusal by a daemon that leaves.
-const LEAVING_CODE: &str = RefusalCode::Draining.as_str();
-/// Seed of the callers' choices.
+/// Refusal code of a draining daemon.
+const DRAINING_CODE: &str = RefusalCode::Draining.as_str();
+/// Base seed of the random choices of callers.
 const CALLER_SEED: u64 = 7;
 
-/// Running callers.
-pub(super) struct SmallTraffic {
+/// Running callers of all services.
+pub(super) struct DevTraffic {
     shared: Arc<TrafficShared>,
     _runtime: RuntimeThread,
 }
@@ -50,36 +50,36 @@
 struct TrafficShared {
     client: Client<HttpConnector, Full<Bytes>>,
     daemons: Vec<SocketAddr>,
-    tally: Arc<TrafficTally>,
+    stats: Arc<TrafficStats>,
     stopped: AtomicBool,
     number: AtomicU64,
     in_flight: AtomicU64,
 }
 
-/// One call as its caller sees it.
+/// One call of a caller.
 struct CallerCall {
     plan: &'static ServicePlan,
     path: String,
     key: Option<String>,
 }
 
-/// The part of a stand-in's reply that tells whose it is.
+/// Field of a stand-in's reply that identifies the call.
 #[derive(Deserialize)]
 struct ReplyBody {
     path: String,
 }
 
-/// The part of a refusal that says why.
+/// Field of a refusal that states its reason.
 #[derive(Default, Deserialize)]
 struct RefusalBody {
     code: String,
 }
 
-impl SmallTraffic {
+impl DevTraffic {
     /// Starts the callers of every service.
     pub(super) fn start(
         daemons: Vec<SocketAddr>,
-        tally: Arc<TrafficTally>,
+        stats: Arc<TrafficStats>,
     ) -> anyhow::Result<Self> {
         let runtime = RuntimeThread::start("callers")?;
         let client = Client::builder(TokioExecutor::new())
@@ -88,14 +88,14 @@
         let shared = Arc::new(TrafficShared {
             client,
             daemons,
-            tally,
+            stats,
             stopped: AtomicBool::new(false),
             number: AtomicU64::new(0),
             in_flight: AtomicU64::new(0),
         });
         for plan in &SERVICES {
-            runtime.spawn(arrive(Arc::clone(&shared), plan, plan.reads, false));
-            runtime.spawn(arrive(Arc::clone(&shared), plan, plan.orders, true));
+            runtime.spawn(generate_calls(Arc::clone(&shared), plan, plan.reads, false));
+            runtime.spawn(generate_calls(Arc::clone(&shared), plan, plan.writes, true));
         }
         Ok(Self {
             shared,
@@ -103,30 +103,29 @@
         })
     }
 
-    /// Lets no more calls arrive.
+    /// Stops the arrival of new calls.
     pub(super) fn stop(&self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Calls without an end yet.
+    /// Returns the number of calls that have not ended.
     pub(super) fn in_flight(&self) -> u64 {
         self.shared.in_flight.load(Ordering::SeqCst)
     }
 }
 
-async fn arrive(
+async fn generate_calls(
     shared: Arc<TrafficShared>,
     plan: &'static ServicePlan,
     calls: CallPlan,
-    once: bool,
+    at_most_once: bool,
 ) {
     let pause = Duration::from_secs_f64(1.0 / calls.rate);
     let mut ticks = tokio::time::interval(pause);
     loop {
         ticks.tick().await;
-        // Failure: a call that arrives while the callers are stopped is missed by whoever waits
-        // for the last one. Symptom: the report names a call without an end. Counting it before
-        // the look at the flag suffices: either the flag is seen here or the call is seen there.
+        // Count the call before checking the flag. Otherwise a call that arrives during `stop`
+        // could be missed by the wait for the last call and be reported as unfinished.
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         if shared.stopped.load(Ordering::SeqCst) {
             shared.in_flight.fetch_sub(1, Ordering::SeqCst);
@@ -136,7 +135,7 @@
         let call = CallerCall {
             plan,
             path: format!("{}{number}", calls.path),
-            key: once.then(|| Uuid::now_v7().to_string()),
+            key: at_most_once.then(|| Uuid::now_v7().to_string()),
         };
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
@@ -148,49 +147,53 @@
 
 async fn make_call(shared: &TrafficShared, call: &CallerCall, number: u64) {
     let mut random = SmallRng::seed_from_u64(CALLER_SEED.wrapping_add(number));
-    let mut daemon = other_daemon(shared, None, &mut random);
+    let mut daemon = pick_daemon(shared, None, &mut random);
     let started = Instant::now();
-    let end = send_call(shared, call, daemon, &mut random).await;
-    let mut word = key_word(&end);
+    let outcome = send_with_failover(shared, call, daemon, &mut random).await;
+    let mut status = key_status(&outcome);
     shared
-        .tally
-        .record(call.plan.service, end, started.elapsed());
+        .stats
+        .record(call.plan.service, outcome, started.elapsed());
     let Some(key) = &call.key else {
         return;
     };
-    shared.tally.record_word(key, word);
-    for _ in 1..MOST_SENDS {
-        let again = match word {
-            KeyWord::Ran => random.random_bool(IMPATIENT_SHARE),
-            KeyWord::NotRun => false,
-            KeyWord::Unknown => true,
+    shared.stats.record_status(key, status);
+    for _ in 1..MAX_SENDS {
+        let resend = match status {
+            KeyStatus::Ran => random.random_bool(RESEND_SHARE),
+            KeyStatus::NotRun => false,
+            KeyStatus::Unknown => true,
         };
-        if !again {
+        if !resend {
             return;
         }
-        daemon = other_daemon(shared, Some(daemon), &mut random);
-        shared.tally.record_resend();
-        let resent = key_word(&send_call(shared, call, daemon, &mut random).await);
-        // "Not run" to a resend speaks of that send only: what the first one said stays true.
-        if resent == KeyWord::NotRun {
+        daemon = pick_daemon(shared, Some(daemon), &mut random);
+        shared.stats.record_resend();
+        let resend_status =
+            key_status(&send_with_failover(shared, call, daemon, &mut random).await);
+        // "Not run" in reply to a resend refers to that send only and does not replace the status
+        // of the first send.
+        if resend_status == KeyStatus::NotRun {
             return;
         }
-        word = resent;
-        shared.tally.record_word(key, word);
+        status = resend_status;
+        shared.stats.record_status(key, status);
     }
 }
 
-fn key_word(end: &CallEnd) -> KeyWord {
-    match end {
-        CallEnd::Answered | CallEnd::Failed | CallEnd::Refused(RunState::Ran, _) => KeyWord::Ran,
-        CallEnd::Refused(RunState::NotRun, _) => KeyWord::NotRun,
-        CallEnd::Foreign | CallEnd::Refused(RunState::Unknown, _) | CallEnd::Lost => {
-            KeyWord::Unknown
+fn key_status(outcome: &CallOutcome) -> KeyStatus {
+    match outcome {
+        CallOutcome::Answered | CallOutcome::Failed | CallOutcome::Refused(RunState::Ran, _) => {
+            KeyStatus::Ran
         }
+        CallOutcome::Refused(RunState::NotRun, _) => KeyStatus::NotRun,
+        CallOutcome::Mismatched
+        | CallOutcome::Refused(RunState::Unknown, _)
+        | CallOutcome::Lost => KeyStatus::Unknown,
     }
 }
 
-fn other_daemon(
+fn pick_daemon(
     shared: &TrafficShared,
     last: Option<SocketAddr>,
     random: &mut SmallRng,
@@ -205,37 +208,37 @@
     chosen.or(last).unwrap_or(shared.daemons[0])
 }
 
-/// Sends a call, and once more elsewhere when the daemon is leaving: a caller whose daemon says so
-/// moves on, as one behind any load balancer would.
-async fn send_call(
+/// Sends a call, and once more to another daemon if the first one refuses because it is draining,
+/// as a load balancer would.
+async fn send_with_failover(
     shared: &TrafficShared,
     call: &CallerCall,
     daemon: SocketAddr,
     random: &mut SmallRng,
-) -> CallEnd {
-    let end = send_once(shared, call, daemon).await;
-    match &end {
-        CallEnd::Refused(RunState::NotRun, code) if code == LEAVING_CODE => {
-            let other = other_daemon(shared, Some(daemon), random);
-            send_once(shared, call, other).await
+) -> CallOutcome {
+    let outcome = send_to(shared, call, daemon).await;
+    match &outcome {
+        CallOutcome::Refused(RunState::NotRun, code) if code == DRAINING_CODE => {
+            let other = pick_daemon(shared, Some(daemon), random);
+            send_to(shared, call, other).await
         }
-        _ => end,
+        _ => outcome,
     }
 }
 
-async fn send_once(shared: &TrafficShared, call: &CallerCall, daemon: SocketAddr) -> CallEnd {
+async fn send_to(shared: &TrafficShared, call: &CallerCall, daemon: SocketAddr) -> CallOutcome {
     let Ok(request) = build_request(call, daemon) else {
-        return CallEnd::Lost;
+        return CallOutcome::Lost;
     };
     let exchange = async {
         let response = shared.client.request(request).await.ok()?;
-        read_end(call, response).await
+        read_outcome(call, response).await
     };
-    let end = tokio::time::timeout(CALLER_PATIENCE, exchange).await;
-    end.ok().flatten().unwrap_or_else(|| {
+    let outcome = tokio::time::timeout(CALLER_TIMEOUT, exchange).await;
+    outcome.ok().flatten().unwrap_or_else(|| {
         let path = &call.path;
-        shared.tally.record_lost(format!("{path} through {daemon}"));
-        CallEnd::Lost
+        shared.stats.record_lost(format!("{path} through {daemon}"));
+        CallOutcome::Lost
     })
 }
 
@@ -254,7 +257,7 @@
     }
 }
 
-async fn read_end(call: &CallerCall, response: Response<Incoming>) -> Option<CallEnd> {
+async fn read_outcome(call: &CallerCall, response: Response<Incoming>) -> Option<CallOutcome> {
     let (parts, body) = response.into_parts();
     let run = parts.headers.get(RUN_HEADER);
     let run = match run.and_then(|value| value.to_str().ok()) {
@@ -265,16 +268,16 @@
     let body = body.collect().await.ok()?.to_bytes();
     if parts.status.is_success() {
         let reply: Option<ReplyBody> = serde_json::from_slice(&body).ok();
-        let own = reply.is_some_and(|reply| reply.path == call.path);
-        return Some(if own {
-            CallEnd::Answered
+        let matches_call = reply.is_some_and(|reply| reply.path == call.path);
+        return Some(if matches_call {
+            CallOutcome::Answered
         } else {
-            CallEnd::Foreign
+            CallOutcome::Mismatched
         });
     }
     if run == RunState::Ran {
-        return Some(CallEnd::Failed);
+        return Some(CallOutcome::Failed);
     }
     let refusal: RefusalBody = serde_json::from_slice(&body).unwrap_or_default();
-    Some(CallEnd::Refused(run, refusal.code))
+    Some(CallOutcome::Refused(run, refusal.code))
 }
--- a/crates/ops/src/exit.rs
+++ b/crates/ops/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes of the tool and the failures behind them.
+//! Exit codes of the tool and the errors that map to them.
 
 use std::error::Error;
 use std::fmt;
@@ -9,17 +9,17 @@
 
 macro_rules! exit_kinds {
     ($($(#[$doc:meta])* $name:ident = ($code:literal, $meaning:literal),)+) => {
-        /// How a run of the tool ended. `docs/exit-codes.md` lists the codes.
+        /// Result of one invocation of the tool. `docs/exit-codes.md` lists the codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum ExitKind {
             $($(#[$doc])* $name,)+
         }
 
         impl ExitKind {
-            /// Every kind, in order of the code.
+            /// All kinds, ordered by exit code.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The exit code.
+            /// Returns the exit code of the process.
             #[must_use]
             pub const fn code(self) -> u8 {
                 match self {
@@ -27,7 +27,7 @@
                 }
             }
 
-            /// What the code means.
+            /// Returns the description that the documentation gives for the code.
             #[must_use]
             pub const fn meaning(self) -> &'static str {
                 match self {
@@ -39,54 +39,54 @@
 }
 
 exit_kinds! {
-    /// Done.
+    /// The operation succeeded.
     Success = (0, "Done"),
-    /// Failed for a reason without a code of its own.
+    /// The operation failed for a reason that has no exit code of its own.
     Failure = (1, "Failed for a reason without a code of its own"),
-    /// The arguments are wrong.
+    /// The arguments are invalid.
     Usage = (2, "The arguments are wrong"),
-    /// The document has findings.
+    /// Settings or a contract failed validation.
     Findings = (3, "The settings or the contract have findings"),
-    /// Another change won.
+    /// Another change to the contract was accepted first.
     Conflict = (4, "Another change won; the contract is as that change left it"),
-    /// No daemon could be asked.
+    /// No daemon answered the call.
     Unreachable = (5, "No daemon could be asked"),
-    /// The account may not do this.
+    /// The token is missing or unknown, or the account lacks the permission.
     Denied = (6, "The token is missing, unknown or may not do this"),
-    /// The change may or may not have taken effect.
+    /// The change was not confirmed in time and may still take effect.
     Unconfirmed = (7, "Not confirmed in time: the change may still take effect"),
-    /// Two documents differ.
+    /// The compared contracts differ.
     Different = (8, "The compared contracts differ"),
-    /// The thing asked for is not there.
+    /// The requested item does not exist.
     NotFound = (9, "The thing asked for is not there"),
 }
 
-/// A failure that has an exit code of its own.
+/// An error with an exit code of its own.
 #[derive(Debug)]
 pub enum ToolFailure {
-    /// A document has findings.
+    /// Settings or a contract failed validation.
     Findings(FindingList),
-    /// No daemon was named.
+    /// No daemon address was configured.
     NoDaemon,
-    /// The arguments cannot be used together, or a value is wrong.
+    /// The arguments exclude each other, or a value is invalid.
     Usage(String),
-    /// The change was not confirmed in time.
+    /// The log did not confirm the change in time.
     Unconfirmed {
-        /// Id of the change.
+        /// Id of the change, a UUID.
         change: String,
     },
-    /// The change was read from the log and rejected.
+    /// The daemons read the change from the log and rejected it.
     Rejected {
-        /// Id of the change.
+        /// Id of the change, a UUID.
         change: String,
-        /// Why.
+        /// Reason and, where known, the change that is in force instead.
         reason: String,
     },
-    /// Two documents differ.
+    /// The compared contracts differ.
     Different,
-    /// The thing asked for is not there.
+    /// The requested item does not exist.
     NotFound(String),
-    /// The reader of stdout closed it.
+    /// The reader of stdout closed the pipe.
     OutputClosed,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// The exit kind that goes with an error: that of the innermost cause which has one.
+/// Returns the exit kind of the innermost cause that has one, or [`ExitKind::Failure`].
 #[must_use]
 pub fn exit_kind(error: &anyhow::Error) -> ExitKind {
     let kinds = error.chain().filter_map(cause_kind);
--- a/crates/ops/src/explain.rs
+++ b/crates/ops/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what a numbered event or a refusal means and what to do about it.
+//! The `explain` command: the meaning of event and refusal codes, and what to do about them.
 
 use sycamorelink_core::RefusalCode;
 use sycamorelink_telemetry::EventCode;
@@ -8,11 +8,11 @@
 use crate::exit::ToolFailure;
 use crate::table::TextTable;
 
-/// Explains an event by number or name, or a refusal by its code.
+/// Prints the explanation of an event, given its number or name, or of a refusal, given its code.
 ///
 /// # Errors
 ///
-/// When neither is called so.
+/// Returns [`ToolFailure::NotFound`] if no event or refusal has this code.
 pub fn explain_code(context: &mut ShellContext, code: &str) -> anyhow::Result<()> {
     match explain(code) {
         Ok(explanation) => context.data_line(explanation),
@@ -20,11 +20,11 @@
     }
 }
 
-/// Lists every event and every refusal.
+/// Prints tables of all events and all refusals.
 ///
 /// # Errors
 ///
-/// When stdout takes no more.
+/// Returns an error if stdout cannot be written.
 pub fn list_codes(context: &mut ShellContext) -> anyhow::Result<()> {
     let mut events = TextTable::new(&["CODE", "LEVEL", "NAME", "MESSAGE"]);
     for code in EventCode::ALL {
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`, `service`, `instance` and `drain`: the state of the fleet and of one daemon.
+//! The `fleet`, `service`, `instance` and `drain` commands.
 
 use anyhow::Context;
 use http::Method;
@@ -10,11 +10,11 @@
 use crate::table::TextTable;
 use crate::view::{DrainView, FleetView, MemberView, ServiceUpstream, ServiceView, StatusView};
 
-/// Prints the members of the fleet as one daemon sees them.
+/// Prints the members of the fleet as seen by one daemon.
 ///
 /// # Errors
 ///
-/// When no daemon answers.
+/// Returns an error if no daemon answers.
 pub fn show_fleet(context: &mut ShellContext, format: OutputFormat) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
     let reply = client
@@ -72,11 +72,11 @@
     texts.collect::<Vec<_>>().join(", ")
 }
 
-/// Prints a service: its floor, and what is made of each upstream.
+/// Prints the capacity floor of a service and the state of each of its upstreams.
 ///
 /// # Errors
 ///
-/// When the service is not known or no daemon answers.
+/// Returns an error if the service is unknown or no daemon answers.
 pub fn show_service(
     context: &mut ShellContext,
     name: &str,
@@ -143,14 +143,14 @@
     ]
 }
 
-/// Prints the state of one daemon.
+/// Prints the state of the first configured daemon.
 ///
 /// # Errors
 ///
-/// When it does not answer.
+/// Returns an error if the daemon does not answer.
 pub fn show_instance(context: &mut ShellContext, format: OutputFormat) -> anyhow::Result<()> {
     let client = DaemonClient::open(context.settings())?;
-    let call = ApiCall::get("/v1/status").one_daemon();
+    let call = ApiCall::get("/v1/status").first_daemon_only();
     let reply = client.call(&call).context("could not show the instance")?;
     let status: StatusView = reply.json()?;
     if format == OutputFormat::Json {
@@ -163,7 +163,7 @@
         return Ok(());
     }
     context.data_line("")?;
-    context.data(local_table(&status))
+    context.data(upstream_table(&status))
 }
 
 fn status_lines(status: &StatusView) -> [(&'static str, String); 8] {
@@ -191,7 +191,7 @@
     ]
 }
 
-fn local_table(status: &StatusView) -> TextTable {
+fn upstream_table(status: &StatusView) -> TextTable {
     let mut table = TextTable::new(&["SLOT", "SERVICE", "ADDRESS", "PHASE", "IN USE", "WAITING"]);
     let number = |count: Option<u32>| count.map_or("-".to_owned(), |count| count.to_string());
     for upstream in &status.upstreams {
@@ -207,21 +207,22 @@
     table
 }
 
-/// Makes one daemon leave.
+/// Asks one daemon to drain.
 ///
 /// # Errors
 ///
-/// When several daemons are named, or the daemon refuses or does not answer.
+/// Returns an error unless exactly one daemon is configured, or if that daemon refuses the call or
+/// does not answer.
 pub fn drain_instance(context: &mut ShellContext) -> anyhow::Result<()> {
-    // Failure: the settings name several daemons so that reads find one. Symptom: a drain meant
-    // for one instance lands on another. A drain therefore takes exactly one.
+    // Settings may list several daemons so that reads can fail over. A drain must not reach another
+    // instance than the intended one, so it requires exactly one address.
     let [daemon] = context.settings().daemons[..] else {
         let message = "a drain needs exactly one `--daemon IP:PORT`".to_owned();
         return Err(ToolFailure::Usage(message).into());
     };
     let client = DaemonClient::open(context.settings())?;
     context.status("Draining", daemon);
-    let call = ApiCall::new(Method::POST, "/v1/drain").one_daemon();
+    let call = ApiCall::new(Method::POST, "/v1/drain").first_daemon_only();
     let reply = client
         .call(&call)
         .with_context(|| format!("could not drain the daemon at {daemon}"))?;
--- a/crates/ops/src/lib.rs
+++ b/crates/ops/src/lib.rs
@@ -1,8 +1,7 @@
-//! Operations behind the command line.
+//! Operations behind the `sycamorelink` and `sycamorelinkd` commands.
 //!
-//! Each operation is a function that takes a [`ShellContext`] and typed options, so that the
-//! program itself stays a thin layer of argument parsing and every operation can be called from a
-//! test with captured output and a clock of its own.
+//! Each operation is a function that takes a [`ShellContext`] and typed options. The binaries only
+//! parse arguments, and tests call operations directly with captured output and their own clock.
 //!
 //! ```text
 //! argument ──▶ options ──▶ operation ──▶ DaemonClient ──HTTP──▶ any daemon
--- a/crates/ops/src/reload.rs
+++ b/crates/ops/src/reload.rs
@@ -1,9 +1,9 @@
-//! Reads the settings again while the daemon runs, on SIGHUP and now and then without it.
+//! Reloads the settings of a running daemon on SIGHUP and periodically.
 //!
 //! ```text
-//! file ──▶ read and check ─┬─ findings ──▶ told, the settings in force stay
-//!                          ├─ unchanged ─▶ told on SIGHUP only
-//!                          └─ changed ───▶ seeds are taken over; the rest at the next start
+//! file ──▶ read and check ─┬─ findings ──▶ logged, the settings in force stay
+//!                          ├─ unchanged ─▶ logged on SIGHUP only
+//!                          └─ changed ───▶ seeds apply now, the rest at the next start
 //! ```
 
 use std::path::{Path, PathBuf};
@@ -16,71 +16,72 @@
 
 use crate::settings_check::read_settings;
 
-/// Chooses the borders that settings ask for, or tells what is wrong with them.
-pub type BorderChoice<'a> = &'a dyn Fn(&DaemonSettings) -> Result<DaemonBorders, FindingList>;
+/// Function that creates the adapters that the settings select, or returns findings.
+pub type AdapterFactory<'a> = &'a dyn Fn(&DaemonSettings) -> Result<DaemonBorders, FindingList>;
 
-/// The settings in force and the file that they came from.
+/// Settings in force and the file that they were read from.
 pub struct SettingsReload<'a> {
     file: PathBuf,
     in_force: DaemonSettings,
-    borders: BorderChoice<'a>,
-    /// The last refusal that was told, so that a faulty file is told once.
-    refused: Option<String>,
+    factory: AdapterFactory<'a>,
+    /// Last rejection that was logged, so that the same invalid file is logged only once.
+    last_rejection: Option<String>,
 }
 
 impl<'a> SettingsReload<'a> {
-    /// Settings that were read from a file and are in force.
+    /// Creates the reload state of a daemon that started with these settings.
     #[must_use]
-    pub fn new(file: &Path, in_force: DaemonSettings, borders: BorderChoice<'a>) -> Self {
+    pub fn new(file: &Path, in_force: DaemonSettings, factory: AdapterFactory<'a>) -> Self {
         Self {
             file: file.to_owned(),
             in_force,
-            borders,
-            refused: None,
+            factory,
+            last_rejection: None,
         }
     }
 
-    /// Reads the file again. `asked` tells whether somebody waits for the outcome.
-    pub fn read(&mut self, handle: &DaemonHandle, asked: bool) {
-        match self.checked() {
+    /// Reads the file again and applies its changes. `requested` is set on SIGHUP, when the result
+    /// is logged in any case.
+    pub fn read(&mut self, handle: &DaemonHandle, requested: bool) {
+        match self.read_checked() {
             Ok(settings) => {
-                self.refused = None;
-                self.take(handle, settings, asked);
+                self.last_rejection = None;
+                self.apply(handle, settings, requested);
             }
             Err(reason) => {
-                if asked || self.refused.as_ref() != Some(&reason) {
+                if requested || self.last_rejection.as_ref() != Some(&reason) {
                     let fields = EventFields::new().reason(&reason);
                     emit(EventCode::SettingsRejected, &fields);
                 }
-                self.refused = Some(reason);
+                self.last_rejection = Some(reason);
             }
         }
     }
 
-    fn checked(&self) -> Result<DaemonSettings, String> {
+    fn read_checked(&self) -> Result<DaemonSettings, String> {
         let settings = read_settings(&self.file).map_err(|error| format!("{error:#}"))?;
         if settings == self.in_force {
             return Ok(settings);
         }
-        match (self.borders)(&settings) {
+        match (self.factory)(&settings) {
             Ok(_) => Ok(settings),
             Err(findings) => Err(findings.to_string()),
         }
     }
 
-    fn take(&mut self, handle: &DaemonHandle, settings: DaemonSettings, asked: bool) {
+    fn apply(&mut self, handle: &DaemonHandle, settings: DaemonSettings, requested: bool) {
         let changed = settings != self.in_force;
-        if !changed && !asked {
+        if !changed && !requested {
             return;
         }
         if settings.seeds != self.in_force.seeds {
             handle.set_seeds(settings.seeds.clone());
         }
-        let restart = DaemonSettings {
+        let needs_restart = DaemonSettings {
             seeds: settings.seeds.clone(),
             ..self.in_force.clone()
         } != settings;
-        let outcome = match (changed, restart) {
+        let outcome = match (changed, needs_restart) {
             (false, _) => "nothing changed",
             (true, false) => "taken over",
             (true, true) => "some changes wait for the next start",
--- a/crates/ops/src/serve.rs
+++ b/crates/ops/src/serve.rs
@@ -1,9 +1,9 @@
-//! Runs one daemon as a process: settings, log, signals, drain.
+//! Runs one daemon as a process: settings, logging, signals, drain.
 //!
 //! ```text
 //! settings ──▶ listening ──SIGTERM, SIGINT or POST /v1/drain──▶ draining ──▶ stopped
 //!                                                                  │
-//!                                               interrupt, limit ──┴──▶ stopped, something cut off
+//!                                               interrupt, limit ──┴──▶ stopped, requests cut off
 //! ```
 
 use std::path::Path;
@@ -19,20 +19,21 @@
 
 use crate::context::ShellContext;
 use crate::exit::ToolFailure;
-use crate::reload::{BorderChoice, SettingsReload};
+use crate::reload::{AdapterFactory, SettingsReload};
 use crate::settings_check::read_settings;
 
-/// Time between two looks at the daemon.
-const LOOK_STEP: Duration = Duration::from_millis(250);
-/// Time between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(5);
+/// Interval at which the state of the daemon is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the settings file is polled, because it may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Targets of the HTTP server that tell of its threads only; the numbered events say the same.
-const QUIET_TARGETS: &str = "xitca_server=warn";
-/// Level of the libraries' own lines; the levels of the settings are for the daemon's.
+/// Log directive that limits the HTTP server to warnings. Its other lines report only on its threads,
+/// which the numbered events cover.
+const HTTP_SERVER_DIRECTIVE: &str = "xitca_server=warn";
+/// Most verbose level for the log lines of libraries.
 const LIBRARY_LEVEL: &str = "info";
 
-/// The line on stdout that tells where the daemon listens.
+/// Line on stdout that reports the addresses of the daemon.
 #[derive(Serialize)]
 struct ListeningLine {
     event: &'static str,
@@ -40,19 +41,19 @@
     addresses: DaemonAddresses,
 }
 
-/// Runs a daemon until it is told to leave.
+/// Runs a daemon until a signal or an operator stops it, then drains it.
 ///
 /// # Errors
 ///
-/// When the settings have findings, the daemon cannot start, or it had to stop before everything
-/// was finished or handed over.
+/// Returns an error if the settings have findings, the daemon cannot start, or the drain was cut
+/// short before all requests were finished or handed over.
 pub fn serve_daemon(
     context: &mut ShellContext,
     file: &Path,
-    borders: BorderChoice<'_>,
+    factory: AdapterFactory<'_>,
 ) -> anyhow::Result<()> {
     let settings = read_settings(file)?;
-    let chosen = borders(&settings)
+    let adapters = factory(&settings)
         .map_err(ToolFailure::Findings)
         .with_context(|| format!("the settings in {} are not valid", file.display()))?;
     let log = log_settings(&settings).install()?;
@@ -61,15 +62,15 @@
         .enable_all()
         .build()
         .context("could not wait for signals")?;
-    // Signals are taken before the daemon listens: one that comes in between would end the
-    // process at once.
-    let mut signals = runtime.block_on(async { StopSignals::open() })?;
-    let reloading = settings.clone();
-    let handle = Daemon::start_with(settings, chosen).context("could not start the daemon")?;
+    // Install the signal handlers before the daemon listens: without them, a signal would
+    // terminate the process at once, without a drain.
+    let mut signals = runtime.block_on(async { ProcessSignals::open() })?;
+    let in_force = settings.clone();
+    let handle = Daemon::start_with(settings, adapters).context("could not start the daemon")?;
     emit(EventCode::DaemonStarted, &EventFields::new());
-    announce(context, handle.addresses())?;
-    let mut reload = SettingsReload::new(file, reloading, borders);
-    runtime.block_on(wait_for_leave(&handle, &mut signals, &mut reload));
+    print_addresses(context, handle.addresses())?;
+    let mut reload = SettingsReload::new(file, in_force, factory);
+    runtime.block_on(wait_for_stop_request(&handle, &mut signals, &mut reload));
     emit(EventCode::DaemonDraining, &EventFields::new());
     handle.drain();
     let drained = runtime.block_on(wait_for_drain(&handle, &mut signals, limit));
@@ -96,18 +97,18 @@
     }
 }
 
-/// The level of the settings for the daemon's own lines; libraries are never more talkative than
-/// usual, and never more than the daemon.
+/// Returns the log filter: the configured level for the daemon, and for libraries at most that
+/// level and at most [`LIBRARY_LEVEL`].
 fn log_filter(level: LogLevel) -> String {
     let own = level.as_str();
     let library = match level {
         LogLevel::Debug | LogLevel::Trace => LIBRARY_LEVEL,
         LogLevel::Error | LogLevel::Warn | LogLevel::Info => own,
     };
-    format!("{library},sycamorelink={own},{QUIET_TARGETS}")
+    format!("{library},sycamorelink={own},{HTTP_SERVER_DIRECTIVE}")
 }
 
-fn announce(context: &mut ShellContext, addresses: DaemonAddresses) -> anyhow::Result<()> {
+fn print_addresses(context: &mut ShellContext, addresses: DaemonAddresses) -> anyhow::Result<()> {
     let line = ListeningLine {
         event: "listening",
         addresses,
@@ -115,22 +116,22 @@
     context.data_line(serde_json::to_string(&line)?)
 }
 
-/// What a signal asks for.
+/// Action that a signal requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum SignalAsk {
-    Leave,
-    /// The same, from somebody at a terminal.
+enum SignalAction {
+    Stop,
+    /// Stops the daemon and, during a drain, cuts the drain short.
     Interrupt,
     Reload,
 }
 
-struct StopSignals {
+struct ProcessSignals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-impl StopSignals {
+impl ProcessSignals {
     fn open() -> anyhow::Result<Self> {
         let open = |kind| signal(kind).context("could not listen for signals");
         Ok(Self {
@@ -140,40 +141,40 @@
         })
     }
 
-    async fn next(&mut self) -> SignalAsk {
+    async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => SignalAsk::Leave,
-            _ = self.interrupt.recv() => SignalAsk::Interrupt,
-            _ = self.hangup.recv() => SignalAsk::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Interrupt,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 
-    /// Waits for somebody at a terminal who does not want to wait; other signals are passed over.
+    /// Waits for SIGINT, which cuts a drain short, and ignores all other signals.
     ///
-    /// Failure: whoever replaces instances sends SIGTERM more than once, and the second one cuts off
-    /// callers that the first one let finish. It asks for what is under way already.
-    async fn interrupt(&mut self) {
-        while self.next().await != SignalAsk::Interrupt {}
+    /// Process managers may send SIGTERM more than once. A repeated SIGTERM must not cut off
+    /// callers whose requests the running drain lets finish.
+    async fn wait_for_interrupt(&mut self) {
+        while self.next().await != SignalAction::Interrupt {}
     }
 }
 
-/// Waits for a signal or an operator that ends the daemon; settings are read again meanwhile.
-async fn wait_for_leave(
+/// Waits for a signal or an operator to stop the daemon and reloads the settings meanwhile.
+async fn wait_for_stop_request(
     handle: &DaemonHandle,
-    signals: &mut StopSignals,
+    signals: &mut ProcessSignals,
     reload: &mut SettingsReload<'_>,
 ) {
     let mut ready = false;
-    let mut look = tokio::time::interval(SETTINGS_LOOK);
-    look.tick().await;
+    let mut settings_poll = tokio::time::interval(SETTINGS_POLL_INTERVAL);
+    settings_poll.tick().await;
     loop {
         tokio::select! {
-            asked = signals.next() => match asked {
-                SignalAsk::Leave | SignalAsk::Interrupt => return,
-                SignalAsk::Reload => reload.read(handle, true),
+            action = signals.next() => match action {
+                SignalAction::Stop | SignalAction::Interrupt => return,
+                SignalAction::Reload => reload.read(handle, true),
             },
-            _ = look.tick() => reload.read(handle, false),
-            () = tokio::time::sleep(LOOK_STEP) => {}
+            _ = settings_poll.tick() => reload.read(handle, false),
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
         if handle.is_ready() && !ready {
             emit(EventCode::DaemonReady, &EventFields::new());
@@ -185,16 +186,20 @@
     }
 }
 
-/// Whether the daemon was drained before the limit and before an interrupt.
-async fn wait_for_drain(handle: &DaemonHandle, signals: &mut StopSignals, limit: Duration) -> bool {
+/// Returns whether the drain completed before its time limit and before an interrupt.
+async fn wait_for_drain(
+    handle: &DaemonHandle,
+    signals: &mut ProcessSignals,
+    limit: Duration,
+) -> bool {
     let drained = async {
         while !handle.is_drained() {
-            tokio::time::sleep(LOOK_STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     tokio::select! {
         () = drained => true,
-        () = signals.interrupt() => false,
+        () = signals.wait_for_interrupt() => false,
         () = tokio::time::sleep(limit) => false,
     }
 }
--- a/crates/ops/src/settings.rs
+++ b/crates/ops/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the tool: which daemons to ask, as whom, and for how long.
+//! Settings of the tool: daemon addresses, operator token and call timeout.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 
 use crate::exit::ToolFailure;
 
-/// Environment variable with the addresses of daemons, separated by commas.
+/// Environment variable with the operators' addresses of daemons, separated by commas.
 pub const DAEMON_VARIABLE: &str = "SYCAMORELINK_DAEMON";
 /// Environment variable with the operator's token.
 pub const TOKEN_VARIABLE: &str = "SYCAMORELINK_TOKEN";
-/// Time for one call unless told otherwise.
+/// Default timeout of a call to one daemon.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Which daemons to ask, as whom, and for how long.
+/// Daemon addresses, operator token and call timeout.
 #[derive(Clone)]
 pub struct ToolSettings {
-    /// Operators' addresses of daemons, asked in order until one answers.
+    /// Operators' addresses of daemons, tried in order until one answers.
     pub daemons: Vec<SocketAddr>,
-    /// The operator's bearer token.
+    /// The operator's bearer token; `None` sends calls without authorization.
     pub token: Option<Arc<str>>,
-    /// Longest time for one call to one daemon.
+    /// Timeout of a call to one daemon.
     pub timeout: Duration,
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// What the arguments and the environment say.
+/// Values from command-line arguments and environment variables.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsSource {
-    /// Daemons named by arguments.
+    /// Daemon addresses given as arguments.
     pub daemons: Vec<SocketAddr>,
-    /// File with the token, named by an argument.
+    /// File with the token, given as an argument.
     pub token_file: Option<PathBuf>,
-    /// Time for one call, named by an argument.
+    /// Timeout of a call to one daemon, given as an argument.
     pub timeout: Option<Duration>,
     /// Value of [`DAEMON_VARIABLE`].
     pub daemon_variable: Option<String>,
@@ -63,11 +63,12 @@
 }
 
 impl SettingsSource {
-    /// Puts the settings together. An argument goes before the environment.
+    /// Resolves the settings. Arguments take precedence over environment variables.
     ///
     /// # Errors
     ///
-    /// When the token file cannot be read or an address in the environment is wrong.
+    /// Returns an error if the token file cannot be read or an address in the environment is
+    /// invalid.
     pub fn resolve(self) -> anyhow::Result<ToolSettings> {
         let daemons = if self.daemons.is_empty() {
             parse_daemons(self.daemon_variable.as_deref().unwrap_or_default())?
@@ -98,11 +99,11 @@
     parse_address(name).with_context(|| format!("could not read {DAEMON_VARIABLE}"))
 }
 
-/// Reads an address.
+/// Parses an IP address with a port.
 ///
 /// # Errors
 ///
-/// When the text is not an IP address and a port.
+/// Returns [`ToolFailure::Usage`] if the text is not an IP address and a port.
 pub fn parse_address(text: &str) -> Result<SocketAddr, ToolFailure> {
     let example = "needs an IP address and a port, as in 10.0.0.1:8081";
     text.parse()
--- a/crates/ops/src/settings_check.rs
+++ b/crates/ops/src/settings_check.rs
@@ -1,4 +1,4 @@
-//! `settings check`: reads a daemon's settings the way the daemon does.
+//! The `settings check` command: validates a settings file with the daemon's own parser.
 
 use std::path::Path;
 
@@ -8,11 +8,11 @@
 use crate::context::ShellContext;
 use crate::exit::ToolFailure;
 
-/// Reads and checks the settings of a daemon.
+/// Reads and validates the settings of a daemon.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or has findings.
+/// Returns an error if the file cannot be read or has findings.
 pub fn read_settings(file: &Path) -> anyhow::Result<DaemonSettings> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).with_context(|| format!("could not read {name}"))?;
@@ -21,11 +21,11 @@
         .with_context(|| format!("the settings in {name} are not valid"))
 }
 
-/// Checks a file of settings and reports all findings.
+/// Validates a settings file and reports all findings at once.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or has findings.
+/// Returns an error if the file cannot be read or has findings.
 pub fn check_settings(context: &mut ShellContext, file: &Path) -> anyhow::Result<()> {
     let settings = read_settings(file)?;
     let subject = format!(
--- a/crates/ops/src/stand_in.rs
+++ b/crates/ops/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in`: the platform's log or a backend server as a process of its own, for tests.
+//! The `stand-in` command: a fake platform log or backend server as its own process, for tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::context::ShellContext;
 
-/// What a stand-in plays.
+/// Component that the stand-in replaces.
 #[derive(Clone, Debug)]
 pub enum StandinKind {
     /// The platform's log.
@@ -20,27 +20,27 @@
     Backend(BackendSettings),
 }
 
-/// Where a stand-in listens and for how long.
+/// Listen address and run time of a stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct StandinOptions {
-    /// Address; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time to run; until SIGTERM or SIGINT when absent.
+    /// Time to run; `None` runs until SIGTERM or SIGINT.
     pub time: Option<Duration>,
 }
 
-/// The line on stdout that tells where the stand-in listens.
+/// Line on stdout that reports the address of the stand-in.
 #[derive(Serialize)]
 struct ListeningLine {
     event: &'static str,
     address: SocketAddr,
 }
 
-/// Runs a stand-in until its time is over or a signal comes.
+/// Runs a stand-in until its run time ends or a signal arrives.
 ///
 /// # Errors
 ///
-/// When it cannot listen.
+/// Returns an error if the stand-in cannot listen on the address.
 pub fn run_stand_in(
     context: &mut ShellContext,
     kind: StandinKind,
@@ -55,14 +55,14 @@
             StandinKind::Log(settings) => {
                 let log = LogStandin::start(options.listen, settings).await;
                 let log = log.with_context(|| listen_failure(options.listen))?;
-                announce(context, log.address())?;
+                print_address(context, log.address())?;
                 wait_for_end(options.time).await?;
                 log.stop().await;
             }
             StandinKind::Backend(settings) => {
                 let backend = BackendStandin::start(options.listen, settings).await;
                 let backend = backend.with_context(|| listen_failure(options.listen))?;
-                announce(context, backend.address())?;
+                print_address(context, backend.address())?;
                 wait_for_end(options.time).await?;
                 backend.stop().await;
             }
@@ -75,7 +75,7 @@
     format!("could not listen on {address}")
 }
 
-fn announce(context: &mut ShellContext, address: SocketAddr) -> anyhow::Result<()> {
+fn print_address(context: &mut ShellContext, address: SocketAddr) -> anyhow::Result<()> {
     let line = ListeningLine {
         event: "listening",
         address,
--- a/crates/ops/src/table.rs
+++ b/crates/ops/src/table.rs
@@ -1,15 +1,15 @@
-//! Tables of text with aligned columns.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-/// Rows of cells under a heading.
+/// Table whose columns are padded to their widest cell.
 #[derive(Clone, Debug, Default)]
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// Starts a table with its heading.
+    /// Creates a table with the given column headings.
     #[must_use]
     pub fn new(heading: &[&str]) -> Self {
         let mut table = Self::default();
@@ -17,7 +17,7 @@
         table
     }
 
-    /// Adds a row.
+    /// Appends a row with one cell per column.
     pub fn row<I>(&mut self, cells: I)
     where
         I: IntoIterator<Item = String>,
@@ -25,7 +25,7 @@
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// Whether there are no rows but the heading.
+    /// Returns whether the table has no rows besides the heading.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.len() <= 1
--- a/crates/ops/src/trace.rs
+++ b/crates/ops/src/trace.rs
@@ -1,12 +1,12 @@
-//! `trace`: what all daemons did about one request, from their logs.
+//! The `trace` command: reconstructs from the logs of all daemons what happened to one request.
 //!
 //! ```text
-//! log files ──▶ lines of the request ──▶ in order of time ──▶ what decided it
-//!       └─────▶ lines of the upstreams that it met, shortly before ──┘
+//! log files ─┬─▶ lines of the request, sorted by time ────────┬──▶ tables and summary
+//!            └─▶ recent events of the upstreams that it used ─┘
 //! ```
 //!
-//! A line counts from its first brace on, so that whatever collected the logs may put the name of
-//! the instance before it. Lines that are no JSON are passed over.
+//! Each line is parsed from its first brace on, because log collectors may prefix it with the name
+//! of the instance. Lines without JSON are skipped.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -21,12 +21,12 @@
 use crate::exit::ToolFailure;
 use crate::table::TextTable;
 
-/// Name that stands for standard input.
+/// File name that selects standard input.
 const STANDARD_INPUT: &str = "-";
-/// Lines about the upstreams of the request that are shown, the latest before its end.
-const BACKGROUND_LINES: usize = 6;
-/// Events about an upstream that may explain what a request met there.
-const BACKGROUND: [EventCode; 8] = [
+/// Maximum number of upstream events to show: the latest ones before the end of the request.
+const MAX_UPSTREAM_LINES: usize = 6;
+/// Upstream events that may explain the outcome of a request.
+const UPSTREAM_EVENTS: [EventCode; 8] = [
     EventCode::WorkHeldOff,
     EventCode::WorkReleased,
     EventCode::UpstreamSuspected,
@@ -37,12 +37,12 @@
     EventCode::CrashSuspected,
 ];
 
-/// One line of a log.
+/// One parsed log line.
 #[derive(Clone, Debug)]
 struct LogLine {
-    /// Time as logged; the form sorts.
+    /// Timestamp as logged. Its text form sorts chronologically.
     time: String,
-    /// What stands before the line, or the file's name.
+    /// Prefix of the line, or the file name if there is none.
     source: String,
     code: String,
     fields: Value,
@@ -53,11 +53,11 @@
         self.fields.get(name).and_then(Value::as_str).unwrap_or("")
     }
 
-    fn is(&self, code: EventCode) -> bool {
+    fn has_code(&self, code: EventCode) -> bool {
         self.code == code.as_str()
     }
 
-    /// The fields that say what happened, in a fixed order.
+    /// Formats the fields that describe the event, in a fixed order.
     fn details(&self) -> String {
         let shown = [
             "upstream", "version", "refusal", "run", "count", "duration", "limit", "reason",
@@ -70,34 +70,34 @@
     }
 }
 
-/// Everything that the logs say of one request.
+/// Log lines of one request and of its upstreams.
 #[derive(Clone, Debug, Default)]
 struct RequestTrace {
     lines: Vec<LogLine>,
-    background: Vec<LogLine>,
+    upstream_lines: Vec<LogLine>,
 }
 
-/// Shows what all daemons did about a request.
+/// Prints the log lines of a request, related upstream events and a summary of the outcome.
 ///
 /// # Errors
 ///
-/// When a log cannot be read or none has a line of the request.
+/// Returns an error if a log cannot be read or no log has a line of the request.
 pub fn trace_request(context: &mut ShellContext, id: &str, logs: &[PathBuf]) -> anyhow::Result<()> {
     let mut lines = Vec::new();
     for log in logs {
         read_log(log, &mut lines).with_context(|| format!("could not read {}", log.display()))?;
     }
-    let trace = collect(id, lines);
+    let trace = collect_trace(id, lines);
     if trace.lines.is_empty() {
-        let hint = format!("no line names the request {id:?}; are the logs of level `debug`?");
-        return Err(ToolFailure::NotFound(hint).into());
+        let message = format!("no line names the request {id:?}; are the logs of level `debug`?");
+        return Err(ToolFailure::NotFound(message).into());
     }
-    context.data_line(table_of(&trace.lines))?;
-    if !trace.background.is_empty() {
+    context.data_line(event_table(&trace.lines))?;
+    if !trace.upstream_lines.is_empty() {
         context.data_line("Known of its upstreams:")?;
-        context.data_line(table_of(&trace.background))?;
+        context.data_line(event_table(&trace.upstream_lines))?;
     }
-    context.data_line(verdict(&trace))
+    context.data_line(describe_outcome(&trace))
 }
 
 fn read_log(log: &Path, lines: &mut Vec<LogLine>) -> anyhow::Result<()> {
@@ -118,10 +118,10 @@
 }
 
 fn parse_line(line: &str, file: &str) -> Option<LogLine> {
-    let (before, _) = line.split_once('{')?;
-    let fields: Value = serde_json::from_str(line[before.len()..].trim_end()).ok()?;
+    let (prefix, _) = line.split_once('{')?;
+    let fields: Value = serde_json::from_str(line[prefix.len()..].trim_end()).ok()?;
     let text = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
-    let source = before.split_whitespace().last().unwrap_or(file).to_owned();
+    let source = prefix.split_whitespace().last().unwrap_or(file).to_owned();
     Some(LogLine {
         time: text("timestamp")?,
         source,
@@ -130,29 +130,35 @@
     })
 }
 
-fn collect(id: &str, lines: Vec<LogLine>) -> RequestTrace {
-    let (mut own, others): (Vec<LogLine>, Vec<LogLine>) = lines
+fn collect_trace(id: &str, lines: Vec<LogLine>) -> RequestTrace {
+    let (mut request_lines, others): (Vec<LogLine>, Vec<LogLine>) = lines
         .into_iter()
         .partition(|line| line.field("request") == id);
-    own.sort_by(|left, right| left.time.cmp(&right.time));
-    let upstreams: BTreeSet<&str> = own.iter().map(|line| line.field("upstream")).collect();
-    let end = own.last().map(|line| line.time.clone()).unwrap_or_default();
-    let mut background: Vec<LogLine> = others
+    request_lines.sort_by(|left, right| left.time.cmp(&right.time));
+    let upstreams: BTreeSet<&str> = request_lines
+        .iter()
+        .map(|line| line.field("upstream"))
+        .collect();
+    let end = request_lines
+        .last()
+        .map(|line| line.time.clone())
+        .unwrap_or_default();
+    let mut upstream_lines: Vec<LogLine> = others
         .into_iter()
-        .filter(|line| BACKGROUND.iter().any(|code| line.is(*code)))
+        .filter(|line| UPSTREAM_EVENTS.iter().any(|code| line.has_code(*code)))
         .filter(|line| !line.field("upstream").is_empty() && line.time <= end)
         .filter(|line| upstreams.contains(line.field("upstream")))
         .collect();
-    background.sort_by(|left, right| left.time.cmp(&right.time));
-    let surplus = background.len().saturating_sub(BACKGROUND_LINES);
-    background.drain(..surplus);
+    upstream_lines.sort_by(|left, right| left.time.cmp(&right.time));
+    let surplus = upstream_lines.len().saturating_sub(MAX_UPSTREAM_LINES);
+    upstream_lines.drain(..surplus);
     RequestTrace {
-        lines: own,
-        background,
+        lines: request_lines,
+        upstream_lines,
     }
 }
 
-fn table_of(lines: &[LogLine]) -> TextTable {
+fn event_table(lines: &[LogLine]) -> TextTable {
     let mut table = TextTable::new(&["TIME", "FROM", "CODE", "EVENT", "WHAT"]);
     for line in lines {
         table.row([
@@ -166,16 +172,16 @@
     table
 }
 
-/// What decided the request, in one or two sentences.
-fn verdict(trace: &RequestTrace) -> String {
+/// Summarizes the outcome of the request in one or two sentences.
+fn describe_outcome(trace: &RequestTrace) -> String {
     let last = |codes: &[EventCode]| {
         let mut lines = trace.lines.iter().rev();
-        lines.find(|line| codes.iter().any(|code| line.is(*code)))
+        lines.find(|line| codes.iter().any(|code| line.has_code(*code)))
     };
     let started = trace
         .lines
         .iter()
-        .filter(|line| line.is(EventCode::WorkStarted));
+        .filter(|line| line.has_code(EventCode::WorkStarted));
     let started = match started.count() {
         0 => "at no time".to_owned(),
         1 => "once".to_owned(),
@@ -186,7 +192,7 @@
         .iter()
         .rev()
         .find(|line| !line.field("run").is_empty());
-    let unrepeated = match last(&[EventCode::RetryBudgetExhausted]) {
+    let retry_note = match last(&[EventCode::RetryBudgetExhausted]) {
         Some(line) => format!(
             " The retry budget of {} allowed no further try at {}.",
             line.source, line.time
@@ -195,7 +201,7 @@
     };
     let Some(end) = end else {
         return match last(&[EventCode::RequestServed]) {
-            Some(line) => format!("Served: {}.{unrepeated}", line.details()),
+            Some(line) => format!("Served: {}.{retry_note}", line.details()),
             None => "No log has its end: a daemon's log is missing, or it still runs.".to_owned(),
         };
     };
@@ -206,12 +212,12 @@
     match end.field("run") {
         "not-run" => format!(
             "Not run ({}): handed to a backend server {started}, and run by none. Last \
-             word from beside an upstream: {cause}.{unrepeated}",
+             word from beside an upstream: {cause}.{retry_note}",
             end.field("refusal")
         ),
         _ => format!(
             "May have run ({}): handed to a backend server {started}. Last word from beside \
-             an upstream: {cause}.{unrepeated}",
+             an upstream: {cause}.{retry_note}",
             end.field("refusal")
         ),
     }
--- a/crates/ops/src/view/change.rs
+++ b/crates/ops/src/view/change.rs
@@ -1,40 +1,40 @@
-//! Contracts and changes.
+//! Replies about contracts and their changes.
 
 use serde::{Deserialize, Serialize};
 
-use crate::client::ChangeWinner;
+use crate::client::VersionConflict;
 
-/// Customers, page by page.
+/// One page of the list of contracts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ContractList {
-    /// In order of customer.
+    /// Contracts ordered by customer.
     pub contracts: Vec<ContractSummary>,
-    /// Where the next page starts; none on the last.
+    /// Cursor of the next page; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// One customer.
+/// One contract in the list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ContractSummary {
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
-    /// Version in force.
+    /// Version of the contract in force.
     pub version: u64,
-    /// Team that may change it.
+    /// Team that may change the contract; `None` if it belongs to no team.
     pub team: Option<String>,
-    /// Id of the change that made the version.
+    /// Id of the change that created the version.
     pub change: Option<String>,
 }
 
-/// Changes of one contract, newest first.
+/// Changes of one contract.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HistoryView {
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
-    /// Newest first.
+    /// Changes, newest first.
     pub entries: Vec<HistoryEntry>,
 }
 
@@ -44,63 +44,63 @@
 pub struct HistoryEntry {
     /// Id of the change.
     pub change: String,
-    /// Version it made.
+    /// Version that the change created; `None` unless it was accepted.
     pub version: Option<u64>,
-    /// Version it amended.
+    /// Version that the change amends.
     pub base: Option<u64>,
-    /// What it did.
+    /// Kind of the change, such as `put`.
     pub action: String,
-    /// Who made it.
+    /// Name of the operator who made the change.
     pub operator: String,
-    /// Wall clock of the author, for display.
+    /// Wall-clock time at the daemon that sent the change, for display only.
     pub at: Option<String>,
-    /// What became of it.
+    /// Outcome, such as `accepted` or `rejected`.
     pub outcome: String,
-    /// Why it was rejected.
+    /// Reason of the rejection; `None` unless the change was rejected.
     pub reason: Option<String>,
 }
 
-/// Reply to a change that is in force.
+/// Reply to an accepted change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ChangeResult {
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
     /// Id of the change.
     pub change: String,
-    /// Version now in force.
+    /// Version that the change created.
     pub version: u64,
 }
 
-/// What became of a change.
+/// State of a change at the daemon that was asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeState {
-    /// Sent to the log; not yet read back.
+    /// Appended to the log, not yet read back.
     Pending,
-    /// In force.
+    /// Accepted and in force.
     Accepted,
-    /// Read and rejected.
+    /// Read from the log and rejected.
     Rejected,
-    /// Not read by the daemon asked. It may still be in the log.
+    /// Not read by this daemon. The change may still be in the log.
     #[default]
     Unknown,
 }
 
-/// State of one change.
+/// Reply to a query for one change.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ChangeView {
     /// Id of the change.
     pub change: String,
-    /// The customer.
+    /// Name of the customer.
     pub customer: Option<String>,
-    /// What became of it.
+    /// Outcome, such as `accepted` or `rejected`.
     pub state: ChangeState,
-    /// Version it made.
+    /// Version that the change created; `None` unless it was accepted.
     pub version: Option<u64>,
-    /// Why it was rejected.
+    /// Reason of the rejection; `None` unless the change was rejected.
     pub reason: Option<String>,
-    /// The change that won instead.
-    pub winner: Option<ChangeWinner>,
+    /// The change in force instead; `None` unless another change was accepted first.
+    pub winner: Option<VersionConflict>,
 }
--- a/crates/ops/src/view/fleet.rs
+++ b/crates/ops/src/view/fleet.rs
@@ -1,16 +1,16 @@
-//! The fleet as one daemon sees it.
+//! Replies about the fleet, as seen by one daemon.
 
 use serde::{Deserialize, Serialize};
 
-/// Members and their upstreams.
+/// Members of the fleet and their upstreams.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetView {
-    /// In order of instance name.
+    /// Members ordered by instance name.
     pub members: Vec<MemberView>,
 }
 
-/// One daemon.
+/// One member of the fleet.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberView {
@@ -18,32 +18,32 @@
     pub instance: String,
     /// Id of the node.
     pub node: String,
-    /// Its life.
+    /// Incarnation of the node; `None` if unknown.
     pub incarnation: Option<String>,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Region.
+    /// Region of the instance; `None` if unknown.
     pub region: Option<String>,
-    /// What the fleet holds it to be.
+    /// Membership state, such as `alive`, `leaving`, `left` or `dead`.
     pub state: String,
-    /// Whether the daemon asked gets answers from it directly.
+    /// Whether the answering daemon reaches the member directly.
     pub reachable: bool,
-    /// Next offset of its contract book, where known.
+    /// Next offset of the member's contract book; `None` if unknown.
     pub contract_head: Option<u64>,
-    /// Backend servers beside it.
+    /// Backend servers of the member.
     pub upstreams: Vec<MemberUpstream>,
 }
 
-/// One backend server beside a member.
+/// One backend server of a member.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberUpstream {
-    /// Node and slot.
+    /// Node id and slot number.
     pub upstream: String,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Requests it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u16,
-    /// Phase.
+    /// Announced phase, such as `ready` or `leaving`.
     pub phase: String,
 }
--- a/crates/ops/src/view/mod.rs
+++ b/crates/ops/src/view/mod.rs
@@ -1,5 +1,4 @@
-//! What the operators' API replies, as types. Unknown fields are ignored: a newer daemon may say
-//! more.
+//! Replies of the operators' API. Unknown fields are ignored, because a newer daemon may send more.
 
 mod change;
 mod fleet;
@@ -12,5 +11,5 @@
 pub use fleet::{FleetView, MemberUpstream, MemberView};
 pub use node::{ContractStatus, DrainView, LocalUpstream, LogStatus, StatusView};
 pub use service::{
-    FULL_WEIGHT, FloorView, QUIET_SCORE, SHIFTED_WEIGHT, ServiceUpstream, ServiceView,
+    FULL_WEIGHT, FloorView, SHIFTED_WEIGHT, ServiceUpstream, ServiceView, UNSUSPECTED_SCORE,
 };
--- a/crates/ops/src/view/node.rs
+++ b/crates/ops/src/view/node.rs
@@ -1,8 +1,8 @@
-//! One daemon.
+//! Replies about one daemon.
 
 use serde::{Deserialize, Serialize};
 
-/// State of the daemon asked.
+/// Status of the answering daemon.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StatusView {
@@ -10,43 +10,43 @@
     pub instance: String,
     /// Id of the node.
     pub node: String,
-    /// Its life.
+    /// Incarnation of the node.
     pub incarnation: String,
-    /// Failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// Region.
+    /// Region of the instance.
     pub region: String,
     /// State of the daemon.
     pub state: String,
-    /// Time since its start, with a unit.
+    /// Time since the daemon started, with a unit.
     pub uptime: String,
-    /// Requests of callers in flight.
+    /// Number of caller requests in flight.
     pub in_flight: u64,
-    /// The platform's log.
+    /// Access to the platform's log.
     pub log: LogStatus,
-    /// Contracts.
+    /// Contracts known to the daemon.
     pub contracts: ContractStatus,
     /// Backend servers of this instance.
     pub upstreams: Vec<LocalUpstream>,
 }
 
-/// The platform's log as the daemon sees it.
+/// Access of the daemon to the platform's log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogStatus {
-    /// Whether the last call succeeded.
+    /// Whether the last call to the log succeeded.
     pub reachable: bool,
-    /// Next offset to be read.
+    /// Next log offset that the daemon reads.
     pub offset: u64,
 }
 
-/// Contracts of the daemon.
+/// Contracts known to the daemon.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ContractStatus {
-    /// Next offset of the book: everything below it is in force here.
+    /// Next offset of the contract book. All earlier changes are applied at this daemon.
     pub head: u64,
-    /// Customers with a contract.
+    /// Number of customers that have a contract.
     pub customers: u64,
 }
 
@@ -54,28 +54,28 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LocalUpstream {
-    /// Its number on this node.
+    /// Number of the server on this node.
     pub slot: u16,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Address.
+    /// Address of the server.
     pub address: String,
-    /// Requests it runs at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u16,
-    /// Phase.
+    /// Announced phase, such as `ready` or `leaving`.
     pub phase: String,
-    /// Slots in use.
+    /// Number of slots in use; `None` if unknown.
     pub in_use: Option<u32>,
-    /// Requests that wait for a slot.
+    /// Number of requests waiting for a slot; `None` if unknown.
     pub waiting: Option<u32>,
 }
 
-/// Reply to a drain.
+/// Reply to a drain request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DrainView {
     /// State of the daemon.
     pub state: String,
-    /// Requests of callers in flight.
+    /// Number of caller requests in flight.
     pub in_flight: u64,
 }
--- a/crates/ops/src/view/service.rs
+++ b/crates/ops/src/view/service.rs
@@ -1,42 +1,42 @@
-//! One service as one daemon sees it.
+//! Replies about one service, as seen by one daemon.
 
 use serde::{Deserialize, Serialize};
 
-/// Weight below which an upstream counts as shifted.
+/// Weight below which an upstream counts as shifted: most of its work goes to others.
 pub const SHIFTED_WEIGHT: f64 = 0.5;
-/// Weight from which an upstream counts as fully in service.
+/// Minimum weight of an upstream that counts as fully in service.
 pub const FULL_WEIGHT: f64 = 0.95;
-/// Score below which nothing speaks against an upstream, in nats. One with less than its full
-/// weight started cold then, or comes back after a fault.
-pub const QUIET_SCORE: f64 = 0.5;
+/// Suspicion score, in nats, below which an upstream counts as unsuspected. An unsuspected upstream
+/// with reduced weight is ramping up after a cold start or a fault.
+pub const UNSUSPECTED_SCORE: f64 = 0.5;
 
-/// Floor and upstreams of a service.
+/// Capacity floor and upstreams of a service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceView {
     /// Name of the service.
     pub service: String,
-    /// Capacity against the floor.
+    /// Capacity of a service compared with its floor.
     pub floor: FloorView,
-    /// The upstreams.
+    /// Upstreams of the service.
     pub upstreams: Vec<ServiceUpstream>,
 }
 
-/// Capacity against the floor.
+/// Capacity of a service compared with its floor.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FloorView {
-    /// Slots of all upstreams, in any phase.
+    /// Number of slots of all upstreams, in any phase.
     pub known_slots: u32,
-    /// Slots that ejections must leave in service.
+    /// Number of slots that ejections must leave in service.
     pub floor_slots: u32,
-    /// Upstreams that ejections must leave in service.
+    /// Number of upstreams that ejections must leave in service.
     pub floor_count: u32,
-    /// Slots in service.
+    /// Number of slots in service.
     pub serving_slots: u32,
-    /// Upstreams in service.
+    /// Number of upstreams in service.
     pub serving_count: u32,
-    /// Upstreams ejected or tried again after an ejection.
+    /// Number of upstreams that are ejected or on probation after an ejection.
     pub ejected_count: u32,
 }
 
@@ -44,32 +44,32 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceUpstream {
-    /// Node and slot.
+    /// Node id and slot number.
     pub upstream: String,
-    /// Name of the instance.
+    /// Name of the instance; `None` if unknown.
     pub instance: Option<String>,
-    /// Failure domain.
+    /// Failure domain of the instance; `None` if unknown.
     pub domain: Option<String>,
-    /// Phase.
+    /// Announced phase, such as `ready` or `leaving`.
     pub phase: String,
-    /// Requests it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u16,
-    /// Share of its fair share that it is offered, from 0 to 1.
+    /// Fraction of its fair share of work that the upstream receives, from 0 to 1.
     pub weight: f64,
-    /// Highest score over the kinds of fault, in nats.
+    /// Highest suspicion score over all kinds of fault, in nats.
     pub suspicion: f64,
-    /// Kind of fault with the highest score.
+    /// Kind of fault with the highest score; `None` if there is none.
     pub cause: Option<String>,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub ejected: bool,
-    /// Time until it is tried again, with a unit.
+    /// Time until the upstream is tried again, with a unit; `None` unless it is ejected.
     pub ejected_for: Option<String>,
-    /// Requests that the daemon asked has in flight there.
+    /// Number of requests that the answering daemon has in flight at the upstream.
     pub in_flight: u32,
 }
 
 impl ServiceUpstream {
-    /// State in one word, for tables.
+    /// Returns the state in one or two words, for tables.
     #[must_use]
     pub fn state(&self) -> &'static str {
         if self.ejected {
@@ -79,7 +79,7 @@
             "leaving" => "leaving",
             "starting" => "starting",
             _ if self.weight >= FULL_WEIGHT => "in service",
-            _ if self.suspicion < QUIET_SCORE => "ramping up",
+            _ if self.suspicion < UNSUSPECTED_SCORE => "ramping up",
             _ if self.weight < SHIFTED_WEIGHT => "shifted",
             _ => "suspected",
         }
--- a/crates/ops/tests/change.rs
+++ b/crates/ops/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes of contracts: what is sent, and what the operator is told.
+//! Commands that change contracts: requests sent and output printed.
 
 mod support;
 
@@ -14,7 +14,7 @@
 };
 use tempfile::TempDir;
 
-const ID: &str = "0192f0c1-2d3e-7f40-8a5b-6c7d8e9fa0b1";
+const CHANGE_ID: &str = "0192f0c1-2d3e-7f40-8a5b-6c7d8e9fa0b1";
 
 struct SampleFile {
     _directory: TempDir,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn publishing_creates_on_version_zero() {
+fn publish_sends_base_version_zero() {
     let daemon = FakeDaemon::start(vec![in_force()]);
     let file = SampleFile::write();
     let text = run(&[daemon.address()], |context| {
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn amending_on_the_current_version_reads_it_first() {
-    let held = reply(200, &samples::brannock_json()).version(7);
-    let daemon = FakeDaemon::start(vec![held, in_force()]);
+fn amend_on_current_reads_the_version_first() {
+    let current = reply(200, &samples::brannock_json()).version(7);
+    let daemon = FakeDaemon::start(vec![current, in_force()]);
     let file = SampleFile::write();
     let text = run(&[daemon.address()], |context| {
         amend_contract(context, &file.path, &amend_options(BaseVersion::Current))
@@ -76,10 +76,10 @@
     insta::assert_snapshot!(format!("{text}=== calls\n{}", daemon.calls()));
 }
 
-/// The operator amends version 5, and another operator's change has made version 6 of it
-/// meanwhile. The fleet refuses, and the operator is told whose change won.
+/// The operator amends version 5 while another operator has already published version 6. The error
+/// names the version in force and its operator.
 #[test]
-fn a_stale_base_names_the_change_that_won() {
+fn stale_base_reports_the_conflicting_change() {
     let problem = r#"{"title": "the base is stale", "status": 412, "code": "base-stale",
         "winner": {"change": "c-6", "version": 6, "operator": "ada"}}"#;
     let daemon = FakeDaemon::start(vec![reply(412, problem)]);
@@ -90,14 +90,14 @@
     insta::assert_snapshot!(text);
 }
 
-/// The first daemon took the change, and its reply was lost. The second one finds the base stale
-/// because of that very change. The operator is told that the change is in force.
+/// A daemon accepted the change but its reply was lost, so the next daemon reports the base as
+/// stale because of that same change. The tool must report success, not a conflict.
 #[test]
-fn an_own_change_that_won_is_no_conflict() {
+fn conflict_with_the_same_change_id_is_success() {
     let problem = format!(
         r#"{{"title": "the base is stale", "status": 412, "code": "base-stale",
             "winner": {{"change": "{}", "version": 6}}}}"#,
-        ID.replace('-', "")
+        CHANGE_ID.replace('-', "")
     );
     let accepted = reply(200, r#"{"change": "x", "state": "accepted", "version": 6}"#);
     let daemon = FakeDaemon::start(vec![reply(412, &problem), accepted]);
@@ -105,7 +105,7 @@
         let options = AmendOptions {
             base: BaseVersion::Version(5),
             change: ChangeOptions {
-                change: ID.parse().ok(),
+                change: CHANGE_ID.parse().ok(),
                 ..options()
             },
         };
@@ -114,10 +114,11 @@
     insta::assert_snapshot!(text);
 }
 
-/// The first daemon is gone after it took the change, the second says it is draining, the third
-/// takes the change with the same id. The operator sees one change in force.
+/// The first daemon is unreachable and may have accepted the change, the second one is draining,
+/// and the third one accepts the change. All attempts must carry the same id, so that the change is
+/// applied once.
 #[test]
-fn the_next_daemon_gets_the_same_change() {
+fn failover_sends_the_same_change_id() {
     let draining = r#"{"title": "draining", "status": 503, "code": "not-ready"}"#;
     let second = FakeDaemon::start(vec![reply(503, draining)]);
     let third = FakeDaemon::start(vec![in_force()]);
@@ -126,7 +127,7 @@
         let options = AmendOptions {
             base: BaseVersion::Version(7),
             change: ChangeOptions {
-                change: ID.parse().ok(),
+                change: CHANGE_ID.parse().ok(),
                 ..options()
             },
         };
@@ -136,10 +137,10 @@
     insta::assert_snapshot!(format!("{text}=== calls\n{}", third.calls()));
 }
 
-/// The log is slow: the daemon answers that the change is pending. It is followed by its id until
-/// the log has it.
+/// The log is slow and the daemon answers that the change is pending. The tool polls the change by
+/// its id until it is accepted.
 #[test]
-fn a_pending_change_is_followed_by_its_id() {
+fn pending_change_is_polled_by_id() {
     let daemon = FakeDaemon::start(vec![
         reply(202, r#"{"change": "x", "state": "pending"}"#),
         reply(200, r#"{"change": "x", "state": "unknown"}"#),
@@ -152,23 +153,23 @@
     insta::assert_snapshot!(format!("{text}=== calls\n{}", daemon.calls()));
 }
 
-/// The log is down: the change is neither in force nor rejected when the wait is over. The
-/// operator is told that it may still take effect, and how to ask.
+/// The log is down and the change stays pending until the wait ends. The tool must report that the
+/// change may still take effect, not that it failed.
 #[test]
-fn an_unconfirmed_change_is_never_called_failed() {
+fn unconfirmed_change_is_not_reported_as_failed() {
     let daemon = FakeDaemon::start(vec![reply(200, r#"{"change": "x", "state": "pending"}"#)]);
     let text = run(&[daemon.address()], |context| {
         let options = WaitOptions {
             limit: Duration::ZERO,
             everywhere: false,
         };
-        wait_for_change(context, ID, &options)
+        wait_for_change(context, CHANGE_ID, &options)
     });
     insta::assert_snapshot!(text);
 }
 
 #[test]
-fn a_rejected_change_names_the_winner() {
+fn rejected_change_reports_the_conflicting_change() {
     let rejected = r#"{"change": "x", "state": "rejected", "reason": "another change came first",
         "winner": {"version": 9, "operator": "bo"}}"#;
     let daemon = FakeDaemon::start(vec![reply(200, rejected)]);
@@ -177,15 +178,15 @@
             limit: Duration::from_secs(20),
             everywhere: false,
         };
-        wait_for_change(context, ID, &options)
+        wait_for_change(context, CHANGE_ID, &options)
     });
     insta::assert_snapshot!(text);
 }
 
-/// One daemon is behind, one is dead, one is of unknown standing. The wait ends when the one
-/// behind has caught up.
+/// One daemon lags behind, one is dead, and one has not reported its contract version. The wait
+/// ends when the lagging daemon has caught up.
 #[test]
-fn a_change_is_followed_to_every_daemon() {
+fn wait_everywhere_waits_for_all_live_daemons() {
     let fleet = |head: u64| {
         reply(
             200,
@@ -208,13 +209,13 @@
             limit: Duration::from_secs(20),
             everywhere: true,
         };
-        wait_for_change(context, ID, &options)
+        wait_for_change(context, CHANGE_ID, &options)
     });
     insta::assert_snapshot!(text);
 }
 
 #[test]
-fn findings_of_the_daemon_are_shown() {
+fn daemon_findings_are_printed() {
     let problem = r#"{"title": "the contract has findings", "status": 422, "code": "findings",
         "findings": [{"place": "rate.per_second", "message": "must be above 0"},
                      {"place": "services[0].floor", "message": "must be at most 1"}]}"#;
@@ -227,7 +228,7 @@
 }
 
 #[test]
-fn an_unknown_token_has_an_exit_code_of_its_own() {
+fn unknown_token_exits_with_denied() {
     let daemon = FakeDaemon::start(vec![reply(401, "")]);
     let text = run(&[daemon.address()], |context| {
         remove_contract(context, "brannock", &amend_options(BaseVersion::Version(1)))
