--- a/crates/ops/tests/dev.rs
+++ b/crates/ops/tests/dev.rs
@@ -1,11 +1,11 @@
-//! The texts of the development fleet.
+//! Text output of the development fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sycamorelink_ops::dev::{
-    BurnLine, CallCounts, ClosingReport, FleetChronicle, FleetSnapshot, KeyAudit, RecentCalls,
-    ServiceSnapshot, UpstreamSnapshot, render_line, render_screen, render_status, story_steps,
+    BurnLine, CallCounts, ClosingReport, FleetSnapshot, FleetTimeline, KeyAudit, RecentCalls,
+    ServiceSnapshot, UpstreamSnapshot, render_entry, render_screen, render_status, scenario_steps,
 };
 use sycamorelink_ops::view::FloorView;
 
@@ -16,7 +16,7 @@
         phase: "ready".to_owned(),
         weight,
         suspicion: 6.0 * (1.0 - weight),
-        wary: if weight < 0.9 { 6 } else { 0 },
+        reduced: if weight < 0.9 { 6 } else { 0 },
         runs: 40,
         ..UpstreamSnapshot::default()
     }
@@ -59,14 +59,14 @@
     FleetSnapshot {
         now: Duration::from_secs(seconds),
         length: Duration::from_mins(1),
-        warming: false,
+        warming_up: false,
         daemons: 7,
         services: vec![service],
         burns: vec![burn],
     }
 }
 
-fn sick(weight: f64, ejected: usize) -> UpstreamSnapshot {
+fn faulty_upstream(weight: f64, ejected: usize) -> UpstreamSnapshot {
     UpstreamSnapshot {
         fault: "12x slower",
         ejected,
@@ -74,35 +74,48 @@
     }
 }
 
-/// A fault begins, the fleet shifts work away, ejects, and gives it back after the fault's end.
-fn told_chronicle() -> FleetChronicle {
-    let mut chronicle = FleetChronicle::default();
+/// Returns a timeline in which a fault starts, the fleet shifts work away, ejects the upstream and
+/// restores it after the fault, and another instance is drained.
+fn sample_timeline() -> FleetTimeline {
+    let mut timeline = FleetTimeline::default();
     let at = Duration::from_secs;
     let healthy = || vec![upstream(1, 1.0), upstream(2, 1.0)];
-    chronicle.note_fleet(&snapshot(11, healthy()));
-    chronicle.note_story(at(12), "orders-2", "becomes 12 times slower");
-    chronicle.note_fault(at(12), "orders-2", "12x slower");
-    chronicle.note_fleet(&snapshot(13, vec![upstream(1, 1.0), sick(0.8, 0)]));
-    chronicle.note_fleet(&snapshot(15, vec![upstream(1, 1.0), sick(0.3, 1)]));
-    chronicle.note_fleet(&snapshot(16, vec![upstream(1, 1.0), sick(0.7, 1)]));
-    chronicle.note_fleet(&snapshot(19, vec![upstream(1, 1.0), sick(0.0, 5)]));
-    chronicle.note_story(at(36), "orders-2", "is healthy again");
-    chronicle.note_fault(at(36), "orders-2", "");
-    chronicle.note_fleet(&snapshot(48, healthy()));
-    chronicle.note_story(at(51), "orders-4", "is drained");
-    chronicle.note_drain(at(51), "orders-4");
-    assert!(chronicle.is_draining());
-    chronicle.note_drained(at(53), "orders-4");
-    chronicle.note_drained(at(54), "orders-4");
-    assert!(!chronicle.is_draining());
-    chronicle
+    timeline.record_snapshot(&snapshot(11, healthy()));
+    timeline.record_step(at(12), "orders-2", "becomes 12 times slower");
+    timeline.record_fault(at(12), "orders-2", "12x slower");
+    timeline.record_snapshot(&snapshot(
+        13,
+        vec![upstream(1, 1.0), faulty_upstream(0.8, 0)],
+    ));
+    timeline.record_snapshot(&snapshot(
+        15,
+        vec![upstream(1, 1.0), faulty_upstream(0.3, 1)],
+    ));
+    timeline.record_snapshot(&snapshot(
+        16,
+        vec![upstream(1, 1.0), faulty_upstream(0.7, 1)],
+    ));
+    timeline.record_snapshot(&snapshot(
+        19,
+        vec![upstream(1, 1.0), faulty_upstream(0.0, 5)],
+    ));
+    timeline.record_step(at(36), "orders-2", "is healthy again");
+    timeline.record_fault(at(36), "orders-2", "");
+    timeline.record_snapshot(&snapshot(48, healthy()));
+    timeline.record_step(at(51), "orders-4", "is drained");
+    timeline.record_drain(at(51), "orders-4");
+    assert!(timeline.is_draining());
+    timeline.record_drained(at(53), "orders-4");
+    timeline.record_drained(at(54), "orders-4");
+    assert!(!timeline.is_draining());
+    timeline
 }
 
 #[test]
-fn the_screen() {
+fn screen_shows_services_budgets_and_timeline() {
     let upstreams = vec![
         upstream(1, 1.0),
-        sick(0.13, 2),
+        faulty_upstream(0.13, 2),
         UpstreamSnapshot {
             suspicion: 0.0,
             ..upstream(3, 0.4)
@@ -112,18 +125,18 @@
             ..upstream(4, 0.0)
         },
     ];
-    insta::assert_snapshot!(render_screen(&snapshot(49, upstreams), &told_chronicle()));
+    insta::assert_snapshot!(render_screen(&snapshot(49, upstreams), &sample_timeline()));
 }
 
 #[test]
-fn the_status_line_names_upstreams_with_less_work() {
+fn status_line_lists_upstreams_with_reduced_work() {
     let in_phase = |number, phase: &str| UpstreamSnapshot {
         phase: phase.to_owned(),
         ..upstream(number, 0.0)
     };
     let upstreams = vec![
         upstream(1, 1.0),
-        sick(0.13, 2),
+        faulty_upstream(0.13, 2),
         in_phase(3, "leaving"),
         in_phase(4, ""),
     ];
@@ -134,27 +147,27 @@
 }
 
 #[test]
-fn the_chronicle_tells_each_change_once() {
-    let chronicle = told_chronicle();
-    let lines: Vec<String> = chronicle.lines.iter().map(render_line).collect();
+fn timeline_reports_each_transition_once() {
+    let timeline = sample_timeline();
+    let lines: Vec<String> = timeline.entries.iter().map(render_entry).collect();
     insta::assert_snapshot!(lines.join("\n"));
-    assert_eq!(chronicle.false_ejections, 0);
+    assert_eq!(timeline.false_ejections, 0);
 }
 
 #[test]
-fn an_ejection_without_a_fault_is_a_false_one() {
-    let mut chronicle = FleetChronicle::default();
+fn ejection_without_a_fault_counts_as_false() {
+    let mut timeline = FleetTimeline::default();
     let ejected = UpstreamSnapshot {
         ejected: 4,
         ..upstream(1, 0.0)
     };
-    chronicle.note_fleet(&snapshot(5, vec![ejected.clone()]));
-    chronicle.note_fleet(&snapshot(6, vec![ejected]));
-    assert_eq!(chronicle.false_ejections, 1);
+    timeline.record_snapshot(&snapshot(5, vec![ejected.clone()]));
+    timeline.record_snapshot(&snapshot(6, vec![ejected]));
+    assert_eq!(timeline.false_ejections, 1);
 }
 
 #[test]
-fn the_closing_report() {
+fn closing_report_lists_calls_faults_and_drains() {
     let counts = CallCounts {
         ended: 9000,
         answered: 8994,
@@ -168,43 +181,43 @@
         audit: KeyAudit {
             keys: 300,
             resends: 70,
-            once: 300,
+            ran_once: 300,
             ..KeyAudit::default()
         },
-        chronicle: told_chronicle(),
+        timeline: sample_timeline(),
         burns: snapshot(60, Vec::new()).burns,
         ..ClosingReport::default()
     };
     insta::assert_snapshot!(report.render());
-    assert!(report.broken_promises().is_empty());
+    assert!(report.broken_guarantees().is_empty());
 }
 
 #[test]
-fn broken_promises_are_named() {
+fn broken_guarantees_are_listed() {
     let counts = CallCounts {
         ended: 10,
         answered: 9,
-        foreign: 1,
+        mismatched: 1,
         ..CallCounts::default()
     };
     let report = ClosingReport {
         calls: BTreeMap::from([("orders", counts)]),
         audit: KeyAudit {
             keys: 5,
-            once: 3,
-            doubled: 1,
+            ran_once: 3,
+            duplicated: 1,
             false_not_run: 2,
             false_ran: 1,
             ..KeyAudit::default()
         },
         ..ClosingReport::default()
     };
-    insta::assert_snapshot!(report.broken_promises().join("\n"));
+    insta::assert_snapshot!(report.broken_guarantees().join("\n"));
 }
 
 #[test]
-fn the_story_is_in_order_and_heals_what_it_breaks() {
-    let steps = story_steps();
+fn scenario_steps_are_in_order() {
+    let steps = scenario_steps();
     assert!(steps.windows(2).all(|pair| pair[0].at <= pair[1].at));
     assert!(steps.iter().all(|step| (0.0..1.0).contains(&step.at)));
 }
--- a/crates/ops/tests/read.rs
+++ b/crates/ops/tests/read.rs
@@ -1,4 +1,4 @@
-//! Reading: contracts, fleet, services, one daemon, burn.
+//! Commands that read contracts, the fleet, services, one daemon and burn rates.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use sycamorelink_ops::fleet::{drain_instance, show_fleet, show_instance, show_service};
 
 #[test]
-fn a_contract_with_its_version() {
+fn contract_is_printed_with_its_version() {
     let daemon = FakeDaemon::start(vec![reply(200, &samples::harbour_mesh_json()).version(7)]);
     let text = run(&[daemon.address()], |context| {
         show_contract(context, "harbour-mesh")
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn customers_page_by_page() {
+fn customers_are_listed_across_pages() {
     let first = r#"{"contracts": [{"customer": "a b", "version": 3, "team": "t"}], "next": "a b"}"#;
     let second = r#"{"contracts": [{"customer": "c", "version": 9}], "next": null}"#;
     let daemon = FakeDaemon::start(vec![reply(200, first), reply(200, second)]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_history_of_a_contract() {
+fn contract_history_is_printed_as_a_table() {
     let history = r#"{"customer": "brannock", "entries": [
         {"change": "c3", "base": 4, "action": "put", "outcome": "rejected", "operator": "bo",
          "reason": "version 6 is in force", "at": "2026-01-09T10:00:00Z"},
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_fleet() {
+fn fleet_members_are_printed_as_a_table() {
     let fleet = r#"{"members": [
         {"instance": "i-1", "domain": "d1", "state": "alive", "reachable": true,
          "contract_head": 12, "upstreams": [{"service": "orders", "phase": "ready"}]},
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_service_with_its_floor() {
+fn service_is_printed_with_its_floor() {
     let service = r#"{"service": "orders",
         "floor": {"known_slots": 15, "floor_slots": 10, "floor_count": 2, "serving_slots": 10,
                   "serving_count": 2, "ejected_count": 1},
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn one_daemon() {
+fn instance_status_is_printed() {
     let status = r#"{"instance": "i-1", "node": "0a", "incarnation": "1", "domain": "d1",
         "region": "r1", "state": "ready", "uptime": "61s", "in_flight": 3,
         "log": {"reachable": false, "offset": 12}, "contracts": {"head": 12, "customers": 2},
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn a_drain() {
+fn drain_reports_state_and_requests_in_flight() {
     let daemon = FakeDaemon::start(vec![reply(202, r#"{"state": "draining", "in_flight": 4}"#)]);
     let text = run(&[daemon.address()], drain_instance);
     insta::assert_snapshot!(format!("{text}=== calls\n{}", daemon.calls()));
 }
 
 #[test]
-fn a_reply_that_is_not_what_the_api_promises() {
+fn malformed_reply_reports_the_path() {
     let daemon = FakeDaemon::start(vec![reply(200, r#"{"members": [{"instance": 7}]}"#)]);
     let text = run(&[daemon.address()], |context| {
         show_fleet(context, OutputFormat::Text)
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_unknown_service() {
+fn unknown_service_exits_with_not_found() {
     let problem = r#"{"title": "no such service", "status": 404, "code": "not-found",
         "detail": "did you mean `orders`?"}"#;
     let daemon = FakeDaemon::start(vec![reply(404, problem)]);
@@ -121,10 +121,10 @@
     insta::assert_snapshot!(text);
 }
 
-/// Two daemons report, one does not answer. The sum says so, and a daemon reached over two
-/// addresses is counted once.
+/// Two daemons report and one does not answer. The output mentions the missing daemon, and a daemon
+/// configured under two addresses is counted once.
 #[test]
-fn burn_is_summed_over_the_daemons_that_answer() {
+fn burn_is_summed_over_answering_daemons() {
     let source = r#"{"instance": {"node": "0a", "incarnation": "1"}, "covers": "1h"}"#;
     let other = source.replace("0a", "0b");
     let report = |source: &str| {
@@ -138,9 +138,9 @@
     insta::assert_snapshot!(text);
 }
 
-/// The plots of the page need points, which make a report long; the table does without.
+/// Data points make a report many times as long and only the plots of the HTML page need them.
 #[test]
-fn only_the_page_asks_for_points() {
+fn only_the_html_page_requests_points() {
     let report = r#"{"at": 1767225600, "sources": [], "rows": []}"#;
     let directory = tempfile::tempdir().expect("a directory");
     let page = BurnOutput::Page(directory.path().join("burn.html"));
--- a/crates/ops/tests/settings.rs
+++ b/crates/ops/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon: what is taken, what is found wrong and where.
+//! Settings of a daemon: defaults, validation findings and their paths.
 
 use serde_json::Value;
 use sycamorelink_core::SpacedForm;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_short_file_gets_the_defaults() {
+fn minimal_settings_get_the_defaults() {
     let settings = DaemonSettings::from_json(VALID, "node.json").expect("valid settings");
     let mut written = serde_json::to_value(&settings).expect("JSON");
     written["fleet_keys"]["current"]["secret"] = "…".into();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn every_finding_is_reported_at_once_with_its_place() {
+fn all_findings_are_reported_with_their_paths() {
     let text = r#"{
       "instance": "", "domian": "d1", "region": 7,
       "listen": {"callers": "localhost:80", "peers": "0.0.0.0:9000", "opperators": "127.0.0.1:1"},
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn sections_are_checked_as_their_packages_read_them() {
+fn sections_are_validated_by_their_packages() {
     let text = VALID.replace(
         "\"body_limit\"",
         r#""roster": {"helpers": "3", "probe_interval": "0s", "fan_out": 2},
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn text_that_is_not_json_is_one_finding() {
+fn invalid_json_is_a_single_finding() {
     insta::assert_snapshot!(
         findings("{\"instance\": }"),
         @"node.json: not JSON: expected value at line 1 column 14"
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn the_secret_never_shows_in_debug_output() {
+fn debug_output_omits_the_secret() {
     let settings = DaemonSettings::from_json(VALID, "node.json").expect("valid settings");
     assert!(!format!("{settings:?}").contains("0123456789abcdef"));
 }
 
 #[test]
-fn values_carry_their_unit() {
+fn values_require_a_unit() {
     let cases = [
         "250ms",
         "2 s",
@@ -109,24 +109,24 @@
     }
 }
 
-/// Every key below a place with its default, as rows of the page begin.
-fn rows_below(place: &str, value: &Value) -> Vec<String> {
+/// Returns the start of the documentation row of every key below a path, with its default.
+fn expected_rows(path: &str, value: &Value) -> Vec<String> {
     let Some(keys) = value.as_object() else {
-        return vec![format!("| `{place}` | `{value}` |")];
+        return vec![format!("| `{path}` | `{value}` |")];
     };
     keys.iter()
-        .flat_map(|(key, value)| rows_below(&format!("{place}.{key}"), value))
+        .flat_map(|(key, value)| expected_rows(&format!("{path}.{key}"), value))
         .collect()
 }
 
 #[test]
-fn the_page_lists_every_key_with_its_default() {
+fn documentation_lists_every_key_with_its_default() {
     let page = include_str!("../../../docs/settings.md");
     let sections = section_defaults();
     let sections = sections.as_object().expect("an object");
     let rows = sections
         .iter()
-        .flat_map(|(name, value)| rows_below(name, value));
+        .flat_map(|(name, value)| expected_rows(name, value));
     let missing: Vec<String> = rows.filter(|row| !page.contains(row)).collect();
     assert!(
         missing.is_empty(),
--- a/crates/ops/tests/support/mod.rs
+++ b/crates/ops/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon that answers from a script, and a context whose output can be read.
+//! Fake daemon with scripted replies, and a runner that captures the output of operations.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Builder;
 
-/// One scripted answer.
+/// One scripted reply.
 #[derive(Clone, Debug)]
 pub struct ScriptedReply {
     status: u16,
@@ -27,7 +27,7 @@
     body: String,
 }
 
-/// A scripted answer with a JSON body.
+/// Returns a scripted reply with a JSON body.
 pub fn reply(status: u16, body: &str) -> ScriptedReply {
     ScriptedReply {
         status,
@@ -37,7 +37,7 @@
 }
 
 impl ScriptedReply {
-    /// Adds an `ETag`.
+    /// Sets the version in the `ETag` header.
     pub fn version(mut self, version: u64) -> Self {
         self.version = Some(version);
         self
@@ -50,7 +50,7 @@
     calls: Vec<String>,
 }
 
-/// A daemon that answers from a script, the last answer again and again.
+/// Daemon that sends scripted replies in order and repeats the last one.
 pub struct FakeDaemon {
     address: SocketAddr,
     script: Arc<Mutex<DaemonScript>>,
@@ -65,8 +65,8 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a socket option");
         let address = listener.local_addr().expect("an address");
-        let served = Arc::clone(&script);
-        thread::spawn(move || serve(listener, &served));
+        let shared = Arc::clone(&script);
+        thread::spawn(move || serve(listener, &shared));
         Self { address, script }
     }
 
@@ -74,10 +74,10 @@
         self.address
     }
 
-    /// The calls received, each as method, path and the headers that matter. Ids are replaced.
+    /// Returns the received calls, each as method, path and relevant headers, with ids redacted.
     pub fn calls(&self) -> String {
         let script = self.script.lock().unwrap_or_else(PoisonError::into_inner);
-        hide_ids(&script.calls.join("\n"))
+        redact_ids(&script.calls.join("\n"))
     }
 }
 
@@ -90,13 +90,13 @@
         let listener = TcpListener::from_std(listener).expect("a listener");
         while let Ok((stream, _)) = listener.accept().await {
             let script = Arc::clone(script);
-            let service = service_fn(move |request| answer(Arc::clone(&script), request));
+            let service = service_fn(move |request| handle_request(Arc::clone(&script), request));
             tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
         }
     });
 }
 
-async fn answer(
+async fn handle_request(
     script: Arc<Mutex<DaemonScript>>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -141,11 +141,11 @@
     next.expect("a scripted reply")
 }
 
-/// Text written by an operation.
+/// Output captured from an operation.
 #[derive(Clone, Default)]
-pub struct CapturedText(Arc<Mutex<Vec<u8>>>);
+pub struct CapturedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for CapturedText {
+impl Write for CapturedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut text = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         text.extend_from_slice(bytes);
@@ -157,15 +157,15 @@
     }
 }
 
-impl CapturedText {
+impl CapturedOutput {
     fn text(&self) -> String {
         let text = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         String::from_utf8_lossy(&text).into_owned()
     }
 }
 
-/// Runs an operation against daemons and returns what it printed, with the exit code. Ids and
-/// ports are replaced.
+/// Runs an operation against daemons and returns its exit code and output, with ids and addresses
+/// redacted.
 pub fn run<F>(daemons: &[SocketAddr], operation: F) -> String
 where
     F: FnOnce(&mut ShellContext) -> anyhow::Result<()>,
@@ -175,7 +175,7 @@
         token: Some(Arc::from("secret")),
         ..ToolSettings::default()
     };
-    let (out, err) = (CapturedText::default(), CapturedText::default());
+    let (out, err) = (CapturedOutput::default(), CapturedOutput::default());
     let mut context = ShellContext::builder(settings)
         .out(Box::new(out.clone()))
         .err(Box::new(err.clone()))
@@ -193,18 +193,18 @@
         out.text(),
         err.text()
     );
-    hide_changing(&text, daemons)
+    redact_output(&text, daemons)
 }
 
-fn hide_changing(text: &str, daemons: &[SocketAddr]) -> String {
-    let mut text = hide_ids(text);
+fn redact_output(text: &str, daemons: &[SocketAddr]) -> String {
+    let mut text = redact_ids(text);
     for (index, daemon) in daemons.iter().enumerate() {
         text = text.replace(&daemon.to_string(), &format!("DAEMON-{index}"));
     }
     text
 }
 
-fn hide_ids(text: &str) -> String {
+fn redact_ids(text: &str) -> String {
     let words = text.split(|letter: char| !letter.is_ascii_hexdigit() && letter != '-');
     let ids: Vec<&str> = words
         .filter(|word| word.len() == 36 && word.matches('-').count() == 4)
