--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,26 +1,27 @@
-//! The clock as an interface, so that decisions never read the machine's time by themselves.
+//! The clock interface. Decision logic takes the time from a [`NodeClock`], never from the system.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Source of time for one node.
+/// Time source of one node.
 pub trait NodeClock: Send + Sync {
-    /// Monotonic time since the node started.
+    /// Returns the monotonic time since the node started.
     fn now(&self) -> Duration;
 
-    /// Wall-clock time since the Unix epoch. It may jump and differs between instances, so no
-    /// safety rule may depend on it.
+    /// Returns the wall-clock time since the Unix epoch.
+    ///
+    /// Wall clocks can jump and differ between instances, so no safety rule may depend on them.
     fn wall(&self) -> Duration;
 }
 
-/// The machine's own clock.
+/// Clock of the operating system.
 #[derive(Debug)]
 pub struct SystemClock {
     started: Instant,
 }
 
 impl SystemClock {
-    /// Starts a clock whose monotonic zero is now.
+    /// Creates a clock whose monotonic time starts at zero now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -41,7 +42,7 @@
     }
 }
 
-/// A clock that moves only when told to, for tests and golden sessions.
+/// Clock that advances only through [`ManualClock::advance`], for tests and golden sessions.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     now: Mutex<Duration>,
@@ -49,7 +50,7 @@
 }
 
 impl ManualClock {
-    /// Creates a clock at monotonic zero whose wall time starts at `wall_offset`.
+    /// Creates a clock with a monotonic time of zero and a wall-clock time of `wall_offset`.
     #[must_use]
     pub fn new(wall_offset: Duration) -> Self {
         Self {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Moves the clock forward.
+    /// Advances both the monotonic and the wall-clock time by `step`.
     pub fn advance(&self, step: Duration) {
         if let Ok(mut now) = self.now.lock() {
             *now += step;
--- a/crates/core/src/finding.rs
+++ b/crates/core/src/finding.rs
@@ -1,15 +1,16 @@
-//! Findings about settings and contracts, collected with their place and reported together.
+//! Validation findings for settings and contracts. A check collects all findings, each with
+//! the path of the invalid value, and reports them together.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing wrong with a document.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingFinding {
     /// JSON path of the value, such as `services[0].floor`.
     pub place: String,
-    /// What is wrong and what would be right.
+    /// Description of the error and of the allowed values.
     pub message: String,
 }
 
@@ -19,7 +20,7 @@
     }
 }
 
-/// All findings of one check. Empty means the document is valid.
+/// All findings of one check; empty when the document is valid.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub struct FindingList(pub Vec<SettingFinding>);
 
@@ -32,18 +33,18 @@
         });
     }
 
-    /// Adds a finding unless the condition holds.
+    /// Adds a finding if `condition` is false.
     pub fn expect(&mut self, condition: bool, place: &str, message: &str) {
         if !condition {
             self.add(place, message);
         }
     }
 
-    /// Turns the list into a result: an error when anything was found.
+    /// Converts the list into a result.
     ///
     /// # Errors
     ///
-    /// The list itself, when it is not empty.
+    /// Returns the list itself if it is not empty.
     pub fn into_result(self) -> Result<(), Self> {
         if self.0.is_empty() { Ok(()) } else { Err(self) }
     }
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,10 +1,12 @@
-//! Stable hashes: equal on every node, for every build.
+//! Hashes with the same value on every node and in every build.
 
 use std::hash::Hasher;
 
 use siphasher::sip::SipHasher13;
 
-/// Hashes the parts, each with its length so that `("ab", "c")` and `("a", "bc")` differ.
+/// Hashes a sequence of byte strings.
+///
+/// The length of each part is hashed as well, so that `("ab", "c")` and `("a", "bc")` differ.
 #[must_use]
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new();
@@ -15,7 +17,7 @@
     hasher.finish()
 }
 
-/// Hashes a name.
+/// Returns the [`stable_hash`] of a name as a single part.
 #[must_use]
 pub fn name_hash(name: &str) -> u64 {
     stable_hash(&[name.as_bytes()])
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Ids and names.
+//! Names of customers, services and failure domains, and ids of nodes, upstreams and requests.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -20,13 +20,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name.
+            /// Copies `name` without checking it.
             #[must_use]
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -66,7 +66,7 @@
     DomainName
 }
 
-/// Text that is not a hexadecimal id.
+/// Error for text that is not a hexadecimal id of the expected size.
 #[derive(Debug, thiserror::Error)]
 #[error("not a hexadecimal id: {0:?}")]
 pub struct IdError(String);
@@ -125,33 +125,37 @@
 }
 
 hex_id! {
-    /// Id of a node: the stable hash of its instance name.
+    /// Id of a node, the [`name_hash`] of its instance name.
     NodeId, u64, "{:016x}"
 }
 hex_id! {
-    /// One life of a node. A restarted node has a greater one; it comes from the wall clock in
-    /// milliseconds at start, raised above any earlier one that peers remember.
+    /// Incarnation number of a node, greater after each restart.
+    ///
+    /// A node takes it from the wall clock in milliseconds at its start, and raises it above every
+    /// earlier incarnation of the node that its peers remember.
     NodeIncarnation, u64, "{:012x}"
 }
 hex_id! {
-    /// Id of one request as received from a caller.
+    /// Id of one request, assigned when the request arrives from a caller.
     RequestId, u128, "{:032x}"
 }
 
 impl NodeId {
-    /// The id of the instance with this name.
+    /// Returns the id of the node on the instance named `name`.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(name_hash(name))
     }
 }
 
-/// One life of one node. What a node promised in an earlier life is lost with it.
+/// One incarnation of one node.
+///
+/// A restart loses everything that an earlier incarnation promised, such as leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId {
-    /// The node.
+    /// Id of the node, the same across restarts.
     pub node: NodeId,
-    /// Its life.
+    /// Incarnation of the node, greater after each restart.
     pub incarnation: NodeIncarnation,
 }
 
@@ -161,12 +165,12 @@
     }
 }
 
-/// One upstream: a backend server fronted by a node. A node may front several.
+/// Id of an upstream, a backend server behind a node. A node can have several upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UpstreamId {
-    /// The node beside it.
+    /// Node that forwards requests to the backend server.
     pub node: NodeId,
-    /// Its number on that node.
+    /// Number of the backend server on that node.
     pub slot: u16,
 }
 
@@ -176,12 +180,12 @@
     }
 }
 
-/// One try of one request at one upstream.
+/// Id of one attempt to run a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Counts from zero.
+    /// Number of the attempt within the request, counted from zero.
     pub number: u16,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Types that every other package shares: ids, units, the clock, run states and findings.
+//! Types that the other packages share: ids, units, the clock, run states and validation findings.
 //!
-//! Nothing here does I/O. The packages with decision logic take time as a [`std::time::Duration`]
-//! since the node started (see [`clock::NodeClock`]) and randomness as a seed, so that the same
-//! code runs in the daemon, in golden sessions and under a bench.
+//! This package does no I/O. The packages with decision logic take the time as a
+//! [`std::time::Duration`] since the node started (see [`clock::NodeClock`]) and randomness as a
+//! seed, so that the same code runs in the daemon, in golden sessions and in benchmarks.
 
 pub mod clock;
 pub mod finding;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request, and the final answer when it is refused.
+//! Outcome of a request: whether a backend server ran it, and the refusal sent to the caller.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,11 +9,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// No backend server started it and none will under this send. Said only where certain.
+    /// No backend server started the request, and none will start it later on behalf of this send.
+    /// Reported only when this is certain.
     NotRun,
-    /// A backend server ran it to its end.
+    /// A backend server ran the request to completion.
     Ran,
-    /// It may have run. It is never run again.
+    /// The request may have run, so it is never sent again.
     Unknown,
 }
 
@@ -29,7 +30,7 @@
 
 macro_rules! refusal_codes {
     ($($(#[$doc:meta])* $name:ident = ($text:literal, $status:literal),)+) => {
-        /// Stable code of a refusal, as callers see it in `application/problem+json`.
+        /// Stable code of a refusal, sent to callers in `application/problem+json`.
         #[derive(
             Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -39,10 +40,10 @@
         }
 
         impl RefusalCode {
-            /// Every code, in order.
+            /// Every code, in declaration order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The code as text.
+            /// Returns the code as sent to callers, in kebab case.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self {
@@ -50,7 +51,7 @@
                 }
             }
 
-            /// The HTTP status that goes with it.
+            /// Returns the HTTP status of a response with this code.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self {
@@ -62,7 +63,7 @@
 }
 
 refusal_codes! {
-    /// The request could not be parsed or breaks a rule of HTTP.
+    /// The request could not be parsed or violates HTTP.
     BadRequest = ("bad-request", 400),
     /// No customer has this token.
     UnknownCustomer = ("unknown-customer", 401),
@@ -70,43 +71,43 @@
     UnknownRoute = ("unknown-route", 404),
     /// The route is non-idempotent and the request has no `Idempotency-Key`.
     KeyRequired = ("key-required", 400),
-    /// The key has no time in it (`UUIDv7`) and the contract takes only such keys.
+    /// The contract accepts only keys that contain a timestamp (`UUIDv7`), and this key has none.
     KeyForm = ("key-form", 400),
-    /// The key was used before with another body or route.
+    /// The key was used before with a different body or route.
     KeyReused = ("key-reused", 422),
-    /// The key is older than what is remembered.
+    /// The key is older than the retained key records.
     KeyExpired = ("key-expired", 409),
-    /// Another send of this key is running.
+    /// Another request with this key is running.
     KeyBusy = ("key-busy", 409),
-    /// The guards of the key could not all be asked.
+    /// Not all guards of the key could be reached.
     GuardsUnreachable = ("guards-unreachable", 503),
     /// The body is larger than the contract allows.
     BodyTooLarge = ("body-too-large", 413),
-    /// The headers are larger than the limit.
+    /// The headers are larger than the daemon allows.
     HeadersTooLarge = ("headers-too-large", 431),
-    /// The customer's rate or concurrency is used up.
+    /// The customer reached its rate limit or its concurrency limit.
     LimitExceeded = ("limit-exceeded", 429),
-    /// No upstream has a slot before the deadline.
+    /// No upstream has a free slot before the deadline.
     Overloaded = ("overloaded", 503),
-    /// The service has no upstream that may be used.
+    /// The service has no usable upstream.
     NoUpstream = ("no-upstream", 503),
-    /// The upstream may be failing part of its requests, and this one is not risked on it.
+    /// The upstream is suspected of failing part of its requests, so this one is not sent to it.
     UpstreamSuspect = ("upstream-suspect", 503),
-    /// The request was sent before, and the service may not be sent more repeats now.
+    /// The request was sent before, and the retry budget of the service is used up.
     RepeatsSpent = ("repeats-spent", 503),
-    /// The daemon is leaving.
+    /// The daemon is draining before it stops.
     Draining = ("draining", 503),
     /// The daemon has no contracts yet.
     NotReady = ("not-ready", 503),
-    /// The request crashed backend servers before and is stopped.
+    /// The request crashed backend servers before and is blocked.
     CrashRequest = ("crash-request", 502),
     /// The upstream failed or its reply was cut short.
     UpstreamFailed = ("upstream-failed", 502),
-    /// The reply did not belong to this request or was malformed.
+    /// The reply belonged to another request or was malformed.
     ReplyRejected = ("reply-rejected", 502),
     /// The deadline passed.
     DeadlineExceeded = ("deadline-exceeded", 504),
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone = ("caller-gone", 499),
 }
 
@@ -116,19 +117,19 @@
     }
 }
 
-/// The final answer to a request that gets no reply from a backend server.
+/// Final response to a request that gets no reply from a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub code: RefusalCode,
-    /// Whether it ran.
+    /// Whether a backend server ran the request.
     pub run: RunState,
-    /// When a later try may help.
+    /// Time after which the caller should retry; `None` when there is no estimate.
     pub retry_after: Option<Duration>,
 }
 
 impl RequestRefusal {
-    /// A refusal of a request that certainly did not run.
+    /// Returns a refusal for a request that certainly did not run.
     #[must_use]
     pub const fn not_run(code: RefusalCode) -> Self {
         Self {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// A final answer for a request that may have run.
+    /// Returns a refusal for a request that may have run.
     #[must_use]
     pub const fn unknown(code: RefusalCode) -> Self {
         Self {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The same with a time to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub const fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
--- a/crates/core/src/suggest.rs
+++ b/crates/core/src/suggest.rs
@@ -1,9 +1,10 @@
-//! "Did you mean" hints.
+//! "Did you mean" suggestions for unknown names.
 
-/// Greatest edit distance at which a name is still offered.
-const HINT_DISTANCE: usize = 3;
+/// Greatest edit distance, in characters, at which a name is suggested.
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// The known name nearest to an unknown one, when one is near enough to be a slip.
+/// Returns the known name with the smallest edit distance to `unknown`, or `None` when every name
+/// differs too much to be a likely typing error.
 #[must_use]
 pub fn nearest_name<'a, I>(unknown: &str, known: I) -> Option<&'a str>
 where
@@ -12,7 +13,7 @@
     known
         .into_iter()
         .map(|name| (strsim::damerau_levenshtein(unknown, name), name))
-        .filter(|(distance, _)| *distance <= HINT_DISTANCE)
+        .filter(|(distance, _)| *distance <= MAX_EDIT_DISTANCE)
         .min()
         .map(|(_, name)| name)
 }
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -5,12 +5,14 @@
 //! "64KB"  ── parse_size ──────▶ bytes    ── format_size ──────▶ "64KB"
 //! ```
 //!
-//! The adapters go with `serde_with` and `schemars`:
+//! The serialization adapters work with `serde_with` and `schemars`:
 //! `#[serde_as(as = "DurationText")] #[schemars(with = "DurationText")]`.
-//! One unit per value and whole numbers only, so that a value reads back as it was written.
 //!
-//! Contracts take the [`ExactForm`]: what a reader of the log accepts must not change. Settings
-//! and arguments, which people type, take the [`SpacedForm`] too: `" 250 ms"`.
+//! A value is a whole number with a single unit, so that formatting and parsing round-trip.
+//!
+//! Contracts use the [`ExactForm`], since the set of texts that readers of the log accept must
+//! not change. Settings and command-line arguments, which people type, use the [`SpacedForm`],
+//! which also accepts `" 250 ms"`.
 
 use std::borrow::Cow;
 use std::marker::PhantomData;
@@ -20,20 +22,21 @@
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 use serde_with::{DeserializeAs, SerializeAs};
 
-/// JSON schema format of a duration.
+/// Value of `format` in the JSON schema of a duration.
 pub const DURATION_FORMAT: &str = "duration-text";
-/// JSON schema format of a size.
+/// Value of `format` in the JSON schema of a size.
 pub const SIZE_FORMAT: &str = "size-text";
 
-/// What is measured, and the units there are.
+/// Units of one quantity.
 struct UnitTable {
+    /// Name of the quantity in error messages.
     kind: &'static str,
     example: &'static str,
-    /// Names with their lengths, greatest first.
+    /// Name of each unit and its factor in the smallest unit, greatest first.
     units: &'static [(&'static str, u64)],
 }
 
-/// Units of a duration in nanoseconds.
+/// Units of a duration, in nanoseconds.
 const DURATION_TABLE: UnitTable = UnitTable {
     kind: "time",
     example: "250ms",
@@ -48,66 +51,67 @@
     ],
 };
 
-/// Units of a size in bytes. One KB is 1,024 bytes.
+/// Units of a size, in bytes. One KB is 1,024 bytes.
 const SIZE_TABLE: UnitTable = UnitTable {
     kind: "size",
     example: "64KB",
     units: &[("GB", 1 << 30), ("MB", 1 << 20), ("KB", 1 << 10), ("B", 1)],
 };
 
-/// Text that is no value with a unit.
+/// Error for text that is not a value with a unit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnitError {
     /// The part before the unit is not a whole number.
     #[error("{text:?} is not a whole number with a unit, as in {example:?}")]
-    NoNumber {
-        /// What was read.
+    InvalidNumber {
+        /// The rejected text.
         text: String,
-        /// A value in the right form.
+        /// A valid value.
         example: &'static str,
     },
-    /// The unit is missing or not known.
+    /// The unit is missing or unknown.
     #[error("{text:?} has no unit of {kind}; write one of {units}, as in {example:?}")]
     UnknownUnit {
-        /// What was read.
+        /// The rejected text.
         text: String,
-        /// What is measured.
+        /// The quantity, `time` or `size`.
         kind: &'static str,
-        /// The units there are.
+        /// Names of the known units, separated by commas.
         units: String,
-        /// A value in the right form.
+        /// A valid value.
         example: &'static str,
     },
-    /// The value does not fit.
+    /// The value exceeds 64 bits in the smallest unit.
     #[error("{text:?} is too large")]
     TooLarge {
-        /// What was read.
+        /// The rejected text.
         text: String,
     },
 }
 
-/// How strictly a text is read.
-pub trait TextForm {
-    /// The digits and the unit, as far as the form lets them be written differently.
+/// Syntax accepted for a value with a unit.
+pub trait UnitSyntax {
+    /// Splits a text into digits and unit, and removes the extra characters that the syntax allows.
     fn split(text: &str) -> (&str, &str);
 }
 
-/// Digits and unit with nothing around or between them.
+/// Syntax of digits directly followed by a unit, without any other characters.
 #[derive(Clone, Copy, Debug)]
 pub struct ExactForm;
 
-impl TextForm for ExactForm {
+impl UnitSyntax for ExactForm {
     fn split(text: &str) -> (&str, &str) {
         let unit = text.find(|letter: char| letter.is_ascii_alphabetic());
         text.split_at(unit.unwrap_or(text.len()))
     }
 }
 
-/// As [`ExactForm`], with blanks around the digits and a plus sign where somebody wrote them.
+/// Syntax like [`ExactForm`] that also allows blanks around the digits and the unit, and a
+/// leading plus sign.
 #[derive(Clone, Copy, Debug)]
 pub struct SpacedForm;
 
-impl TextForm for SpacedForm {
+impl UnitSyntax for SpacedForm {
     fn split(text: &str) -> (&str, &str) {
         let (digits, unit) = ExactForm::split(text.trim());
         let digits = digits.trim_end();
@@ -115,32 +119,33 @@
     }
 }
 
-/// Reads a duration such as `"250ms"`.
+/// Parses a duration such as `"250ms"`.
 ///
 /// # Errors
 ///
-/// When the text is not a whole number followed by one of `ns`, `us`, `ms`, `s`, `m`, `h`, `d`,
-/// or more than 584 years.
+/// Fails if the text is not a whole number followed by one of `ns`, `us`, `ms`, `s`, `m`, `h`, `d`,
+/// or if the duration is longer than 584 years.
 pub fn parse_duration<F>(text: &str) -> Result<Duration, UnitError>
 where
-    F: TextForm,
+    F: UnitSyntax,
 {
     DURATION_TABLE.parse::<F>(text).map(Duration::from_nanos)
 }
 
-/// Reads a size in bytes such as `"64KB"`.
+/// Parses a size such as `"64KB"` and returns it in bytes.
 ///
 /// # Errors
 ///
-/// When the text is not a whole number followed by one of `B`, `KB`, `MB`, `GB`.
+/// Fails if the text is not a whole number followed by one of `B`, `KB`, `MB`, `GB`, or if the size
+/// exceeds 64 bits.
 pub fn parse_size<F>(text: &str) -> Result<u64, UnitError>
 where
-    F: TextForm,
+    F: UnitSyntax,
 {
     SIZE_TABLE.parse::<F>(text)
 }
 
-/// Writes a duration with the greatest unit that divides it.
+/// Formats a duration with the greatest unit that divides it, such as `"250ms"`.
 #[must_use]
 pub fn format_duration(duration: Duration) -> String {
     let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
@@ -150,7 +155,7 @@
     DURATION_TABLE.format(nanos)
 }
 
-/// Writes a size with the greatest unit that divides it.
+/// Formats a size in bytes with the greatest unit that divides it, such as `"64KB"`.
 #[must_use]
 pub fn format_size(size: u64) -> String {
     if size == 0 {
@@ -162,23 +167,23 @@
 impl UnitTable {
     fn parse<F>(&self, text: &str) -> Result<u64, UnitError>
     where
-        F: TextForm,
+        F: UnitSyntax,
     {
         let (digits, unit) = F::split(text);
         if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-            return Err(self.no_number(text));
+            return Err(self.invalid_number(text));
         }
         let mut units = self.units.iter();
-        let found = units.find(|(name, _)| *name == unit);
-        let (_, length) = found.ok_or_else(|| self.unknown_unit(text))?;
+        let entry = units.find(|(name, _)| *name == unit);
+        let (_, factor) = entry.ok_or_else(|| self.unknown_unit(text))?;
         let number: Option<u64> = digits.parse().ok();
         number
-            .and_then(|number| number.checked_mul(*length))
+            .and_then(|number| number.checked_mul(*factor))
             .ok_or_else(|| too_large(text))
     }
 
-    fn no_number(&self, text: &str) -> UnitError {
-        UnitError::NoNumber {
+    fn invalid_number(&self, text: &str) -> UnitError {
+        UnitError::InvalidNumber {
             text: text.to_owned(),
             example: self.example,
         }
@@ -197,10 +202,10 @@
     fn format(&self, value: u64) -> String {
         let mut units = self.units.iter();
         units
-            .find(|(_, length)| value.is_multiple_of(*length))
+            .find(|(_, factor)| value.is_multiple_of(*factor))
             .map_or_else(
                 || value.to_string(),
-                |(name, length)| format!("{}{name}", value / length),
+                |(name, factor)| format!("{}{name}", value / factor),
             )
     }
 }
@@ -211,7 +216,7 @@
     }
 }
 
-/// Adapter for a [`Duration`] written as `"250ms"`.
+/// Serialization adapter for a [`Duration`] written as `"250ms"`.
 #[derive(Clone, Copy, Debug)]
 pub struct DurationText<F = ExactForm>(PhantomData<F>);
 
@@ -226,7 +231,7 @@
 
 impl<'de, F> DeserializeAs<'de, Duration> for DurationText<F>
 where
-    F: TextForm,
+    F: UnitSyntax,
 {
     fn deserialize_as<D>(deserializer: D) -> Result<Duration, D::Error>
     where
@@ -251,7 +256,7 @@
     }
 }
 
-/// Adapter for a size in bytes written as `"64KB"`.
+/// Serialization adapter for a size in bytes written as `"64KB"`.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeText<F = ExactForm>(PhantomData<F>);
 
@@ -266,7 +271,7 @@
 
 impl<'de, F> DeserializeAs<'de, u64> for SizeText<F>
 where
-    F: TextForm,
+    F: UnitSyntax,
 {
     fn deserialize_as<D>(deserializer: D) -> Result<u64, D::Error>
     where
@@ -288,7 +293,7 @@
 
 impl<'de, F> DeserializeAs<'de, usize> for SizeText<F>
 where
-    F: TextForm,
+    F: UnitSyntax,
 {
     fn deserialize_as<D>(deserializer: D) -> Result<usize, D::Error>
     where
--- a/crates/core/tests/units.rs
+++ b/crates/core/tests/units.rs
@@ -1,4 +1,4 @@
-//! Durations and sizes with their units.
+//! Parsing and formatting of durations and sizes with units.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use sycamorelink_core::{ExactForm, SpacedForm};
 
 #[test]
-fn values_read_back_as_written() {
+fn formatted_values_round_trip() {
     let durations = ["0s", "1ns", "1500us", "250ms", "90s", "2m", "36h", "7d"];
     for text in durations {
         assert_eq!(
@@ -25,21 +25,21 @@
 }
 
 #[test]
-fn other_text_is_refused_with_what_would_be_right() {
-    let faults: Vec<String> = ["", "250", "ms", "2 s", "1.5s", "-1s", "99999999999d", "1S"]
+fn invalid_text_is_rejected_with_an_example() {
+    let errors: Vec<String> = ["", "250", "ms", "2 s", "1.5s", "-1s", "99999999999d", "1S"]
         .iter()
         .map(|text| parse_duration::<ExactForm>(text).unwrap_err().to_string())
         .collect();
-    insta::assert_debug_snapshot!(faults);
-    let faults: Vec<String> = ["64", "64kb", "KB", "99999999999GB"]
+    insta::assert_debug_snapshot!(errors);
+    let errors: Vec<String> = ["64", "64kb", "KB", "99999999999GB"]
         .iter()
         .map(|text| parse_size::<ExactForm>(text).unwrap_err().to_string())
         .collect();
-    insta::assert_debug_snapshot!(faults);
+    insta::assert_debug_snapshot!(errors);
 }
 
 #[test]
-fn people_may_leave_blanks_around_the_number() {
+fn lenient_syntax_allows_blanks_and_a_plus_sign() {
     for text in ["250ms", " 250 ms ", "+250ms"] {
         assert_eq!(
             parse_duration::<SpacedForm>(text),
