--- a/crates/engine/src/crash_requests.rs
+++ b/crates/engine/src/crash_requests.rs
@@ -14,7 +14,7 @@
 use crate::request::{WorkPhase, WorkState};
 
 impl NodeEngine {
-    pub(crate) fn ask_turn(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn request_turn(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
         let Some(state) = self.works.get_mut(&work) else {
             return;
         };
@@ -22,7 +22,8 @@
         let signature = state.signature();
         self.turns.insert(work.0, work);
         let mut commands = Vec::new();
-        self.crash.ask_turn(now, signature, work.0, &mut commands);
+        self.crash
+            .request_turn(now, signature, work.0, &mut commands);
         self.on_crash_commands(now, commands, out);
     }
 
@@ -50,7 +51,7 @@
         out: &mut Vec<NodeCommand>,
     ) {
         let mut commands = Vec::new();
-        self.crash.turn_unused(signature, &mut commands);
+        self.crash.return_turn(signature, &mut commands);
         self.on_crash_commands(now, commands, out);
     }
 
--- a/crates/engine/src/executor.rs
+++ b/crates/engine/src/executor.rs
@@ -84,7 +84,7 @@
         }
         match self.crash.check(now, signature) {
             CrashCheck::Clear => self.ask_guard(now, work, out),
-            CrashCheck::Probation => self.ask_turn(now, work, out),
+            CrashCheck::Probation => self.request_turn(now, work, out),
             CrashCheck::Stopped { retry_after } => self.stop_crash_request(work, retry_after, out),
         }
     }
@@ -160,7 +160,7 @@
         let Some(upstream) = self.upstreams.get_mut(&state.offer.slot) else {
             return;
         };
-        let class = upstream.gate.start_within(now, class, patience);
+        let class = upstream.gate.limit_queue_wait(now, class, patience);
         match upstream.gate.offer(now, work, class) {
             GateDecision::Run => self.start_work(now, work, out),
             GateDecision::Queued => {}
--- a/crates/engine/src/quotas.rs
+++ b/crates/engine/src/quotas.rs
@@ -7,8 +7,8 @@
 use sycamorelink_core::{InstanceId, RefusalCode, RequestRefusal, RunState, name_hash};
 use sycamorelink_limits::quota::keepers_of;
 use sycamorelink_limits::{
-    AccountId, QuotaHolder, QuotaKeeper, QuotaMessage, QuotaSettings, QuotaTerms, ShareNews,
-    UseReport,
+    AccountId, QuotaHolder, QuotaKeeper, QuotaMessage, QuotaSettings, QuotaTerms, ShareUpdate,
+    UsageReport,
 };
 use sycamorelink_policy::PolicyMechanism;
 
@@ -106,7 +106,7 @@
         }
         let quota = state.account.as_deref().and_then(terms_of);
         if let Some((id, _)) = quota {
-            self.quotas.holder.give_back(id);
+            self.quotas.holder.refund(id);
         }
     }
 
@@ -127,7 +127,7 @@
             let members = self.present_instances();
             self.quotas.record_members(now, members);
         }
-        let mut outgoing: BTreeMap<InstanceId, Vec<UseReport>> = BTreeMap::new();
+        let mut outgoing: BTreeMap<InstanceId, Vec<UsageReport>> = BTreeMap::new();
         for report in self.quotas.holder.reports(now) {
             for keeper in keepers_of(report.account, &self.quotas.members) {
                 outgoing.entry(keeper).or_default().push(report);
@@ -181,19 +181,19 @@
         }
     }
 
-    fn on_use_reports(&mut self, now: Duration, reports: Vec<UseReport>) {
+    fn on_use_reports(&mut self, now: Duration, reports: Vec<UsageReport>) {
         let fraction = self.quotas.visible_fraction();
         for report in reports {
             // An account that is missing from this node's contract is either unknown and refused,
             // or without a quota in a newer contract.
             if let Some(terms) = self.quotas.terms.get(&report.account) {
                 let terms = terms.scaled(fraction);
-                self.quotas.keeper.reported(now, report, terms);
+                self.quotas.keeper.on_report(now, report, terms);
             }
         }
     }
 
-    fn on_quota_shares(&mut self, now: Duration, keeper: InstanceId, news: Vec<ShareNews>) {
+    fn on_quota_shares(&mut self, now: Duration, keeper: InstanceId, news: Vec<ShareUpdate>) {
         for news in news {
             self.quotas.holder.told(now, keeper, news);
         }
--- a/crates/limits/src/admission/gate.rs
+++ b/crates/limits/src/admission/gate.rs
@@ -110,7 +110,7 @@
     /// For work that loses its value if it starts later: the gate refuses it instead of queueing it
     /// for longer.
     #[must_use]
-    pub fn start_within(
+    pub fn limit_queue_wait(
         &self,
         now: Duration,
         class: WorkClass,
--- a/crates/limits/src/crash/mod.rs
+++ b/crates/limits/src/crash/mod.rs
@@ -74,7 +74,7 @@
 pub enum CrashCheck {
     /// No crash is known: run the request.
     Clear,
-    /// One crash is known: call [`CrashRegistry::ask_turn`] and run the request only after a
+    /// One crash is known: call [`CrashRegistry::request_turn`] and run the request only after a
     /// granted [`CrashCommand::Turn`].
     Probation,
     /// The request is blocked in the whole fleet: answer `crash-request`, not run.
@@ -180,7 +180,7 @@
         /// Executors that have not acknowledged the report in time.
         missing: u32,
     },
-    /// Result of [`CrashRegistry::ask_turn`].
+    /// Result of [`CrashRegistry::request_turn`].
     Turn {
         /// Number of the request for the turn.
         ask: u64,
--- a/crates/limits/src/crash/registry.rs
+++ b/crates/limits/src/crash/registry.rs
@@ -71,7 +71,7 @@
     ///
     /// The result follows as [`CrashCommand::Turn`], if the owner does not answer then from
     /// [`Self::tick`] after `turn_wait`.
-    pub fn ask_turn(
+    pub fn request_turn(
         &mut self,
         now: Duration,
         signature: CrashSignature,
@@ -121,7 +121,7 @@
     /// the caller disconnected.
     ///
     /// If a turn is not returned, the next one is granted only after this one expires.
-    pub fn turn_unused(&mut self, signature: CrashSignature, out: &mut Vec<CrashCommand>) {
+    pub fn return_turn(&mut self, signature: CrashSignature, out: &mut Vec<CrashCommand>) {
         let Some(entry) = self.entries.get(&signature) else {
             return;
         };
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -28,8 +28,8 @@
 };
 pub use holder_count::HolderCount;
 pub use quota::{
-    AccountId, QuotaHolder, QuotaKeeper, QuotaMessage, QuotaSettings, QuotaTerms, ShareNews,
-    UseReport,
+    AccountId, QuotaHolder, QuotaKeeper, QuotaMessage, QuotaSettings, QuotaTerms, ShareUpdate,
+    UsageReport,
 };
 pub use retry_budget::{BudgetPart, BudgetSettings, RetryBudget, WHOLE_REPEAT};
 pub use share::{
--- a/crates/limits/src/quota/holder.rs
+++ b/crates/limits/src/quota/holder.rs
@@ -8,7 +8,7 @@
 
 use sycamorelink_core::InstanceId;
 
-use super::{AccountId, QuotaSettings, QuotaTerms, ShareNews, UseReport};
+use super::{AccountId, QuotaSettings, QuotaTerms, ShareUpdate, UsageReport};
 
 /// Number of requests of an account that triggers a report without waiting for the report interval.
 ///
@@ -98,7 +98,7 @@
     }
 
     /// Reverts an admission whose request was refused later without running.
-    pub fn give_back(&mut self, account: AccountId) {
+    pub fn refund(&mut self, account: AccountId) {
         let Some(usage) = self.accounts.get_mut(&account) else {
             return;
         };
@@ -107,7 +107,7 @@
     }
 
     /// Returns the reports that are due.
-    pub fn reports(&mut self, now: Duration) -> Vec<UseReport> {
+    pub fn reports(&mut self, now: Duration) -> Vec<UsageReport> {
         self.accounts
             .retain(|_, usage| now < usage.last_used_at + RETENTION || usage.is_unreported());
         let usages = self.accounts.iter_mut();
@@ -118,7 +118,7 @@
     }
 
     /// Applies the share that a keeper of an account has sent.
-    pub fn told(&mut self, now: Duration, keeper: InstanceId, update: ShareNews) {
+    pub fn told(&mut self, now: Duration, keeper: InstanceId, update: ShareUpdate) {
         if let Some(usage) = self.accounts.get_mut(&update.account) {
             usage
                 .shares
@@ -173,9 +173,9 @@
         now >= self.last_report_at + report_interval
     }
 
-    fn report(&mut self, now: Duration, account: AccountId) -> UseReport {
+    fn report(&mut self, now: Duration, account: AccountId) -> UsageReport {
         self.last_report_at = now;
-        UseReport {
+        UsageReport {
             account,
             asked: std::mem::take(&mut self.asked),
             admitted: std::mem::take(&mut self.admitted),
--- a/crates/limits/src/quota/keeper.rs
+++ b/crates/limits/src/quota/keeper.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{AccountId, QuotaSettings, QuotaTerms, ShareNews, UseReport};
+use super::{AccountId, QuotaSettings, QuotaTerms, ShareUpdate, UsageReport};
 
 /// Time, in seconds, in which the rest of a bucket may be spent and a deficit is paid back.
 ///
@@ -79,7 +79,7 @@
     }
 
     /// Applies a report from a holder. `terms` is the quota of the account.
-    pub fn reported(&mut self, now: Duration, report: UseReport, terms: QuotaTerms) {
+    pub fn on_report(&mut self, now: Duration, report: UsageReport, terms: QuotaTerms) {
         let extra_burst = self.settings.extra_burst(terms);
         let terms = QuotaTerms {
             burst: terms.burst + extra_burst,
@@ -94,13 +94,13 @@
     }
 
     /// Returns the updates to send to all nodes now. Call this about every 100 ms.
-    pub fn news(&mut self, now: Duration) -> Vec<ShareNews> {
+    pub fn news(&mut self, now: Duration) -> Vec<ShareUpdate> {
         self.accounts
             .retain(|_, bucket| bucket.last_sent.is_some() || now < bucket.updated_at + RETENTION);
         let accounts = self.accounts.iter_mut();
         let updates = accounts.filter_map(|(account, bucket)| {
             let share = bucket.next_change(now)?.share();
-            Some(ShareNews {
+            Some(ShareUpdate {
                 account: *account,
                 share,
             })
--- a/crates/limits/src/quota/mod.rs
+++ b/crates/limits/src/quota/mod.rs
@@ -3,8 +3,8 @@
 //! ```text
 //! request ─▶ QuotaHolder ─┬─ no share in force ─▶ admitted, counted
 //!                │        └─ share ─▶ that part is admitted, the rest refused with a retry time
-//!                │ UseReport              ▲
-//!                ▼                        │ ShareNews, to all nodes
+//!                │ UsageReport              ▲
+//!                ▼                        │ ShareUpdate, to all nodes
 //!            QuotaKeeper: token bucket of the account, and its demand
 //! ```
 //!
@@ -66,7 +66,7 @@
 
 /// Report of one holder on one account since its previous report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseReport {
+pub struct UsageReport {
     /// Account that sent the requests.
     pub account: AccountId,
     /// Requests that the account sent to this holder.
@@ -77,7 +77,7 @@
 
 /// Update on one account from a keeper to all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShareNews {
+pub struct ShareUpdate {
     /// Account that the share applies to.
     pub account: AccountId,
     /// Share of its requests to admit, 0 to 1. `None` while the account is within its quota.
@@ -89,9 +89,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum QuotaMessage {
     /// Reports from a holder to a keeper of the accounts.
-    Report(Vec<UseReport>),
+    Report(Vec<UsageReport>),
     /// Updates from a keeper to a holder.
-    Shares(Vec<ShareNews>),
+    Shares(Vec<ShareUpdate>),
 }
 
 /// Number of keepers of an account.
--- a/crates/limits/tests/crash.rs
+++ b/crates/limits/tests/crash.rs
@@ -106,7 +106,7 @@
                 self.asks += 1;
                 let ask = self.asks;
                 let mut out = Vec::new();
-                self.nodes[number].ask_turn(self.now, crashing_request(), ask, &mut out);
+                self.nodes[number].request_turn(self.now, crashing_request(), ask, &mut out);
                 self.process_commands(number, out);
                 self.run_for(Duration::from_millis(600));
                 self.turns.contains(&(number, ask, true))
--- a/crates/limits/tests/quota.rs
+++ b/crates/limits/tests/quota.rs
@@ -12,7 +12,7 @@
 use sycamorelink_core::{InstanceId, NodeId, NodeIncarnation};
 use sycamorelink_limits::quota::keepers_of;
 use sycamorelink_limits::{
-    AccountId, QuotaHolder, QuotaKeeper, QuotaSettings, QuotaTerms, ShareNews, UseReport,
+    AccountId, QuotaHolder, QuotaKeeper, QuotaSettings, QuotaTerms, ShareUpdate, UsageReport,
 };
 
 const ACCOUNT: AccountId = AccountId(7);
@@ -27,8 +27,8 @@
     nodes: Vec<InstanceId>,
     holders: Vec<QuotaHolder>,
     keepers: Vec<QuotaKeeper>,
-    reports: Vec<(usize, usize, UseReport)>,
-    news: Vec<(usize, InstanceId, ShareNews)>,
+    reports: Vec<(usize, usize, UsageReport)>,
+    news: Vec<(usize, InstanceId, ShareUpdate)>,
     rng: SmallRng,
     step: u64,
     /// Times of the admitted requests in milliseconds.
@@ -165,7 +165,7 @@
         for (_, keeper, report) in std::mem::take(&mut self.reports) {
             let seen = f64::from(u32::try_from(self.side(keeper).len()).expect("small"));
             let terms = self.terms.scaled(seen / whole);
-            self.keepers[keeper].reported(now, report, terms);
+            self.keepers[keeper].on_report(now, report, terms);
         }
     }
 
