--- a/crates/daemon/src/notes/roster.rs
+++ b/crates/daemon/src/notes/roster.rs
@@ -42,7 +42,7 @@
                 let change = self.reach.lost(now, instance.node);
                 self.emit_reach_change(change);
             }
-            DownCause::Left | DownCause::LeftSilently => self.reach.left(instance.node),
+            DownCause::Left | DownCause::LostWhileLeaving => self.reach.left(instance.node),
             DownCause::Replaced => {}
         }
     }
@@ -88,12 +88,12 @@
                 let gap = format_duration(whole_millis(*gap));
                 self.emit(EventCode::ClockStalled, &fields.duration(&gap));
             }
-            RosterNote::NameRefused { slot, bytes } => {
+            RosterNote::ServiceNameTooLong { slot, bytes } => {
                 let reason = format!("the name of the service of the backend server {slot}");
                 let fields = EventFields::new().count(bytes).reason(&reason);
                 self.emit(EventCode::SpreadRefused, &fields);
             }
-            RosterNote::BodyRefused { topic, bytes } => {
+            RosterNote::TopicBodyTooLarge { topic, bytes } => {
                 let reason = format!("a message of topic {topic}");
                 let fields = EventFields::new().count(bytes).reason(&reason);
                 self.emit(EventCode::SpreadRefused, &fields);
@@ -115,7 +115,7 @@
     match cause {
         DownCause::Left => EventCode::MemberLeft,
         DownCause::Replaced => EventCode::MemberRestarted,
-        DownCause::LeftSilently | DownCause::Dead => EventCode::MemberDown,
+        DownCause::LostWhileLeaving | DownCause::Dead => EventCode::MemberDown,
     }
 }
 
--- a/crates/engine/src/joining.rs
+++ b/crates/engine/src/joining.rs
@@ -87,7 +87,7 @@
         hashes: &[u8],
         out: &mut Vec<NodeCommand>,
     ) {
-        let state = self.roster.state_beyond(hashes);
+        let state = self.roster.differing_state(hashes);
         self.send_peer(from, PeerMessage::RosterState { state }, out);
     }
 
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -176,7 +176,7 @@
                 self.remove_left(instance);
                 self.tell_guard(now, GuardEvent::MemberGone { instance }, out);
             }
-            DownCause::Dead | DownCause::LeftSilently | DownCause::Replaced => {
+            DownCause::Dead | DownCause::LostWhileLeaving | DownCause::Replaced => {
                 self.tell_guard(now, GuardEvent::MemberDown { instance }, out);
             }
         }
--- a/crates/roster/src/event.rs
+++ b/crates/roster/src/event.rs
@@ -129,7 +129,7 @@
     Left,
     /// The member was draining and several observers get no reply any more. Its process may still
     /// run.
-    LeftSilently,
+    LostWhileLeaving,
     /// Several observers get no reply. The process may still run behind a network partition.
     Dead,
     /// A newer incarnation of the node replaced this one.
@@ -176,14 +176,14 @@
     /// This node gets replies from other nodes again.
     SelfRecovered,
     /// The service name of an upstream is too long; the upstream was not announced.
-    NameRefused {
+    ServiceNameTooLong {
         /// Number of the upstream on this node.
         slot: u16,
         /// Size of the name, in bytes.
         bytes: usize,
     },
     /// The body of a published update is too large; the update was not sent.
-    BodyRefused {
+    TopicBodyTooLarge {
         /// Topic of the update.
         topic: u8,
         /// Size of the body, in bytes.
--- a/crates/roster/src/node/full_state.rs
+++ b/crates/roster/src/node/full_state.rs
@@ -11,7 +11,7 @@
 const HASH_BYTES: usize = 4;
 
 impl NodeRoster {
-    /// Returns the bucket hashes of this node, the argument of [`Self::state_beyond`] on a peer.
+    /// Returns the bucket hashes of this node, the argument of [`Self::differing_state`] on a peer.
     #[must_use]
     pub fn bucket_hashes(&self) -> Vec<u8> {
         let buckets = (0..BUCKETS).map(|bucket| self.table.digest().hash(bucket));
@@ -24,7 +24,7 @@
     /// The peer handles the message like a datagram, but it may exceed the size of one. Hashes of
     /// the wrong length count as different.
     #[must_use]
-    pub fn state_beyond(&self, hashes: &[u8]) -> RosterMessage {
+    pub fn differing_state(&self, hashes: &[u8]) -> RosterMessage {
         let peer_hashes = read_hashes(hashes);
         let differing = (0..BUCKETS)
             .filter(|bucket| peer_hashes.get(*bucket) != Some(&self.table.digest().hash(*bucket)));
--- a/crates/roster/src/node/local.rs
+++ b/crates/roster/src/node/local.rs
@@ -26,7 +26,7 @@
     ) {
         let bytes = facts.service.as_str().len();
         if bytes > MAX_SERVICE_NAME_BYTES {
-            step.note(RosterNote::NameRefused { slot, bytes });
+            step.note(RosterNote::ServiceNameTooLong { slot, bytes });
             return;
         }
         let service = self.table.services().intern(&facts.service);
@@ -115,7 +115,7 @@
     ) {
         let bytes = body.len();
         if bytes > topic::MAX_BODY_BYTES {
-            step.note(RosterNote::BodyRefused { topic, bytes });
+            step.note(RosterNote::TopicBodyTooLarge { topic, bytes });
             return;
         }
         let head = TopicHead {
--- a/crates/roster/src/node/standing.rs
+++ b/crates/roster/src/node/standing.rs
@@ -170,7 +170,7 @@
 const fn down_cause(before: MemberStanding, standing: MemberStanding) -> DownCause {
     match (before, standing) {
         (_, MemberStanding::Left) => DownCause::Left,
-        (MemberStanding::Leaving, _) => DownCause::LeftSilently,
+        (MemberStanding::Leaving, _) => DownCause::LostWhileLeaving,
         _ => DownCause::Dead,
     }
 }
--- a/crates/roster/tests/testsuite/leave.rs
+++ b/crates/roster/tests/testsuite/leave.rs
@@ -62,7 +62,7 @@
     assert!(
         removals
             .iter()
-            .all(|(_, removed, cause)| (*removed, *cause) == (9, DownCause::LeftSilently))
+            .all(|(_, removed, cause)| (*removed, *cause) == (9, DownCause::LostWhileLeaving))
     );
 }
 
