--- a/crates/contract/examples/scale.rs
+++ b/crates/contract/examples/scale.rs
@@ -40,7 +40,7 @@
     measure_lookups(&book);
     report_memory("all routes compiled");
     println!("compiled routes: {}", book.table().compiled_routes());
-    book.trim_table(0);
+    book.drop_compiled_routes(0);
     report_memory("routes given back");
     drop(measure_snapshot(&book));
     measure_changes(&mut book);
--- a/crates/contract/src/book/ahead.rs
+++ b/crates/contract/src/book/ahead.rs
@@ -72,7 +72,7 @@
     /// A reply may be older than an entry that arrived while the reply was in flight. Therefore an
     /// entry is dropped only if the previous reply arrived after the entry: the current reply then
     /// belongs to a request that was sent after the entry had arrived.
-    pub fn check_head(&mut self, head: u64) {
+    pub fn on_log_head(&mut self, head: u64) {
         if self.complete_at == Some(UNKNOWN_HEAD) {
             self.complete_at = Some(head);
             self.finish_catch_up();
--- a/crates/contract/src/book/evaluate.rs
+++ b/crates/contract/src/book/evaluate.rs
@@ -30,7 +30,7 @@
 
 /// Version that conflicts with a rejected change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeWinner {
+pub struct VersionConflict {
     /// Version in force.
     pub version: ContractVersion,
     /// Id of the change that created the version.
@@ -39,7 +39,7 @@
     pub author: std::sync::Arc<str>,
 }
 
-impl ChangeWinner {
+impl VersionConflict {
     fn of(entry: &BookEntry) -> Self {
         Self {
             version: entry.version,
@@ -79,10 +79,10 @@
     StaleCreate,
     /// The version that the change amends is no longer in force.
     #[error("amends another version than {} by {}, which is in force", .0.version, .0.author)]
-    BaseTaken(ChangeWinner),
+    BaseTaken(VersionConflict),
     /// The customer was removed at or after the creation's `seen` offset.
     #[error("the customer was removed by {} at {}, after this creation was made", .0.author, .0.version)]
-    RemovedSince(ChangeWinner),
+    RemovedSince(VersionConflict),
     /// The customer has no contract to amend.
     #[error("the customer has no contract to amend")]
     NoContract,
@@ -94,7 +94,7 @@
 impl RejectReason {
     /// Returns the conflicting version, if there is one.
     #[must_use]
-    pub const fn winner(&self) -> Option<&ChangeWinner> {
+    pub const fn winner(&self) -> Option<&VersionConflict> {
         match self {
             Self::BaseTaken(winner) | Self::RemovedSince(winner) => Some(winner),
             _ => None,
@@ -166,7 +166,7 @@
         return Err(RejectReason::NoContract);
     };
     if current.version != change.base {
-        return Err(RejectReason::BaseTaken(ChangeWinner::of(current)));
+        return Err(RejectReason::BaseTaken(VersionConflict::of(current)));
     }
     Ok(BookEntry::accepted(change, version, current.created))
 }
@@ -176,9 +176,9 @@
     change: &ContractChange,
 ) -> Result<(), RejectReason> {
     match current {
-        Some(entry) if entry.is_live() => Err(RejectReason::BaseTaken(ChangeWinner::of(entry))),
+        Some(entry) if entry.is_live() => Err(RejectReason::BaseTaken(VersionConflict::of(entry))),
         Some(entry) if entry.version.0 > change.seen => {
-            Err(RejectReason::RemovedSince(ChangeWinner::of(entry)))
+            Err(RejectReason::RemovedSince(VersionConflict::of(entry)))
         }
         _ if matches!(change.action, ChangeAction::Put { .. }) => Ok(()),
         _ => Err(RejectReason::NoContract),
--- a/crates/contract/src/book/mod.rs
+++ b/crates/contract/src/book/mod.rs
@@ -38,7 +38,7 @@
 pub use entry::{
     BookEntry, EntryProof, HistoryAction, HistoryItem, MAX_DEFERRED, MAX_HISTORY, ProofOrigin,
 };
-pub use evaluate::{ChangeWinner, RejectReason, TOMBSTONE_SPAN};
+pub use evaluate::{RejectReason, TOMBSTONE_SPAN, VersionConflict};
 pub use outcome::{
     ApplyOutcome, CarryCount, ChangeOutcome, MAX_OUTCOMES, MAX_REJECTED, RejectedChange,
 };
@@ -116,7 +116,7 @@
     ///
     /// `head` is the log's next offset from the same reply. The state is complete once all records
     /// below `head` are read. A `head` that is not above `oldest` means that the next offset is
-    /// unknown; see [`Self::check_head`].
+    /// unknown; see [`Self::on_log_head`].
     #[must_use]
     pub fn starting_at(oldest: u64, head: u64) -> Self {
         let mut book = Self::default();
@@ -286,7 +286,7 @@
 
     /// Drops the compiled routes when there are more than `limit`; see
     /// [`RouteTable::compiled_routes`]. Returns whether the table was replaced.
-    pub fn trim_table(&mut self, limit: usize) -> bool {
+    pub fn drop_compiled_routes(&mut self, limit: usize) -> bool {
         self.builder.drop_compiled_routes(limit)
     }
 
--- a/crates/contract/src/book/outcome.rs
+++ b/crates/contract/src/book/outcome.rs
@@ -8,7 +8,7 @@
 use sycamorelink_core::CustomerName;
 
 use super::entry::HistoryAction;
-use super::evaluate::{ChangeWinner, RejectReason};
+use super::evaluate::{RejectReason, VersionConflict};
 use crate::change::{ChangeId, ContractChange, ContractVersion};
 
 /// Maximum number of changes whose outcome is retained.
@@ -29,7 +29,7 @@
     /// The change has no effect and never will.
     Rejected {
         /// Conflicting version, if there is one.
-        winner: Option<ChangeWinner>,
+        winner: Option<VersionConflict>,
         /// Reason for the rejection.
         reason: RejectReason,
     },
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -26,9 +26,9 @@
 mod validate;
 
 pub use book::{
-    AdoptOutcome, ApplyOutcome, BookEntry, BookSnapshot, CarryWindow, ChangeOutcome, ChangeWinner,
-    ContractBook, DueCarries, HistoryItem, PageRequest, RejectReason, SnapshotAssembly,
-    SnapshotPage, VersionDigest,
+    AdoptOutcome, ApplyOutcome, BookEntry, BookSnapshot, CarryWindow, ChangeOutcome, ContractBook,
+    DueCarries, HistoryItem, PageRequest, RejectReason, SnapshotAssembly, SnapshotPage,
+    VersionConflict, VersionDigest,
 };
 pub use change::{
     CarryRecord, ChangeAction, ChangeBuilder, ChangeId, ContractChange, ContractVersion, LogRecord,
--- a/crates/contract/src/table/mod.rs
+++ b/crates/contract/src/table/mod.rs
@@ -134,7 +134,7 @@
     /// Returns the number of compiled routes, which take about 230 bytes each.
     ///
     /// A node that serves many customers in turn should regularly drop them with
-    /// [`ContractBook::trim_table`](crate::ContractBook::trim_table).
+    /// [`ContractBook::drop_compiled_routes`](crate::ContractBook::drop_compiled_routes).
     #[must_use]
     pub fn compiled_routes(&self) -> usize {
         self.compiled.get()
--- a/crates/contract/tests/testsuite/carry.rs
+++ b/crates/contract/tests/testsuite/carry.rs
@@ -210,7 +210,7 @@
     // The gap is reported without the log's next offset, which arrives with the next reply.
     survivor.restart_at(4, 4);
     assert!(!survivor.is_complete());
-    survivor.check_head(6);
+    survivor.on_log_head(6);
     log.read(&mut survivor);
     assert!(survivor.is_complete());
     assert_eq!(in_force(&survivor), ["ash v1 live"]);
--- a/crates/contract/tests/testsuite/common.rs
+++ b/crates/contract/tests/testsuite/common.rs
@@ -83,7 +83,7 @@
     /// Returns the book of a reader that starts at an offset and reads to the head.
     pub fn reader_from(&self, oldest: u64) -> ContractBook {
         let mut book = ContractBook::starting_at(oldest, self.head());
-        book.check_head(self.head());
+        book.on_log_head(self.head());
         self.read(&mut book);
         book
     }
--- a/crates/contract/tests/testsuite/peers.rs
+++ b/crates/contract/tests/testsuite/peers.rs
@@ -166,9 +166,9 @@
     reader.adopt(&forge_snapshot(&log.book, |entry| {
         entry.version = ContractVersion(900);
     }));
-    reader.check_head(1);
+    reader.on_log_head(1);
     assert_eq!(in_force(&reader), ["ash v900 live"]);
-    reader.check_head(1);
+    reader.on_log_head(1);
     assert_eq!(in_force(&reader), ["ash v1 live"]);
     assert!(!findings(&mut reader).is_empty());
 }
@@ -232,9 +232,9 @@
     reader.adopt(&BookSnapshot::seal(1_000_000, true, entries));
     assert_eq!(reader.next_offset(), 1_000_000);
     log.put("ash", 2);
-    reader.check_head(log.head());
+    reader.on_log_head(log.head());
     assert!(!reader.needs_rebuild());
-    reader.check_head(log.head());
+    reader.on_log_head(log.head());
     assert!(reader.needs_rebuild());
     reader.rebuild_at(0, log.head());
     log.read(&mut reader);
--- a/crates/contract/tests/testsuite/replay_agreement.rs
+++ b/crates/contract/tests/testsuite/replay_agreement.rs
@@ -101,7 +101,7 @@
 fn check_late_starts(log: &TestLog, full: &ContractBook) {
     for oldest in 0..=provable_from(full) {
         let mut book = ContractBook::starting_at(oldest, log.head());
-        book.check_head(log.head());
+        book.on_log_head(log.head());
         read_forward(log, &mut book, &format!("from {oldest}"));
         assert_same(&mut book, full, &format!("from {oldest}"));
     }
@@ -124,7 +124,7 @@
         let path = format!("gap from {offset} to {oldest}");
         let mut book = before.clone();
         book.restart_at(oldest, log.head());
-        book.check_head(log.head());
+        book.on_log_head(log.head());
         read_forward(log, &mut book, &path);
         assert_same(&mut book, full, &path);
     }
@@ -153,7 +153,7 @@
         let path = format!("rebuilt from {offset} at {oldest}");
         let mut book = before.clone();
         book.rebuild_at(oldest, log.head());
-        book.check_head(log.head());
+        book.on_log_head(log.head());
         read_forward(log, &mut book, &path);
         assert_same(&mut book, full, &path);
     }
--- a/crates/daemon/src/operators/query.rs
+++ b/crates/daemon/src/operators/query.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use sycamorelink_contract::{ChangeId, ChangeOutcome, ChangeWinner, ContractVersion};
+use sycamorelink_contract::{ChangeId, ChangeOutcome, ContractVersion, VersionConflict};
 use sycamorelink_core::{ServiceName, nearest_name};
 use sycamorelink_engine::{NodeEngine, UpstreamStatus};
 use sycamorelink_telemetry::burn::BurnQuery;
@@ -264,7 +264,7 @@
     }
 }
 
-fn winner_value(winner: &ChangeWinner) -> Value {
+fn winner_value(winner: &VersionConflict) -> Value {
     json!({
         "change": winner.change,
         "version": winner.version.0,
--- a/crates/engine/src/contracts.rs
+++ b/crates/engine/src/contracts.rs
@@ -45,7 +45,7 @@
     ) {
         self.log_oldest = first;
         let before = self.book.next_offset();
-        self.book.check_head(next);
+        self.book.on_log_head(next);
         if self.book.needs_rebuild() {
             self.rebuild_contracts(first, next, out);
             return;
@@ -203,7 +203,7 @@
         for finding in self.book.take_findings() {
             out.push(NodeCommand::Note(NodeNote::ContractFinding(finding)));
         }
-        if self.book.trim_table(MAX_COMPILED_ROUTES) {
+        if self.book.drop_compiled_routes(MAX_COMPILED_ROUTES) {
             self.table = self.book.table();
             out.push(NodeCommand::ContractsChanged);
         }
