--- a/crates/contract/src/fleet/table.rs
+++ b/crates/contract/src/fleet/table.rs
@@ -73,7 +73,10 @@
         let mut hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, FleetRule>> = BTreeMap::new();
         for route in &contract.routes {
             let rules = hosts.entry(Arc::clone(&route.host)).or_default();
-            rules.insert(Arc::clone(&route.prefix), fleet_rule(route, &terms));
+            rules.insert(
+                Arc::clone(&route.prefix),
+                resolve_fleet_route(route, &terms),
+            );
         }
         let mut accounts = BTreeMap::new();
         let mut keys = BTreeMap::new();
@@ -143,7 +146,7 @@
     }
 }
 
-fn fleet_rule(route: &FleetRoute, terms: &Arc<CustomerRule>) -> FleetRule {
+fn resolve_fleet_route(route: &FleetRoute, terms: &Arc<CustomerRule>) -> FleetRule {
     let parts: Vec<(u32, RouteRule)> = route
         .parts
         .iter()
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -8,7 +8,7 @@
 
 use anyhow::Context;
 use sycamorelink_core::{InstanceId, NodeClock, SystemClock};
-use sycamorelink_engine::{ContractForm, NodeEngine, NodeEvent};
+use sycamorelink_engine::{ContractMode, NodeEngine, NodeEvent};
 use sycamorelink_roster::MemberFacts;
 use sycamorelink_wire::{FleetKeys, PeerIdentity, WireSettings};
 use tokio::sync::watch;
@@ -84,7 +84,7 @@
         let mut engine_settings = engine_settings(&settings)?;
         let contracts = adapters.contracts.take();
         if contracts.is_some() {
-            engine_settings.contracts = ContractForm::Fleet;
+            engine_settings.contracts = ContractMode::Fleet;
         }
         let gate = OperatorGate::new(&settings.operators)
             .context("the operators' accounts have findings")?;
--- a/crates/engine/src/agreement.rs
+++ b/crates/engine/src/agreement.rs
@@ -27,7 +27,7 @@
     /// Applies a changed list of members. An unresponsive member stays in the list even when it is
     /// declared dead, because it may still use its share on the other side of a partition.
     pub(crate) fn roster_changed(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             return;
         }
         let digest = self.members_digest();
@@ -220,7 +220,7 @@
             version: self.roster_version,
             since: now,
         };
-        self.tell_shares(now, event, out);
+        self.handle_share_event(now, event, out);
     }
 
     pub(crate) fn update_share_roster(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
@@ -230,6 +230,6 @@
             members,
             settled: self.roster_settled,
         };
-        self.tell_shares(now, event, out);
+        self.handle_share_event(now, event, out);
     }
 }
--- a/crates/engine/src/announcing.rs
+++ b/crates/engine/src/announcing.rs
@@ -84,7 +84,7 @@
                 node: self.own.instance.node,
                 slot,
             };
-            self.tell_roster(
+            self.handle_roster_event(
                 now,
                 RosterEvent::UpstreamSet {
                     slot,
@@ -236,7 +236,7 @@
         {
             upstream.up = false;
             self.note_if_idle(slot, out);
-            self.tell_roster(now, RosterEvent::UpstreamGone { slot }, out);
+            self.handle_roster_event(now, RosterEvent::UpstreamGone { slot }, out);
         }
     }
 
@@ -300,7 +300,7 @@
 
     /// Withdraws the backend servers that stopped renewing their announcements, so that they get no
     /// new work.
-    pub(crate) fn lapse_upstreams(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn expire_upstreams(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         let expired: Vec<u16> = self
             .upstreams
             .iter()
--- a/crates/engine/src/breaker.rs
+++ b/crates/engine/src/breaker.rs
@@ -39,7 +39,7 @@
     /// Under customers' contracts the breaker is not consulted: there, ejection relies on the
     /// callers' view alone, and the tests of that mode measure exactly this.
     pub(crate) fn passes_breaker(&mut self, now: Duration, work: WorkId) -> bool {
-        if !self.has_fleet_form() {
+        if !self.uses_fleet_contract() {
             return true;
         }
         let Some(state) = self.works.get_mut(&work) else {
@@ -156,7 +156,7 @@
             .filter(|at| now < *at + FAILED_CALL_WINDOW);
         let started = self.works.get(&work).map(|state| state.started);
         let within = called.zip(started).is_some_and(|(at, since)| at >= since);
-        let explained = self.has_fleet_form() && kind == SampleKind::Failed && within;
+        let explained = self.uses_fleet_contract() && kind == SampleKind::Failed && within;
         if explained
             && let Some(state) = self.works.get(&work)
             && let Some(upstream) = self.upstreams.get_mut(&state.offer.slot)
@@ -192,7 +192,7 @@
         if trial {
             upstream.breaker.end_trial();
         }
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             self.check_health(now, slot, kind, out);
         }
     }
--- a/crates/engine/src/budgets.rs
+++ b/crates/engine/src/budgets.rs
@@ -36,7 +36,7 @@
         );
         // Under a fleet contract a refusal by the executor costs nothing: the budget limits what
         // reaches backend servers, and the attempts of a request are few.
-        let refused = self.has_fleet_form() && report.code == Some(RefusalCode::Overloaded);
+        let refused = self.uses_fleet_contract() && report.code == Some(RefusalCode::Overloaded);
         if report.run == RunState::NotRun && (absent || refused) {
             return true;
         }
@@ -49,7 +49,7 @@
             return state.repeats_refused <= MAX_REPEAT_REFUSALS;
         }
         let turned_away = report.run == RunState::NotRun && report.kind == SampleKind::Refused;
-        if self.has_fleet_form() && turned_away {
+        if self.uses_fleet_contract() && turned_away {
             // A resend follows a send that no backend server ran, so it repeats no calls of that
             // server and has a budget separate from that of repeats.
             return self.withdraw_from(now, id, |pair| &mut pair.resends, out);
--- a/crates/engine/src/contracts.rs
+++ b/crates/engine/src/contracts.rs
@@ -87,7 +87,7 @@
             let Ok(records) = serde_json::from_slice::<Vec<FoundingRecord>>(&record.bytes) else {
                 continue;
             };
-            self.tell_guard(now, GuardEvent::LogFounding { records }, out);
+            self.handle_guard_event(now, GuardEvent::LogFounding { records }, out);
         }
     }
 
@@ -99,7 +99,7 @@
         out: &mut Vec<NodeCommand>,
     ) {
         if stream == LogStream::Guard {
-            self.tell_guard(now, GuardEvent::LogCurrent { whole }, out);
+            self.handle_guard_event(now, GuardEvent::LogCurrent { whole }, out);
         }
     }
 
@@ -130,7 +130,7 @@
         self.log_reachable = reachable;
         out.push(NodeCommand::Note(NodeNote::LogReachable(reachable)));
         if !reachable {
-            self.tell_guard(now, GuardEvent::LogLost, out);
+            self.handle_guard_event(now, GuardEvent::LogLost, out);
         }
     }
 
@@ -147,7 +147,7 @@
             version: self.newest_contract(),
             body: Vec::new(),
         };
-        self.tell_roster(now, event, out);
+        self.handle_roster_event(now, event, out);
     }
 
     fn refresh_limits(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
@@ -179,7 +179,7 @@
         self.budgets
             .retain(|(index, _), _| !changed.contains(index));
         for event in events {
-            self.tell_shares(now, event, out);
+            self.handle_share_event(now, event, out);
         }
     }
 
@@ -194,7 +194,7 @@
 
     /// Periodically carries records forward, reports findings and limits the number of compiled
     /// routes.
-    pub(crate) fn keep_contracts(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn maintain_contracts(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if now < self.next_carry {
             return;
         }
--- a/crates/engine/src/crash_requests.rs
+++ b/crates/engine/src/crash_requests.rs
@@ -99,7 +99,7 @@
                 id,
                 service,
             });
-            self.tell_roster(now, RosterEvent::UpstreamGone { slot }, out);
+            self.handle_roster_event(now, RosterEvent::UpstreamGone { slot }, out);
         }
     }
 
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -88,7 +88,7 @@
     /// Returns whether upstreams are selected by expected cost. Under customers' contracts the
     /// weights follow the callers' scores alone.
     fn chooses_by_cost(&self) -> bool {
-        self.has_fleet_form() && self.settings.policy.is_on(PolicyMechanism::CostChoice)
+        self.uses_fleet_contract() && self.settings.policy.is_on(PolicyMechanism::CostChoice)
     }
 
     /// Excludes the upstreams of a node from selection for a time.
@@ -98,7 +98,7 @@
     /// overdue answer gets no new work. Its connections and the work on them stay untouched, so a
     /// mere pause has no further cost.
     pub(crate) fn hold_node_off(&mut self, now: Duration, node: NodeId, hold: Duration) {
-        if !self.has_fleet_form() {
+        if !self.uses_fleet_contract() {
             return;
         }
         let pools = self.pools.values();
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -49,7 +49,7 @@
         out: &mut Vec<NodeCommand>,
     ) {
         let id = report.attempt.request;
-        let fleet = self.has_fleet_form();
+        let fleet = self.uses_fleet_contract();
         let own = self.own.instance.node;
         let Some(state) = self.requests.get_mut(&id) else {
             if report.status.is_some() {
@@ -342,7 +342,7 @@
             return;
         };
         if state.phase == RequestPhase::AwaitingGrant {
-            self.tell_guard(now, GuardEvent::Abandoned { request: id }, out);
+            self.handle_guard_event(now, GuardEvent::Abandoned { request: id }, out);
         } else if !state.open.is_empty() {
             self.settle_guard(now, id, DispatchOutcome::Lost, out);
         }
@@ -386,7 +386,7 @@
             self.shares.finished(now, state.customer);
         }
         if let RequestEnd::Refused(refusal) = &end {
-            self.give_quota_back(&state, refusal);
+            self.refund_quota(&state, refusal);
         }
         if state.account.is_none() && end.is_failure() {
             self.last_failed_call = Some(now);
--- a/crates/engine/src/executor.rs
+++ b/crates/engine/src/executor.rs
@@ -50,7 +50,7 @@
         let attempt = state.offer.attempt;
         let signature = state.signature();
         if state.offer.arrival == ArrivalKind::Repeat
-            && !self.take_repeat(now, slot, state.offer.kind)
+            && !self.withdraw_repeat(now, slot, state.offer.kind)
         {
             let refusal = RequestRefusal::not_run(RefusalCode::RepeatsSpent);
             self.note_offer_decision(&state.offer, Some(refusal.code), state.offer.time_left, out);
@@ -107,7 +107,7 @@
             return;
         };
         match state.offer.ticket.clone() {
-            Some(ticket) => self.tell_guard(now, GuardEvent::Offered { ticket }, out),
+            Some(ticket) => self.handle_guard_event(now, GuardEvent::Offered { ticket }, out),
             None => self.ask_gate(now, work, out),
         }
     }
@@ -140,7 +140,7 @@
     /// would share one lane among eighty and be refused first, although a run waits for each of
     /// these calls. Quotas isolate the accounts instead.
     fn ask_gate(&mut self, now: Duration, work: WorkId, out: &mut Vec<NodeCommand>) {
-        let fleet = self.has_fleet_form();
+        let fleet = self.uses_fleet_contract();
         let Some(state) = self.works.get_mut(&work) else {
             return;
         };
@@ -211,7 +211,7 @@
         };
         let latency = now.saturating_sub(state.started);
         let mut sample = UpstreamSample::new(sample_kind_of(report), latency);
-        sample.excused = self.has_fleet_form() && sample.kind != SampleKind::Served;
+        sample.excused = self.uses_fleet_contract() && sample.kind != SampleKind::Served;
         let id = upstream_id(self.own.instance, state.offer.slot);
         if let Some(pool) = self.pools.get_mut(&state.offer.service) {
             pool.ended_locally(now, id, &sample);
@@ -248,7 +248,7 @@
             .get(&work)
             .and_then(|state| state.offer.ticket.as_ref());
         if let Some(attempt) = ticket.map(|ticket| ticket.attempt) {
-            self.tell_guard(now, GuardEvent::WorkEnded { attempt, outcome }, out);
+            self.handle_guard_event(now, GuardEvent::WorkEnded { attempt, outcome }, out);
         }
     }
 
@@ -258,7 +258,7 @@
         refusal: RequestRefusal,
         out: &mut Vec<NodeCommand>,
     ) {
-        self.return_repeat(self.now, work);
+        self.refund_repeat(self.now, work);
         self.record_in_breaker(self.now, work, None, out);
         self.note_work_decision(work, Some(refusal.code), out);
         if let Some(state) = self.works.remove(&work) {
@@ -294,7 +294,7 @@
         work: WorkId,
         out: &mut Vec<NodeCommand>,
     ) {
-        self.return_repeat(now, work);
+        self.refund_repeat(now, work);
         let running = self.works.get(&work);
         let running =
             running.filter(|state| state.phase == WorkPhase::Running && !state.connection_lost);
@@ -343,7 +343,7 @@
         match report.end {
             WorkEnd::Crashed => self.on_backend_crash(now, work, slot, out),
             WorkEnd::Replaced => self.on_replaced(now, slot, out),
-            WorkEnd::NotStarted if self.has_fleet_form() => self.on_withdrawn(now, slot, out),
+            WorkEnd::NotStarted if self.uses_fleet_contract() => self.on_withdrawn(now, slot, out),
             WorkEnd::Replied => {
                 let mut commands = Vec::new();
                 self.crash.completed(now, signature, &mut commands);
--- a/crates/engine/src/fencing.rs
+++ b/crates/engine/src/fencing.rs
@@ -53,7 +53,7 @@
         let own = self.own.instance.node;
         let connection_lost = report.kind == SampleKind::ConnectionLost && report.load.is_none();
         let unknown = report.run == RunState::Unknown && attempt.upstream.node != own;
-        if !self.has_fleet_form() || !connection_lost || !unknown {
+        if !self.uses_fleet_contract() || !connection_lost || !unknown {
             return false;
         }
         let is_current = self.instance_of(attempt.upstream.node) == Some(attempt.executor);
@@ -143,7 +143,7 @@
 
     /// Records the state of an attempt.
     pub(crate) fn mark_fence(&mut self, now: Duration, attempt: AttemptId, mark: FenceMark) {
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             self.fences.insert(attempt, (mark, now + FENCE_RETENTION));
         }
     }
--- a/crates/engine/src/fleet.rs
+++ b/crates/engine/src/fleet.rs
@@ -81,7 +81,7 @@
 /// How the contracts of a fleet are organized.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ContractForm {
+pub enum ContractMode {
     /// One contract per customer, each a chain of amended versions in the log.
     #[default]
     Customers,
@@ -226,12 +226,12 @@
 
 impl NodeEngine {
     /// Returns whether a single contract applies to the whole fleet.
-    pub(crate) fn has_fleet_form(&self) -> bool {
-        self.settings.contracts == ContractForm::Fleet
+    pub(crate) fn uses_fleet_contract(&self) -> bool {
+        self.settings.contracts == ContractMode::Fleet
     }
 
     /// Returns whether any contract is in force.
-    pub(crate) fn knows_contracts(&self) -> bool {
+    pub(crate) fn has_contracts(&self) -> bool {
         !self.in_force.is_empty() || self.fleet.current.is_some()
     }
 
@@ -243,7 +243,7 @@
 
     /// Puts a valid contract into force and announces it, unless the version in force is as new.
     /// `from` is the peer that sent it, or `None` if it came from the source.
-    pub(crate) fn adopt_fleet(
+    pub(crate) fn apply_contract(
         &mut self,
         now: Duration,
         contract: Arc<FleetContract>,
@@ -280,7 +280,7 @@
             version,
             body: Vec::new(),
         };
-        self.tell_roster(now, event, out);
+        self.handle_roster_event(now, event, out);
         self.announce_head(version, out);
     }
 
@@ -293,7 +293,7 @@
 
     /// Returns this node's part of the retries that the whole fleet may make.
     pub(crate) fn retry_part(&mut self, now: Duration) -> BudgetPart {
-        if !self.has_fleet_form() {
+        if !self.uses_fleet_contract() {
             return BudgetPart::default();
         }
         let members = self.roster.member_count();
@@ -374,7 +374,7 @@
 
     /// Asks peers for the newest contract if the source has not delivered it in time. A node that
     /// starts while the source is unreachable asks even if no version was announced.
-    pub(crate) fn pull_fleet(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn pull_fleet_contract(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if now < self.next_pull {
             return;
         }
@@ -477,7 +477,7 @@
         out: &mut Vec<NodeCommand>,
     ) {
         match serde_json::from_slice::<FleetContract>(page) {
-            Ok(contract) => self.adopt_fleet(now, Arc::new(contract), Some(from), out),
+            Ok(contract) => self.apply_contract(now, Arc::new(contract), Some(from), out),
             Err(error) => out.push(NodeCommand::Note(NodeNote::ContractRejected {
                 offset: self.fleet.version(),
                 reason: format!("a contract from {from} cannot be read: {error}"),
@@ -487,7 +487,7 @@
 
     /// Returns the name of the client account whose key a request carries, for the report of a
     /// refusal.
-    pub(crate) fn account_named_by(&self, caller: &CallerRequest) -> Option<CustomerName> {
+    pub(crate) fn caller_account_name(&self, caller: &CallerRequest) -> Option<CustomerName> {
         let key = caller.account_key?;
         let (_, table) = self.fleet.current.as_ref()?;
         table.account(&key).map(|account| account.name().clone())
@@ -495,7 +495,7 @@
 
     /// Returns the rule for a request under the fleet contract, and the client account of the
     /// caller.
-    pub(crate) fn fleet_rule(
+    pub(crate) fn resolve_fleet_route(
         &mut self,
         caller: &CallerRequest,
     ) -> Result<(RouteRule, Option<Arc<AccountRule>>), RefusalCode> {
--- a/crates/engine/src/following.rs
+++ b/crates/engine/src/following.rs
@@ -235,7 +235,7 @@
 
 impl NodeEngine {
     /// Starts or stops following the source if the selection changed, and informs the daemon.
-    pub(crate) fn choose_follower(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn update_following(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         let follow = self.follows_source(now);
         if follow != self.fleet.follow.active {
             self.fleet.follow.active = follow;
--- a/crates/engine/src/guarding.rs
+++ b/crates/engine/src/guarding.rs
@@ -29,8 +29,8 @@
 impl NodeEngine {
     /// Returns when the guard needs its next tick. `None` under a fleet contract, where no route
     /// takes keys and the guard is inactive.
-    pub(crate) fn guard_wake(&self) -> Option<Duration> {
-        if self.has_fleet_form() {
+    pub(crate) fn next_guard_wake(&self) -> Option<Duration> {
+        if self.uses_fleet_contract() {
             return None;
         }
         self.guard.next_wake()
@@ -38,13 +38,13 @@
 
     /// Passes an event to the guard and executes its commands. Does nothing under a fleet contract,
     /// where no route takes keys.
-    pub(crate) fn tell_guard(
+    pub(crate) fn handle_guard_event(
         &mut self,
         now: Duration,
         event: GuardEvent,
         out: &mut Vec<NodeCommand>,
     ) {
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             return;
         }
         let mut commands = Vec::new();
@@ -209,7 +209,7 @@
             state.chosen = Some(upstream);
             state.phase = RequestPhase::AwaitingGrant;
         }
-        self.tell_guard(
+        self.handle_guard_event(
             now,
             GuardEvent::Redirect {
                 request: id,
@@ -294,7 +294,7 @@
             .get(&id)
             .is_some_and(|state| state.ticket.is_some());
         if granted {
-            self.tell_guard(
+            self.handle_guard_event(
                 now,
                 GuardEvent::Settled {
                     request: id,
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -48,7 +48,7 @@
 
     /// Updates the health of local backend servers for runs that take long.
     pub(crate) fn tick_health(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        if !self.has_fleet_form() {
+        if !self.uses_fleet_contract() {
             return;
         }
         let slots: Vec<u16> = self.upstreams.keys().copied().collect();
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -44,7 +44,7 @@
     ) {
         let id = caller.id;
         let label = Arc::clone(&caller.label);
-        let customer = self.account_named_by(&caller);
+        let customer = self.caller_account_name(&caller);
         match self.open_request(now, caller) {
             Ok(state) => {
                 // Only requests that the node serves keep a leaving node running. If refused ones
@@ -54,7 +54,7 @@
                 self.timers
                     .insert((state.deadline, TimerPurpose::Deadline, id));
                 self.requests.insert(id, state);
-                if self.has_fleet_form() {
+                if self.uses_fleet_contract() {
                     self.start_request(now, id, out);
                 } else {
                     self.try_share(now, id, out);
@@ -90,7 +90,7 @@
                 RequestRefusal::not_run(RefusalCode::Draining).retry_after(NODE_RETRY_DELAY)
             );
         }
-        if !self.knows_contracts() {
+        if !self.has_contracts() {
             return Err(
                 RequestRefusal::not_run(RefusalCode::NotReady).retry_after(NODE_RETRY_DELAY)
             );
@@ -105,7 +105,7 @@
         let key =
             idempotency_key_of(&rule, caller.key.as_deref()).map_err(RequestRefusal::not_run)?;
         if let Some(account) = &account {
-            self.take_quota(now, account)?;
+            self.withdraw_quota(now, account)?;
         }
         let time = caller
             .time_left
@@ -123,7 +123,7 @@
             arrived: now,
             deadline: now + time,
             phase: RequestPhase::AwaitingShare,
-            plan: retry_plan_for(idempotent, now + time, self.has_fleet_form()),
+            plan: retry_plan_for(idempotent, now + time, self.uses_fleet_contract()),
             open: Vec::new(),
             attempts: 0,
             key,
@@ -160,8 +160,8 @@
     }
 
     fn route_of(&mut self, caller: &CallerRequest) -> Result<RequestTerms, RefusalCode> {
-        if self.has_fleet_form() {
-            let (rule, account) = self.fleet_rule(caller)?;
+        if self.uses_fleet_contract() {
+            let (rule, account) = self.resolve_fleet_route(caller)?;
             return Ok((FLEET_INDEX, rule, account));
         }
         let customer = self
@@ -267,7 +267,7 @@
     }
 
     fn start_request(&mut self, now: Duration, id: RequestId, out: &mut Vec<NodeCommand>) {
-        let fleet = self.has_fleet_form();
+        let fleet = self.uses_fleet_contract();
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
@@ -318,7 +318,7 @@
             executor,
             deadline,
         };
-        self.tell_guard(now, event, out);
+        self.handle_guard_event(now, event, out);
     }
 }
 
--- a/crates/engine/src/joining.rs
+++ b/crates/engine/src/joining.rs
@@ -113,6 +113,6 @@
             from: member.facts.gossip_address,
             message: state,
         };
-        self.tell_roster(now, event, out);
+        self.handle_roster_event(now, event, out);
     }
 }
--- a/crates/engine/src/leaving.rs
+++ b/crates/engine/src/leaving.rs
@@ -43,7 +43,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum LeavingMessage {
     /// A local backend server of the sender is leaving.
-    Leaves(LeavingLife),
+    Leaves(LeavingServer),
     /// A node that has started asks which of its local backend servers were leaving.
     Ask {
         /// Node that asks.
@@ -55,12 +55,12 @@
         handed_on: bool,
     },
     /// The leaving backend servers of the receiver that the sender has stored.
-    Leaving(Vec<LeavingLife>),
+    Leaving(Vec<LeavingServer>),
 }
 
 /// One incarnation of a backend server that is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeavingLife {
+pub struct LeavingServer {
     /// Number of the server on its node.
     pub slot: u16,
     /// Incarnation that is leaving.
@@ -71,13 +71,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct LeavingRecords {
     stored: BTreeMap<NodeId, Vec<LeavingRecord>>,
-    previous: Vec<LeavingLife>,
+    previous: Vec<LeavingServer>,
     lookup: LeavingLookup,
 }
 
 #[derive(Debug)]
 struct LeavingRecord {
-    leaving: LeavingLife,
+    leaving: LeavingServer,
     until: Duration,
 }
 
@@ -93,7 +93,7 @@
 
 impl LeavingRecords {
     /// Returns records of a node that had no previous incarnation, or does not ask about one.
-    pub(crate) fn without_recall() -> Self {
+    pub(crate) fn without_lookup() -> Self {
         let lookup = LeavingLookup {
             is_done: true,
             ..LeavingLookup::default()
@@ -104,7 +104,7 @@
         }
     }
 
-    fn store(&mut self, now: Duration, node: NodeId, leaving: LeavingLife) {
+    fn store(&mut self, now: Duration, node: NodeId, leaving: LeavingServer) {
         let stored = self.stored.entry(node).or_default();
         stored.retain(|other| other.leaving != leaving && now < other.until);
         stored.push(LeavingRecord {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn stored_for(&self, now: Duration, node: NodeId) -> Vec<LeavingLife> {
+    fn stored_for(&self, now: Duration, node: NodeId) -> Vec<LeavingServer> {
         let stored = self.stored.get(&node).into_iter().flatten();
         let valid = stored.filter(|stored| now < stored.until);
         valid.map(|stored| stored.leaving.clone()).collect()
@@ -187,7 +187,7 @@
             self.leavings.lookup.held.remove(&slot);
             self.leavings
                 .previous
-                .push(LeavingLife { slot, life: held });
+                .push(LeavingServer { slot, life: held });
         }
     }
 
@@ -197,10 +197,10 @@
         announced: &UpstreamAnnouncement,
         out: &mut Vec<NodeCommand>,
     ) {
-        let Some(life) = life_of(announced).filter(|_| self.has_fleet_form()) else {
+        let Some(life) = life_of(announced).filter(|_| self.uses_fleet_contract()) else {
             return;
         };
-        let leaving = LeavingLife {
+        let leaving = LeavingServer {
             slot: announced.slot,
             life: life.clone(),
         };
@@ -316,7 +316,7 @@
         &mut self,
         now: Duration,
         from: InstanceId,
-        lives: Vec<LeavingLife>,
+        lives: Vec<LeavingServer>,
         out: &mut Vec<NodeCommand>,
     ) {
         self.leavings.lookup.replied.insert(from.node);
@@ -330,7 +330,12 @@
     }
 
     /// Marks a server as leaving that was accepted as ready before the reply arrived.
-    fn close_accepted(&mut self, now: Duration, leaving: &LeavingLife, out: &mut Vec<NodeCommand>) {
+    fn close_accepted(
+        &mut self,
+        now: Duration,
+        leaving: &LeavingServer,
+        out: &mut Vec<NodeCommand>,
+    ) {
         let known = self.upstreams.get(&leaving.slot);
         let accepted = known.filter(|known| {
             let life = known.life_id();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -56,8 +56,8 @@
     ArrivalKind, AttemptReport, CallerRequest, LifeId, LogEntry, LogStream, NodeEvent,
     UpstreamAnnouncement, UpstreamLife, WorkEnd, WorkOffer, WorkReport,
 };
-pub use fleet::ContractForm;
-pub use leaving::{LeavingLife, LeavingMessage};
+pub use fleet::ContractMode;
+pub use leaving::{LeavingMessage, LeavingServer};
 pub use message::{ContractAsk, PeerMessage};
 pub use node::NodeEngine;
 pub use note::{NodeNote, RequestSummary};
--- a/crates/engine/src/meeting.rs
+++ b/crates/engine/src/meeting.rs
@@ -16,12 +16,12 @@
 
 /// Schedule of the directory queries of a node that is alone.
 #[derive(Debug)]
-pub(crate) struct MeetingState {
+pub(crate) struct DiscoveryState {
     next_query: Duration,
     interval: Duration,
 }
 
-impl MeetingState {
+impl DiscoveryState {
     pub(crate) const fn new(first_start: bool) -> Self {
         let next_query = if first_start {
             FIRST_DISCOVERY_DELAY
@@ -37,7 +37,7 @@
 
 impl NodeEngine {
     /// Requests a directory query while this node is alone, with exponential backoff.
-    pub(crate) fn tick_meeting(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+    pub(crate) fn tick_discovery(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         let state = &mut self.meeting;
         if self.roster.member_count() >= 2 {
             state.interval = DISCOVERY_DELAY;
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(crate) fn tell_roster(
+    pub(crate) fn handle_roster_event(
         &mut self,
         now: Duration,
         event: RosterEvent,
@@ -100,7 +100,7 @@
                 ..
             } => {
                 if topic == topic::CONTRACT_HEAD {
-                    if self.has_fleet_form() {
+                    if self.uses_fleet_contract() {
                         self.on_fleet_head_gossip(now, version, origin);
                     } else {
                         self.on_contract_head_gossip(version, origin);
@@ -135,7 +135,7 @@
     /// Stops accepting requests because a newer instance of this node runs elsewhere.
     fn on_superseded(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         self.draining.get_or_insert(now);
-        self.tell_guard(now, GuardEvent::DrainRequested, out);
+        self.handle_guard_event(now, GuardEvent::DrainRequested, out);
     }
 
     fn on_member_up(&mut self, now: Duration, facts: &MemberFacts, out: &mut Vec<NodeCommand>) {
@@ -147,7 +147,7 @@
             domain: domain.clone(),
         };
         self.share_members.insert(instance.node, member);
-        self.tell_guard(now, GuardEvent::MemberUp { instance, domain }, out);
+        self.handle_guard_event(now, GuardEvent::MemberUp { instance, domain }, out);
         self.query_leavings(instance, out);
         self.fleet.follow.members_changed();
         self.roster_changed(now, out);
@@ -156,7 +156,7 @@
     fn on_member_changed(&mut self, now: Duration, view: &MemberView, out: &mut Vec<NodeCommand>) {
         let instance = view.facts.instance;
         if view.standing == MemberStanding::Leaving {
-            self.tell_guard(now, GuardEvent::MemberDraining { instance }, out);
+            self.handle_guard_event(now, GuardEvent::MemberDraining { instance }, out);
         }
     }
 
@@ -174,10 +174,10 @@
         match cause {
             DownCause::Left => {
                 self.remove_left(instance);
-                self.tell_guard(now, GuardEvent::MemberGone { instance }, out);
+                self.handle_guard_event(now, GuardEvent::MemberGone { instance }, out);
             }
             DownCause::Dead | DownCause::LostWhileLeaving | DownCause::Replaced => {
-                self.tell_guard(now, GuardEvent::MemberDown { instance }, out);
+                self.handle_guard_event(now, GuardEvent::MemberDown { instance }, out);
             }
         }
         self.roster_changed(now, out);
@@ -201,7 +201,7 @@
                 pool.connection_replaced(now, standing.id);
             }
         }
-        self.tell_roster(now, RosterEvent::Reached { node }, out);
+        self.handle_roster_event(now, RosterEvent::Reached { node }, out);
     }
 
     /// Updates the executors of a service in the crash registry if this node runs the service.
@@ -265,10 +265,10 @@
     ) {
         match message {
             PeerMessage::Guard(message) => {
-                self.tell_guard(now, GuardEvent::Message { from, message }, out);
+                self.handle_guard_event(now, GuardEvent::Message { from, message }, out);
             }
             PeerMessage::Share(message) => {
-                self.tell_shares(now, ShareEvent::Received { from, message }, out);
+                self.handle_share_event(now, ShareEvent::Received { from, message }, out);
             }
             PeerMessage::RosterDigest { digest } => self.on_digest(now, from, digest, out),
             PeerMessage::ShareList { members, left } => {
@@ -321,13 +321,13 @@
         }
     }
 
-    pub(crate) fn tell_shares(
+    pub(crate) fn handle_share_event(
         &mut self,
         now: Duration,
         event: ShareEvent,
         out: &mut Vec<NodeCommand>,
     ) {
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             return;
         }
         let mut commands = Vec::new();
@@ -336,7 +336,7 @@
     }
 
     pub(crate) fn tick_shares(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        if self.has_fleet_form() {
+        if self.uses_fleet_contract() {
             return;
         }
         let mut commands = Vec::new();
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -20,13 +20,13 @@
 use crate::dispatch::OVERDUE_AVOIDANCE;
 use crate::event::{LifeId, NodeEvent, UpstreamAnnouncement};
 use crate::fencing::FenceMark;
-use crate::fleet::{ContractForm, FleetState};
+use crate::fleet::{ContractMode, FleetState};
 use crate::health::ReportedHealth;
 use crate::joining::JoinState;
 use crate::leaving::LeavingRecords;
-use crate::meeting::MeetingState;
+use crate::meeting::DiscoveryState;
 use crate::quotas::QuotaState;
-use crate::repeats::RepeatPots;
+use crate::repeats::RepeatBudgets;
 use crate::request::{RequestState, WorkState};
 use crate::settings::EngineSettings;
 
@@ -59,7 +59,7 @@
     pub(crate) gate: SlotGate,
     pub(crate) breaker: UpstreamBreaker,
     /// Budget of repeats that the server may be given; `None` before the first repeat.
-    pub(crate) repeats: Option<RepeatPots>,
+    pub(crate) repeats: Option<RepeatBudgets>,
     /// Health last reported to the nodes of callers.
     pub(crate) told: Option<ReportedHealth>,
     /// Time at which the announcement expires unless renewed.
@@ -109,7 +109,7 @@
     pub(crate) table: Arc<RouteTable>,
     pub(crate) in_force: BTreeMap<CustomerIndex, ContractVersion>,
     pub(crate) fleet: FleetState,
-    pub(crate) meeting: MeetingState,
+    pub(crate) meeting: DiscoveryState,
     pub(crate) joining: JoinState,
     pub(crate) quotas: QuotaState,
     pub(crate) leavings: LeavingRecords,
@@ -190,12 +190,12 @@
         let roster = NodeRoster::new(settings.roster.clone(), own.clone(), seed);
         let quotas = QuotaState::new(settings.quota, seed);
         let fleet = FleetState::new(settings.first_start, seed);
-        let meeting = MeetingState::new(settings.first_start);
-        let recalls = settings.contracts == ContractForm::Fleet && !settings.first_start;
+        let meeting = DiscoveryState::new(settings.first_start);
+        let recalls = settings.contracts == ContractMode::Fleet && !settings.first_start;
         let leavings = if recalls {
             LeavingRecords::default()
         } else {
-            LeavingRecords::without_recall()
+            LeavingRecords::without_lookup()
         };
         Self {
             guard: GuardNode::new(identity, settings.guard.clone(), seed),
@@ -291,13 +291,13 @@
                 self.on_peer_message(now, from, message, out);
             }
             NodeEvent::DatagramReceived { from, message } => {
-                self.tell_roster(now, RosterEvent::Datagram { from, message }, out);
+                self.handle_roster_event(now, RosterEvent::Datagram { from, message }, out);
             }
             NodeEvent::SeedsFound(seeds) => {
-                self.tell_roster(now, RosterEvent::Seeds(seeds), out);
+                self.handle_roster_event(now, RosterEvent::Seeds(seeds), out);
             }
             NodeEvent::PeerUnreachable { node } => {
-                self.tell_roster(now, RosterEvent::Unreachable { node }, out);
+                self.handle_roster_event(now, RosterEvent::Unreachable { node }, out);
             }
             NodeEvent::PeerQuiet { node } => self.hold_node_off(now, node, OVERDUE_AVOIDANCE),
             NodeEvent::PeerReconnected { node } => self.on_reconnected(now, node, out),
@@ -315,14 +315,14 @@
             }
             NodeEvent::LogCurrent { stream, whole } => self.on_log_current(now, stream, whole, out),
             NodeEvent::LogGap { stream, first } => self.on_log_gap(now, stream, first, out),
-            NodeEvent::FleetContract(contract) => self.adopt_fleet(now, contract, None, out),
+            NodeEvent::FleetContract(contract) => self.apply_contract(now, contract, None, out),
             NodeEvent::DirectoryRead { entries } => self.on_directory_read(entries),
             NodeEvent::LogReachable(reachable) => self.on_log_reachable(now, reachable, out),
             NodeEvent::ContractReadBack { offset, bytes } => self.on_read_back(offset, &bytes),
             NodeEvent::DrainRequested => self.on_drain(now, out),
             NodeEvent::Departed => {
                 self.departed = true;
-                self.tell_roster(now, RosterEvent::Depart, out);
+                self.handle_roster_event(now, RosterEvent::Depart, out);
             }
         }
         self.check_drained(now, out);
@@ -335,7 +335,7 @@
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let timer = self.timers.first().map(|(at, ..)| *at);
-        let guard = self.guard_wake();
+        let guard = self.next_guard_wake();
         let roster = (!self.departed).then(|| self.roster.next_wake());
         [timer, guard, roster]
             .into_iter()
@@ -364,7 +364,7 @@
     /// Returns whether requests can be served: contracts are known and the node is not leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.draining.is_none() && self.knows_contracts()
+        self.draining.is_none() && self.has_contracts()
     }
 
     /// Returns the number of requests and pieces of work in flight.
@@ -379,8 +379,8 @@
             let seeds = std::mem::take(&mut self.initial_seeds);
             // Under a fleet contract the seeds come from a directory. If an empty list counted as
             // joined, the node would receive the whole membership only slowly.
-            if !seeds.is_empty() || !self.has_fleet_form() {
-                self.tell_roster(now, RosterEvent::Seeds(seeds), out);
+            if !seeds.is_empty() || !self.uses_fleet_contract() {
+                self.handle_roster_event(now, RosterEvent::Seeds(seeds), out);
             }
             let member = ShareMember {
                 instance: self.own.instance,
@@ -391,10 +391,10 @@
         }
         self.run_timers(now, out);
         if self.roster.next_wake() <= now {
-            self.tell_roster(now, RosterEvent::Tick, out);
+            self.handle_roster_event(now, RosterEvent::Tick, out);
         }
-        if self.guard_wake().is_some_and(|at| at <= now) {
-            self.tell_guard(now, sycamorelink_guard::GuardEvent::Tick, out);
+        if self.next_guard_wake().is_some_and(|at| at <= now) {
+            self.handle_guard_event(now, sycamorelink_guard::GuardEvent::Tick, out);
         }
         if now < self.next_tick {
             return;
@@ -408,18 +408,18 @@
         self.tick_gates(now, out);
         self.tick_crash(now, out);
         self.forget_fences(now);
-        self.lapse_upstreams(now, out);
-        if self.has_fleet_form() {
+        self.expire_upstreams(now, out);
+        if self.uses_fleet_contract() {
             self.tick_leavings(now, out);
-            self.tick_meeting(now, out);
+            self.tick_discovery(now, out);
             self.tick_joining(now, out);
-            self.choose_follower(now, out);
+            self.update_following(now, out);
             self.tick_contact(now, out);
-            self.pull_fleet(now, out);
+            self.pull_fleet_contract(now, out);
             self.tick_quotas(now, out);
             self.tick_holder_counts(now);
         } else {
-            self.keep_contracts(now, out);
+            self.maintain_contracts(now, out);
             self.pull_contracts(now, out);
         }
     }
@@ -446,8 +446,8 @@
             return;
         }
         self.draining = Some(now);
-        self.tell_roster(now, RosterEvent::Leave, out);
-        self.tell_guard(now, sycamorelink_guard::GuardEvent::DrainRequested, out);
+        self.handle_roster_event(now, RosterEvent::Leave, out);
+        self.handle_guard_event(now, sycamorelink_guard::GuardEvent::DrainRequested, out);
     }
 
     /// Reports `Drained` once a leaving node can stop safely.
@@ -470,7 +470,7 @@
         let peers_informed =
             now >= since + LEAVE_PROPAGATION_TIME && now >= self.last_request + LEAVE_QUIET_TIME;
         let idle = self.requests.is_empty() && self.works.is_empty();
-        let seats_settled = self.has_fleet_form()
+        let seats_settled = self.uses_fleet_contract()
             || self.handover == HandoverState::SeatsGiven
             || self.roster.member_count() < 2
             || self.leaving_ticks >= HANDOVER_TICKS;
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -85,7 +85,7 @@
         let leaning = rule
             .map(|rule| leaning_of(rule.leaning))
             .unwrap_or_default();
-        let settings = if self.has_fleet_form() {
+        let settings = if self.uses_fleet_contract() {
             self.fleet_pool_settings()
         } else {
             PoolSettings::for_leaning(leaning)
@@ -94,7 +94,7 @@
         if let Some(rule) = rule {
             pool.set_floor(rule.floor, rule.floor_count);
         }
-        if self.has_fleet_form() && self.settings.policy.is_on(PolicyMechanism::NearFirst) {
+        if self.uses_fleet_contract() && self.settings.policy.is_on(PolicyMechanism::NearFirst) {
             pool.prefer_domain(self.own.domain.clone());
         }
         self.pools.insert(service.clone(), pool);
@@ -125,7 +125,7 @@
 
     pub(crate) fn tick_pools(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         self.drop_idle_pools(now);
-        let fleet = self.has_fleet_form();
+        let fleet = self.uses_fleet_contract();
         let mut findings = Vec::new();
         let mut reports: Vec<(ServiceName, Vec<UpstreamEvidence>)> = Vec::new();
         for (service, pool) in &mut self.pools {
--- a/crates/engine/src/quotas.rs
+++ b/crates/engine/src/quotas.rs
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns a refusal with the time until the next request is admitted.
-    pub(crate) fn take_quota(
+    pub(crate) fn withdraw_quota(
         &mut self,
         now: Duration,
         account: &AccountRule,
@@ -100,7 +100,7 @@
     }
 
     /// Refunds the quota of a request that was refused without having run.
-    pub(crate) fn give_quota_back(&mut self, state: &RequestState, refusal: &RequestRefusal) {
+    pub(crate) fn refund_quota(&mut self, state: &RequestState, refusal: &RequestRefusal) {
         if refusal.run != RunState::NotRun {
             return;
         }
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -38,7 +38,7 @@
 
 /// Budgets for the repeats that a backend server may receive.
 #[derive(Debug)]
-pub(crate) struct RepeatPots {
+pub(crate) struct RepeatBudgets {
     /// Budget for repeats of all work.
     all: RetryBudget,
     /// Additional budget for repeats of work that makes calls; these are withdrawn from both.
@@ -54,7 +54,7 @@
     pub left: u64,
 }
 
-impl RepeatPots {
+impl RepeatBudgets {
     fn new(settings: &BudgetSettings) -> Self {
         let calling = BudgetSettings {
             percent: settings.percent * CALLING_PERCENT / 100,
@@ -70,7 +70,7 @@
 impl NodeEngine {
     /// Returns whether executors count the repeats sent to their backend servers.
     pub(crate) fn counts_repeats_at_executor(&self) -> bool {
-        self.has_fleet_form() && self.settings.policy.is_on(PolicyMechanism::BesideBudget)
+        self.uses_fleet_contract() && self.settings.policy.is_on(PolicyMechanism::BesideBudget)
     }
 
     /// Withdraws a repeat from the budget of a server. Returns false if none is left.
@@ -84,7 +84,7 @@
     /// look-ups only: the calls of the repeated look-ups would exceed the bound of a smaller
     /// service that they call. With the second budget, calls of repeats are as small a fraction of
     /// all calls as repeats are of requests.
-    pub(crate) fn take_repeat(&mut self, now: Duration, slot: u16, kind: u64) -> bool {
+    pub(crate) fn withdraw_repeat(&mut self, now: Duration, slot: u16, kind: u64) -> bool {
         if !self.counts_repeats_at_executor() {
             return true;
         }
@@ -118,7 +118,7 @@
     }
 
     /// Refunds the repeat of work that is not forwarded to its server.
-    pub(crate) fn return_repeat(&mut self, now: Duration, work: WorkId) {
+    pub(crate) fn refund_repeat(&mut self, now: Duration, work: WorkId) {
         let state = self.works.get(&work);
         let unused = state.filter(|state| {
             state.offer.arrival == ArrivalKind::Repeat && state.phase != WorkPhase::Running
@@ -197,7 +197,7 @@
     }
 
     /// Returns the repeat budgets of a backend server, with their part of the slack updated.
-    fn repeat_budgets(&mut self, now: Duration, slot: u16) -> Option<&mut RepeatPots> {
+    fn repeat_budgets(&mut self, now: Duration, slot: u16) -> Option<&mut RepeatBudgets> {
         let service = self.upstreams.get(&slot)?.announced.service.clone();
         let part = self.budget_part(now, &service);
         let (contract, _) = self.fleet.current.as_ref()?;
@@ -209,7 +209,7 @@
         let upstream = self.upstreams.get_mut(&slot)?;
         let budgets = upstream
             .repeats
-            .get_or_insert_with(|| RepeatPots::new(&settings));
+            .get_or_insert_with(|| RepeatBudgets::new(&settings));
         budgets.all.set_part(part);
         // Repeats of work that makes calls get half of the slack. Guards against slack that is used
         // twice: for a service's own repeats, and for the calls of another service's repeats.
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -10,7 +10,7 @@
 use sycamorelink_policy::PolicySettings;
 use sycamorelink_roster::RosterSettings;
 
-use crate::fleet::ContractForm;
+use crate::fleet::ContractMode;
 
 /// Default time for which a leaving node accepts callers' requests. Callers that check its
 /// readiness every second have switched to another node by then.
@@ -22,7 +22,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
     /// Where the contracts come from.
-    pub contracts: ContractForm,
+    pub contracts: ContractMode,
     /// Whether the whole fleet starts for the first time, so that there are no callers yet.
     pub first_start: bool,
     /// How long a leaving node still accepts callers' requests; after that they are refused.
@@ -60,7 +60,7 @@
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
-            contracts: ContractForm::default(),
+            contracts: ContractMode::default(),
             first_start: false,
             leave_serving: LEAVE_SERVING,
             roster: RosterSettings::default(),
--- a/crates/engine/tests/session/world.rs
+++ b/crates/engine/tests/session/world.rs
@@ -19,7 +19,7 @@
     AttemptId, CustomerName, InstanceId, NodeId, NodeIncarnation, RequestId, RunState, ServiceName,
 };
 use sycamorelink_engine::{
-    AttemptOrder, AttemptReport, CallerRequest, ContractForm, EngineSettings, LogEntry, LogStream,
+    AttemptOrder, AttemptReport, CallerRequest, ContractMode, EngineSettings, LogEntry, LogStream,
     NodeCommand, NodeEngine, NodeEvent, PeerMessage, UpstreamAnnouncement, WorkEnd, WorkOffer,
     WorkReport,
 };
@@ -275,7 +275,7 @@
             ..EngineSettings::default()
         };
         if self.fleet.is_some() || self.first_start {
-            settings.contracts = ContractForm::Fleet;
+            settings.contracts = ContractMode::Fleet;
             settings.gate.warm_up = Duration::ZERO;
         }
         if let Some(bytes) = self.gossip_bytes {
