--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -95,12 +95,12 @@
             | NodeNote::IncarnationRaised(_)
             | NodeNote::Superseded(_) => self.record_member_change(now, note),
             NodeNote::ContractAccepted { .. }
-            | NodeNote::FleetContractTaken { .. }
+            | NodeNote::FleetContractAdopted { .. }
             | NodeNote::SourceFollowed { .. }
             | NodeNote::ContractRejected { .. }
             | NodeNote::PoisonRecord { .. }
-            | NodeNote::ContractsCarried { .. }
-            | NodeNote::CarriesLate { .. }
+            | NodeNote::ContractsCarriedForward { .. }
+            | NodeNote::CarriesOverdue { .. }
             | NodeNote::ContractsBehind { .. }
             | NodeNote::ContractsAdopted { .. } => self.record_contracts(note),
             NodeNote::ContractFinding(finding) => {
@@ -125,7 +125,7 @@
             NodeNote::UpstreamCrashed { id, service } => {
                 self.emit_upstream(EventCode::CrashSuspected, id, service);
             }
-            NodeNote::BreakerTurned {
+            NodeNote::BreakerChanged {
                 id,
                 service,
                 suspect,
@@ -233,14 +233,14 @@
                 let fields = EventFields::new().customer(customer).version(version);
                 self.emit(EventCode::ContractInForce, &fields.offset(offset));
             }
-            NodeNote::FleetContractTaken {
+            NodeNote::FleetContractAdopted {
                 version,
                 before,
                 from,
-                heard_ago,
+                known_for,
             } => {
                 let reason =
-                    heard_ago.map(|age| format!("first heard of {}ms ago", age.as_millis()));
+                    known_for.map(|age| format!("first heard of {}ms ago", age.as_millis()));
                 let mut fields = EventFields::new().version(version).limit(before);
                 if let Some(from) = from {
                     fields = fields.peer(from);
@@ -267,11 +267,11 @@
                 let fields = EventFields::new().offset(offset).reason(reason);
                 self.emit(EventCode::PoisonRecord, &fields);
             }
-            NodeNote::ContractsCarried { offset } => {
+            NodeNote::ContractsCarriedForward { offset } => {
                 let fields = EventFields::new().offset(offset);
                 self.emit(EventCode::ContractCarried, &fields);
             }
-            NodeNote::CarriesLate { late } => {
+            NodeNote::CarriesOverdue { late } => {
                 self.emit(EventCode::CarryOverdue, &EventFields::new().count(late));
             }
             NodeNote::ContractsBehind { offset, head } => self.record_lag(*offset, *head),
--- a/crates/daemon/src/work/attempt.rs
+++ b/crates/daemon/src/work/attempt.rs
@@ -104,7 +104,9 @@
             context
                 .send_event(NodeEvent::PeerUnreachable { node })
                 .await;
-            context.send_event(NodeEvent::PeerQuiet { node }).await;
+            context
+                .send_event(NodeEvent::PeerUnresponsive { node })
+                .await;
             Some(AttemptFailure::of(
                 SampleKind::ConnectionLost,
                 RunState::NotRun,
--- a/crates/daemon/src/work/executor.rs
+++ b/crates/daemon/src/work/executor.rs
@@ -273,7 +273,7 @@
     /// connection, which must not lead to the ejection of a healthy server.
     async fn classify(&self, address: SocketAddr, silent: bool) -> WorkEnd {
         let work = self.work;
-        send_event(&self.context, NodeEvent::WorkBroke { work }).await;
+        send_event(&self.context, NodeEvent::WorkConnectionLost { work }).await;
         if silent {
             self.context.backends.discard_idle(self.slot);
         }
--- a/crates/daemon/src/work/thread.rs
+++ b/crates/daemon/src/work/thread.rs
@@ -214,7 +214,7 @@
         tokio::time::sleep(QUIET_CHECK_INTERVAL).await;
         for peer in context.peers.quiet_peers(QUIET_LIMIT) {
             context
-                .send_event(NodeEvent::PeerQuiet { node: peer.node })
+                .send_event(NodeEvent::PeerUnresponsive { node: peer.node })
                 .await;
         }
     }
--- a/crates/engine/src/agreement.rs
+++ b/crates/engine/src/agreement.rs
@@ -98,7 +98,7 @@
         }
         let message = PeerMessage::ShareList {
             members: self.share_members.values().cloned().collect(),
-            left: self.share_left.iter().copied().collect(),
+            left: self.departed_share_members.iter().copied().collect(),
         };
         self.send_peer(to, message, out);
     }
@@ -128,7 +128,7 @@
 
     /// Returns whether this instance of a node, or a later one, has left.
     fn has_left(&self, instance: InstanceId) -> bool {
-        let left = self.share_left.range(instance..).next();
+        let left = self.departed_share_members.range(instance..).next();
         left.is_some_and(|left| left.node == instance.node)
     }
 
@@ -142,9 +142,9 @@
         if known.is_some_and(|member| member.instance.incarnation <= instance.incarnation) {
             self.share_members.remove(&node);
         }
-        self.share_left.insert(instance);
-        if self.share_left.len() > MAX_LEFT_INSTANCES {
-            self.share_left.pop_first();
+        self.departed_share_members.insert(instance);
+        if self.departed_share_members.len() > MAX_LEFT_INSTANCES {
+            self.departed_share_members.pop_first();
         }
     }
 
--- a/crates/engine/src/announcing.rs
+++ b/crates/engine/src/announcing.rs
@@ -31,7 +31,7 @@
             self.replicate_leaving(&announced, out);
         }
         let slot = announced.slot;
-        let lapses = now + self.settings.announcement;
+        let expires_at = now + self.settings.announcement;
         let mut known = self.upstreams.remove(&slot);
         if let Some(known) = &mut known {
             known.end_if_replaced(&announced);
@@ -66,7 +66,7 @@
             upstream.life += 1;
             upstream.up = true;
         }
-        upstream.lapses = lapses;
+        upstream.expires_at = expires_at;
         upstream.ended = ended.unwrap_or_default();
         upstream.announced = announced;
         let facts = facts_of(&upstream.announced);
@@ -204,7 +204,7 @@
             .filter(|(_, work)| work.offer.slot == slot && work.phase == WorkPhase::Queued);
         let queued: Vec<WorkId> = queued.map(|(work, _)| *work).collect();
         for work in queued {
-            self.refuse_gated(now, work, code, None, out);
+            self.refuse_unstarted(now, work, code, None, out);
         }
     }
 
@@ -222,7 +222,7 @@
                 .use_run_ages(self.settings.policy.is_on(PolicyMechanism::OpenRuns)),
             told: None,
             repeats: None,
-            lapses: now,
+            expires_at: now,
             closes: None,
             life: 0,
             up: true,
@@ -304,7 +304,7 @@
         let expired: Vec<u16> = self
             .upstreams
             .iter()
-            .filter(|(_, upstream)| upstream.up && upstream.lapses <= now)
+            .filter(|(_, upstream)| upstream.up && upstream.expires_at <= now)
             .map(|(slot, _)| *slot)
             .collect();
         for slot in expired {
--- a/crates/engine/src/budgets.rs
+++ b/crates/engine/src/budgets.rs
@@ -9,7 +9,7 @@
 
 use crate::command::NodeCommand;
 use crate::event::AttemptReport;
-use crate::node::{BudgetPair, NodeEngine};
+use crate::node::{CustomerBudgets, NodeEngine};
 use crate::note::NodeNote;
 use crate::request::RequestState;
 
@@ -74,7 +74,7 @@
         &mut self,
         now: Duration,
         id: RequestId,
-        choose: fn(&mut BudgetPair) -> &mut RetryBudget,
+        choose: fn(&mut CustomerBudgets) -> &mut RetryBudget,
         out: &mut Vec<NodeCommand>,
     ) -> bool {
         let part = self.retry_part(now);
@@ -98,10 +98,10 @@
 pub(crate) fn budget_entry<'a>(
     budgets: &'a mut std::collections::BTreeMap<
         (CustomerIndex, sycamorelink_core::ServiceName),
-        BudgetPair,
+        CustomerBudgets,
     >,
     state: &RequestState,
-) -> &'a mut BudgetPair {
+) -> &'a mut CustomerBudgets {
     let key = (state.customer, state.rule.service.clone());
     budgets.entry(key).or_insert_with(|| {
         let terms = &state.rule.terms;
@@ -121,7 +121,7 @@
             minimum_per_second: 0,
             ..retries.clone()
         };
-        BudgetPair {
+        CustomerBudgets {
             retries: RetryBudget::new(&retries),
             resends: RetryBudget::new(&resends),
             hedges: RetryBudget::new(&hedges),
--- a/crates/engine/src/contracts.rs
+++ b/crates/engine/src/contracts.rs
@@ -220,7 +220,7 @@
         let due = self.book.due_carries(&window);
         let late = due.late;
         if late > 0 {
-            out.push(NodeCommand::Note(NodeNote::CarriesLate { late }));
+            out.push(NodeCommand::Note(NodeNote::CarriesOverdue { late }));
         }
         if !self.log_reachable {
             return;
@@ -271,7 +271,7 @@
             version,
         }),
         ApplyOutcome::Rejected { reason, .. } => Some(rejection_of(offset, &reason)),
-        ApplyOutcome::Carried(_) => Some(NodeNote::ContractsCarried { offset }),
+        ApplyOutcome::Carried(_) => Some(NodeNote::ContractsCarriedForward { offset }),
         ApplyOutcome::Repeated { .. }
         | ApplyOutcome::Deferred { .. }
         | ApplyOutcome::Skipped
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -29,11 +29,11 @@
 /// round trip.
 const FORCE_AFTER_REFUSALS: usize = 3;
 /// Time in which no new work goes to an instance with an overdue heartbeat answer.
-/// `PeerQuiet` events repeat while the answer is overdue.
+/// `PeerUnresponsive` events repeat while the answer is overdue.
 pub(crate) const OVERDUE_AVOIDANCE: Duration = Duration::from_millis(300);
 /// Time in which no new work goes to an instance that the membership suspects. Long enough for the
 /// membership to find the instance dead or alive.
-pub(crate) const SUSPECT_FOR: Duration = Duration::from_secs(2);
+pub(crate) const SUSPECT_AVOIDANCE: Duration = Duration::from_secs(2);
 /// Time in which an upstream that rejected work is not selected again, where upstreams are not
 /// selected by cost: half of the usual interval between two trials there.
 const REJECTION_AVOIDANCE: Duration = Duration::from_millis(800);
@@ -45,7 +45,7 @@
 
 impl NodeEngine {
     /// Selects an upstream that was not tried yet, and returns it with the instance beside it.
-    pub(crate) fn choose(
+    pub(crate) fn select_upstream(
         &mut self,
         now: Duration,
         id: RequestId,
@@ -97,7 +97,7 @@
     /// silent. Work sent in that second ends with an unknown outcome, so an instance with an
     /// overdue answer gets no new work. Its connections and the work on them stay untouched, so a
     /// mere pause has no further cost.
-    pub(crate) fn hold_node_off(&mut self, now: Duration, node: NodeId, hold: Duration) {
+    pub(crate) fn avoid_node(&mut self, now: Duration, node: NodeId, hold: Duration) {
         if !self.uses_fleet_contract() {
             return;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Selects the upstreams of a node again after the membership found a suspected node alive.
-    pub(crate) fn hold_no_more(&mut self, node: NodeId) {
+    pub(crate) fn stop_avoiding_node(&mut self, node: NodeId) {
         self.avoided_upstreams
             .retain(|upstream, _| upstream.node != node);
     }
@@ -167,7 +167,7 @@
         id: RequestId,
         out: &mut Vec<NodeCommand>,
     ) {
-        let Some((upstream, _)) = self.choose(now, id) else {
+        let Some((upstream, _)) = self.select_upstream(now, id) else {
             self.refuse_no_upstream(now, id, out);
             return;
         };
@@ -272,7 +272,7 @@
         if state.open.len() != 1 || state.has_reached_run_limit() {
             return;
         }
-        let Some((upstream, _)) = self.choose(now, id) else {
+        let Some((upstream, _)) = self.select_upstream(now, id) else {
             return;
         };
         let Some(state) = self.requests.get(&id) else {
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -199,12 +199,12 @@
         out: &mut Vec<NodeCommand>,
     ) {
         let next = self.forced_upstream(now, id).or_else(|| {
-            let chosen = self.choose(now, id);
+            let chosen = self.select_upstream(now, id);
             chosen.map(|(upstream, _)| upstream)
         });
         match next.or_else(|| self.last_refusing_upstream(id)) {
             Some(upstream) => self.dispatch(now, id, upstream, out),
-            None => self.give_answer(now, id, report, out),
+            None => self.send_final_answer(now, id, report, out),
         }
     }
 
@@ -217,11 +217,11 @@
         out: &mut Vec<NodeCommand>,
     ) {
         let last = self.requests.get(&id).and_then(|state| state.last.clone());
-        self.give_answer(now, id, &last.unwrap_or_else(|| report.clone()), out);
+        self.send_final_answer(now, id, &last.unwrap_or_else(|| report.clone()), out);
     }
 
     /// Sends the final answer after a failed attempt.
-    pub(crate) fn give_answer(
+    pub(crate) fn send_final_answer(
         &mut self,
         now: Duration,
         id: RequestId,
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -46,7 +46,7 @@
     },
     /// The connection that carried work was lost. `WorkEnded` follows once it is known whether the
     /// backend server is alive.
-    WorkBroke {
+    WorkConnectionLost {
         /// Id of the work, as given in its offer.
         work: WorkId,
     },
@@ -72,7 +72,7 @@
         node: NodeId,
     },
     /// A peer has not answered a heartbeat in time. Its connection is kept for now.
-    PeerQuiet {
+    PeerUnresponsive {
         /// Node id of the peer.
         node: NodeId,
     },
--- a/crates/engine/src/executor.rs
+++ b/crates/engine/src/executor.rs
@@ -165,7 +165,7 @@
             GateDecision::Run => self.start_work(now, work, out),
             GateDecision::Queued => {}
             GateDecision::Refused { code, retry_after } => {
-                self.refuse_gated(now, work, code, retry_after, out);
+                self.refuse_unstarted(now, work, code, retry_after, out);
             }
         }
     }
@@ -220,7 +220,7 @@
 
     /// Refuses work that the gate did not accept. For keyed work the guard records that the work
     /// has not run, so that it may run elsewhere.
-    pub(crate) fn refuse_gated(
+    pub(crate) fn refuse_unstarted(
         &mut self,
         now: Duration,
         work: WorkId,
@@ -404,7 +404,7 @@
                     code,
                     retry_after,
                 } => {
-                    self.refuse_gated(now, work, code, retry_after, out);
+                    self.refuse_unstarted(now, work, code, retry_after, out);
                 }
             }
         }
--- a/crates/engine/src/fencing.rs
+++ b/crates/engine/src/fencing.rs
@@ -96,7 +96,7 @@
         }
         state.phase = RequestPhase::Dispatched;
         if begun || number.is_none() {
-            self.give_answer(now, id, &report, out);
+            self.send_final_answer(now, id, &report, out);
             return;
         }
         state.uncertain = state.uncertain.saturating_sub(1);
@@ -126,7 +126,7 @@
             }
             // The peer does not receive this refusal, because the connection it would use is the
             // broken one.
-            self.refuse_gated(now, work, RefusalCode::Draining, None, out);
+            self.refuse_unstarted(now, work, RefusalCode::Draining, None, out);
         }
         let begun = self.fence_mark(attempt) == Some(FenceMark::Begun);
         if !begun {
--- a/crates/engine/src/fleet.rs
+++ b/crates/engine/src/fleet.rs
@@ -264,11 +264,11 @@
         }
         let table = Arc::new(FleetTable::new(&contract));
         self.fleet.current = Some((contract, table));
-        out.push(NodeCommand::Note(NodeNote::FleetContractTaken {
+        out.push(NodeCommand::Note(NodeNote::FleetContractAdopted {
             version,
             before,
             from,
-            heard_ago: self.fleet.announced_ago(now, version),
+            known_for: self.fleet.announced_ago(now, version),
         }));
         self.fleet.forget_missing(now);
         self.refresh_fleet_pools();
--- a/crates/engine/src/guarding.rs
+++ b/crates/engine/src/guarding.rs
@@ -91,7 +91,7 @@
                 };
                 self.refuse_attempt(now, attempt, refusal, out);
             }
-            GuardCommand::Drained => self.handover = HandoverState::SeatsGiven,
+            GuardCommand::Drained => self.handover = HandoverState::SeatsHandedOver,
             GuardCommand::Note(note) => out.push(NodeCommand::Note(NodeNote::Guard(note))),
         }
     }
@@ -192,7 +192,7 @@
         report: Option<&AttemptReport>,
         out: &mut Vec<NodeCommand>,
     ) {
-        let Some((upstream, executor)) = self.choose(now, id) else {
+        let Some((upstream, executor)) = self.select_upstream(now, id) else {
             self.settle_guard(now, id, DispatchOutcome::NotRun, out);
             let refusal =
                 report.map_or(RequestRefusal::not_run(RefusalCode::NoUpstream), |report| {
@@ -240,7 +240,7 @@
         match report.run {
             RunState::Ran => {
                 self.settle_guard(now, id, DispatchOutcome::Ran, out);
-                self.give_answer(now, id, report, out);
+                self.send_final_answer(now, id, report, out);
             }
             RunState::NotRun => self.on_keyed_refusal(now, id, report, out),
             RunState::Unknown if may_be_known_to_executor(report.kind) => {
@@ -251,7 +251,7 @@
             }
             RunState::Unknown => {
                 self.settle_guard(now, id, DispatchOutcome::Unknown, out);
-                self.give_answer(now, id, report, out);
+                self.send_final_answer(now, id, report, out);
             }
         }
     }
@@ -276,7 +276,7 @@
             self.redirect(now, id, Some(report), out);
         } else {
             self.settle_guard(now, id, DispatchOutcome::NotRun, out);
-            self.give_answer(now, id, report, out);
+            self.send_final_answer(now, id, report, out);
         }
     }
 
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -102,7 +102,7 @@
         out: &mut Vec<NodeCommand>,
     ) {
         if to.node == self.own.instance.node {
-            self.on_standing(now, id, service, load, out);
+            self.on_upstream_health(now, id, service, load, out);
             return;
         }
         let message = PeerMessage::Standing {
@@ -157,7 +157,7 @@
         let service = upstream.announced.service.clone();
         let id = upstream_id(self.own.instance, slot);
         if suspicion_changed {
-            out.push(NodeCommand::Note(NodeNote::BreakerTurned {
+            out.push(NodeCommand::Note(NodeNote::BreakerChanged {
                 id,
                 service: service.clone(),
                 suspect: standing.suspect,
@@ -166,7 +166,7 @@
             }));
         }
         let load = self.load_of(slot);
-        self.on_standing(now, id, &service, load, out);
+        self.on_upstream_health(now, id, &service, load, out);
         if self.settings.policy.is_on(PolicyMechanism::ToldStandings) {
             self.send_health_to_callers(id, &service, load, out);
         }
@@ -189,7 +189,7 @@
             if let Some(upstream) = self.upstreams.get_mut(&slot) {
                 upstream.gate.cancel(now, work);
             }
-            self.refuse_gated(now, work, RefusalCode::UpstreamSuspect, None, out);
+            self.refuse_unstarted(now, work, RefusalCode::UpstreamSuspect, None, out);
         }
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Processes the health report of the node beside an upstream.
-    pub(crate) fn on_standing(
+    pub(crate) fn on_upstream_health(
         &mut self,
         now: Duration,
         id: UpstreamId,
@@ -248,7 +248,7 @@
         });
         let waiting: Vec<RequestId> = waiting.map(|(request, _)| *request).collect();
         for request in waiting {
-            let Some((upstream, _)) = self.choose(now, request) else {
+            let Some((upstream, _)) = self.select_upstream(now, request) else {
                 return;
             };
             let Some(state) = self.requests.get(&request) else {
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -296,7 +296,7 @@
         fingerprint: KeyFingerprint,
         out: &mut Vec<NodeCommand>,
     ) {
-        let chosen = self.choose(now, id);
+        let chosen = self.select_upstream(now, id);
         let own = self.own.instance;
         let Some(state) = self.requests.get_mut(&id) else {
             return;
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::command::NodeCommand;
-use crate::dispatch::SUSPECT_FOR;
+use crate::dispatch::SUSPECT_AVOIDANCE;
 use crate::message::{ContractAsk, PeerMessage};
 use crate::node::NodeEngine;
 use crate::note::NodeNote;
@@ -122,9 +122,9 @@
             RosterCommand::Note(note) => {
                 match &note {
                     RosterNote::Suspected { instance, .. } => {
-                        self.hold_node_off(now, instance.node, SUSPECT_FOR);
+                        self.avoid_node(now, instance.node, SUSPECT_AVOIDANCE);
                     }
-                    RosterNote::Cleared { instance } => self.hold_no_more(instance.node),
+                    RosterNote::Cleared { instance } => self.stop_avoiding_node(instance.node),
                     _ => {}
                 }
                 out.push(NodeCommand::Note(NodeNote::Roster(note)));
@@ -283,7 +283,7 @@
             // Only the executor of an upstream may report its load.
             PeerMessage::Standing { service, id, load } => {
                 if id.node == from.node {
-                    self.on_standing(now, id, &service, load, out);
+                    self.on_upstream_health(now, id, &service, load, out);
                 }
             }
             PeerMessage::FenceAsk { attempt } => self.on_fence_ask(now, from, attempt, out),
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -45,7 +45,7 @@
 
 /// Retry, resend and hedge budgets of one customer at one service.
 #[derive(Debug)]
-pub(crate) struct BudgetPair {
+pub(crate) struct CustomerBudgets {
     pub(crate) retries: RetryBudget,
     /// Budget for new attempts after the backend server declined to run one.
     pub(crate) resends: RetryBudget,
@@ -63,7 +63,7 @@
     /// Health last reported to the nodes of callers.
     pub(crate) told: Option<ReportedHealth>,
     /// Time at which the announcement expires unless renewed.
-    pub(crate) lapses: Duration,
+    pub(crate) expires_at: Duration,
     /// Time from which a leaving backend server accepts no more work.
     pub(crate) closes: Option<Duration>,
     /// Number of lives of the backend server so far.
@@ -94,7 +94,7 @@
     #[default]
     SeatsHeld,
     /// The guard seats are handed over.
-    SeatsGiven,
+    SeatsHandedOver,
     /// Nothing is in flight either, and the daemon was notified.
     Drained,
 }
@@ -121,7 +121,7 @@
     pub(crate) pools: BTreeMap<ServiceName, ServicePool>,
     /// Time of the latest request for each service.
     pub(crate) pool_used: BTreeMap<ServiceName, Duration>,
-    pub(crate) budgets: BTreeMap<(CustomerIndex, ServiceName), BudgetPair>,
+    pub(crate) budgets: BTreeMap<(CustomerIndex, ServiceName), CustomerBudgets>,
     pub(crate) upstreams: BTreeMap<u16, LocalUpstream>,
     /// Attempts that were started or refused here, and when each entry expires.
     pub(crate) fences: BTreeMap<AttemptId, (FenceMark, Duration)>,
@@ -146,7 +146,7 @@
     pub(crate) share_members: BTreeMap<NodeId, ShareMember>,
     /// Instances that announced their departure. Kept so that a peer that missed the announcement
     /// does not add them again.
-    pub(crate) share_left: BTreeSet<InstanceId>,
+    pub(crate) departed_share_members: BTreeSet<InstanceId>,
     pub(crate) roster_version: u64,
     pub(crate) roster_settled: u64,
     pub(crate) roster_changed_at: Duration,
@@ -238,7 +238,7 @@
             wall,
             heads: BTreeMap::new(),
             share_members: BTreeMap::new(),
-            share_left: BTreeSet::new(),
+            departed_share_members: BTreeSet::new(),
             roster_version: 1,
             roster_settled: 0,
             roster_changed_at: Duration::ZERO,
@@ -285,7 +285,7 @@
             NodeEvent::AttemptEnded(report) => self.on_attempt_ended(now, &report, out),
             NodeEvent::WorkOffered(offer) => self.on_work_offered(now, offer, out),
             NodeEvent::WorkCancelled { work } => self.on_work_cancelled(now, work, out),
-            NodeEvent::WorkBroke { work } => self.on_work_connection_lost(now, work, out),
+            NodeEvent::WorkConnectionLost { work } => self.on_work_connection_lost(now, work, out),
             NodeEvent::WorkEnded(report) => self.on_work_ended(now, &report, out),
             NodeEvent::PeerReceived { from, message } => {
                 self.on_peer_message(now, from, message, out);
@@ -299,7 +299,7 @@
             NodeEvent::PeerUnreachable { node } => {
                 self.handle_roster_event(now, RosterEvent::Unreachable { node }, out);
             }
-            NodeEvent::PeerQuiet { node } => self.hold_node_off(now, node, OVERDUE_AVOIDANCE),
+            NodeEvent::PeerUnresponsive { node } => self.avoid_node(now, node, OVERDUE_AVOIDANCE),
             NodeEvent::PeerReconnected { node } => self.on_reconnected(now, node, out),
             NodeEvent::UpstreamAnnounced(announced) => self.on_announced(now, announced, out),
             NodeEvent::UpstreamWithdrawn { slot, life } => {
@@ -471,7 +471,7 @@
             now >= since + LEAVE_PROPAGATION_TIME && now >= self.last_request + LEAVE_QUIET_TIME;
         let idle = self.requests.is_empty() && self.works.is_empty();
         let seats_settled = self.uses_fleet_contract()
-            || self.handover == HandoverState::SeatsGiven
+            || self.handover == HandoverState::SeatsHandedOver
             || self.roster.member_count() < 2
             || self.leaving_ticks >= HANDOVER_TICKS;
         if peers_informed && idle && seats_settled {
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -190,7 +190,7 @@
         took: Duration,
     },
     /// The breaker beside an upstream began or ended to reject work.
-    BreakerTurned {
+    BreakerChanged {
         /// Id of the upstream.
         id: UpstreamId,
         /// Service of the upstream.
@@ -203,7 +203,7 @@
         odds: f64,
     },
     /// A newer fleet contract is in force.
-    FleetContractTaken {
+    FleetContractAdopted {
         /// Version now in force.
         version: u64,
         /// Version that was replaced; 0 for none.
@@ -212,7 +212,7 @@
         from: Option<InstanceId>,
         /// Time since this node first learned of the version; `None` unless it is the newest known
         /// version.
-        heard_ago: Option<Duration>,
+        known_for: Option<Duration>,
     },
     /// This node started or stopped following the source of fleet contracts.
     SourceFollowed {
@@ -238,13 +238,13 @@
         reason: String,
     },
     /// Contracts that were carried forward were read from the log.
-    ContractsCarried {
+    ContractsCarriedForward {
         /// Offset of the record in the contract stream.
         offset: u64,
     },
     /// Contracts will soon be dropped by the log and were not carried forward. Repeated at each
     /// check while this lasts.
-    CarriesLate {
+    CarriesOverdue {
         /// Number of these contracts.
         late: usize,
     },
--- a/crates/engine/tests/session/audit.rs
+++ b/crates/engine/tests/session/audit.rs
@@ -40,12 +40,12 @@
     replies: BTreeMap<Arc<str>, Arc<[u8]>>,
     leaving: BTreeMap<NodeId, Duration>,
     /// Nodes whose state may be outdated because of injected faults, and until when.
-    pub disturbed: BTreeMap<NodeId, Duration>,
+    pub outdated_until: BTreeMap<NodeId, Duration>,
     /// Nodes that reported themselves drained.
     pub drained: BTreeSet<NodeId>,
     versions: BTreeMap<NodeId, ContractVersion>,
     below_floor_since: BTreeMap<NodeId, Duration>,
-    wrongs: Vec<String>,
+    violations: Vec<String>,
     checking: bool,
 }
 
@@ -62,14 +62,14 @@
     }
 
     /// Returns the violations, oldest first.
-    pub fn wrongs(&self) -> &[String] {
-        &self.wrongs
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
     /// Adds a violation.
     pub fn wrong(&mut self, text: String) {
         if self.checking {
-            self.wrongs.push(text);
+            self.violations.push(text);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Extends the deadlines of sends through a node that was frozen until now.
-    pub fn stood_still(&mut self, now: Duration, id: NodeId) {
+    pub fn extend_deadlines(&mut self, now: Duration, id: NodeId) {
         for send in self.sends.values_mut().filter(|send| send.ingress == id) {
             send.answer_due = send.answer_due.max(now + ANSWER_SLACK);
         }
@@ -226,18 +226,20 @@
     }
 
     fn is_outdated(&self, now: Duration, id: NodeId) -> bool {
-        self.disturbed.get(&id).is_some_and(|until| now < *until)
+        self.outdated_until
+            .get(&id)
+            .is_some_and(|until| now < *until)
     }
 
     /// Marks the state of a node as possibly outdated: until it is healed, or for
     /// [`HEAL_PROPAGATION_TIME`] after that.
-    pub fn disturb(&mut self, now: Duration, id: NodeId, healed: bool) {
+    pub fn mark_outdated(&mut self, now: Duration, id: NodeId, healed: bool) {
         let until = if healed {
             now + HEAL_PROPAGATION_TIME
         } else {
             Duration::MAX
         };
-        self.disturbed.insert(id, until);
+        self.outdated_until.insert(id, until);
     }
 
     /// Checks all nodes after a step of the session.
--- a/crates/engine/tests/session/faults.rs
+++ b/crates/engine/tests/session/faults.rs
@@ -202,7 +202,7 @@
             .note(&format!("{}: life {life}", name_of(number)));
         self.world.add_node(number, life);
         let now = self.world.now();
-        self.world.audit.disturb(now, id, true);
+        self.world.audit.mark_outdated(now, id, true);
     }
 
     fn freeze_random(&mut self) {
@@ -210,7 +210,7 @@
         if self.is_alive(id) {
             self.world.freeze(id);
             let now = self.world.now();
-            self.world.audit.disturb(now, id, false);
+            self.world.audit.mark_outdated(now, id, false);
         }
     }
 
@@ -219,8 +219,8 @@
         for id in all {
             if self.world.is_frozen(id) {
                 let now = self.world.now();
-                self.world.audit.stood_still(now, id);
-                self.world.audit.disturb(now, id, true);
+                self.world.audit.extend_deadlines(now, id);
+                self.world.audit.mark_outdated(now, id, true);
                 self.world.thaw(id);
             }
         }
@@ -238,8 +238,8 @@
             }
         }
         let now = self.world.now();
-        self.world.audit.disturb(now, from, false);
-        self.world.audit.disturb(now, to, false);
+        self.world.audit.mark_outdated(now, from, false);
+        self.world.audit.mark_outdated(now, to, false);
     }
 
     fn restore_links(&mut self) {
@@ -260,7 +260,7 @@
         for number in 0..self.count {
             let id = node(&name_of(number));
             let frozen = self.world.is_frozen(id);
-            self.world.audit.disturb(now, id, !frozen);
+            self.world.audit.mark_outdated(now, id, !frozen);
         }
     }
 
@@ -274,7 +274,9 @@
         self.world.note(&text);
         let now = self.world.now();
         for number in 0..self.count {
-            self.world.audit.disturb(now, node(&name_of(number)), false);
+            self.world
+                .audit
+                .mark_outdated(now, node(&name_of(number)), false);
         }
     }
 
@@ -441,25 +443,25 @@
     }
 
     fn check_idle(&mut self) {
-        let mut wrongs = Vec::new();
+        let mut violations = Vec::new();
         for engine in self.world.engines().values() {
             let status = engine.status();
             if status.requests + status.works > 0 {
                 let (name, requests) = (&status.name, status.requests);
-                wrongs.push(format!(
+                violations.push(format!(
                     "{name}: {requests} requests and {} works left",
                     status.works
                 ));
             }
             if status.draining {
-                wrongs.push(format!("{}: never drained", status.name));
+                violations.push(format!("{}: never drained", status.name));
             }
             let load = engine.load_of(0);
             if load.in_use + load.queued > 0 {
-                wrongs.push(format!("{}: slots left in use: {load:?}", status.name));
+                violations.push(format!("{}: slots left in use: {load:?}", status.name));
             }
         }
-        for wrong in wrongs {
+        for wrong in violations {
             self.world.audit.wrong(wrong);
         }
     }
@@ -473,7 +475,7 @@
     let mut session = FaultSession::new(seed);
     for _ in 0..steps {
         session.step();
-        if !session.world.audit.wrongs().is_empty() {
+        if !session.world.audit.violations().is_empty() {
             return session;
         }
     }
@@ -493,7 +495,7 @@
     let mut failures = Vec::new();
     for seed in seeds {
         let session = run(seed, steps);
-        if let Some(wrong) = session.world.audit.wrongs().first() {
+        if let Some(wrong) = session.world.audit.violations().first() {
             failures.push(format!("seed {seed}, {} nodes: {wrong}", session.count));
             if chosen.is_some() {
                 println!("{}", session.world.trace());
