--- a/crates/daemon/src/border/announcement.rs
+++ b/crates/daemon/src/border/announcement.rs
@@ -30,7 +30,7 @@
 }
 
 /// Protocol in which backend servers announce themselves, besides the native one.
-pub trait AnnouncementBorder: Debug + Send + Sync {
+pub trait AnnouncementAdapter: Debug + Send + Sync {
     /// Parses a request. Returns `None` when the request is no announcement.
     fn read(&self, call: AnnouncementCall<'_>) -> Option<AnnouncementAnswer>;
 }
--- a/crates/daemon/src/border/backend.rs
+++ b/crates/daemon/src/border/backend.rs
@@ -11,7 +11,7 @@
 
 /// Contents of one request to a backend server.
 #[derive(Debug)]
-pub struct BackendAsk {
+pub struct RequestSpec {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
@@ -62,18 +62,18 @@
     /// request.
     Replaced,
     /// The reply belongs to another request.
-    Foreign,
+    Mismatched,
     /// The head does not delimit the body, so that a truncated body would look complete.
-    Endless,
+    Undelimited,
 }
 
 /// Protocol for requests to backend servers.
-pub trait BackendBorder: Debug + Send + Sync {
+pub trait BackendAdapter: Debug + Send + Sync {
     /// Builds the head of a request. Returns `None` when a part of it is malformed.
-    fn request(&self, spec: BackendAsk) -> Option<BackendRequest>;
+    fn request(&self, spec: RequestSpec) -> Option<BackendRequest>;
 
     /// Classifies a reply by its head.
-    fn judge(
+    fn classify_reply(
         &self,
         expectation: &ReplyExpectation,
         status: StatusCode,
@@ -84,7 +84,7 @@
 /// Builds a request's head with the forwarded headers and, in the header `time_header`, the time
 /// left in milliseconds. Returns `None` when a part of it is malformed.
 #[must_use]
-pub fn begin_request(spec: &BackendAsk, time_header: HeaderName) -> Option<Request<()>> {
+pub fn build_request_head(spec: &RequestSpec, time_header: HeaderName) -> Option<Request<()>> {
     let mut head = Request::builder()
         .method(spec.method.clone())
         .uri(spec.target.as_str())
@@ -111,11 +111,11 @@
 
 /// Native protocol: the request id in `x-request-id`, the time left in `x-request-timeout-ms`.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnBackendBorder;
+pub struct NativeBackendAdapter;
 
-impl BackendBorder for OwnBackendBorder {
-    fn request(&self, spec: BackendAsk) -> Option<BackendRequest> {
-        let mut head = begin_request(&spec, HeaderName::from_static(TIMEOUT_HEADER))?;
+impl BackendAdapter for NativeBackendAdapter {
+    fn request(&self, spec: RequestSpec) -> Option<BackendRequest> {
+        let mut head = build_request_head(&spec, HeaderName::from_static(TIMEOUT_HEADER))?;
         let headers = head.headers_mut();
         let id = HeaderValue::try_from(spec.request_id).ok()?;
         headers.insert(HeaderName::from_static(REQUEST_ID_HEADER), id.clone());
@@ -133,7 +133,7 @@
     /// Rejects a reply with the id of another request, so that a late or reordered reply never
     /// reaches the wrong caller. When the contract names the header, a reply without it is rejected
     /// too.
-    fn judge(
+    fn classify_reply(
         &self,
         expectation: &ReplyExpectation,
         status: StatusCode,
@@ -145,12 +145,12 @@
             None => name.is_none(),
         };
         if !matches {
-            return ReplyVerdict::Foreign;
+            return ReplyVerdict::Mismatched;
         }
         if is_delimited(&expectation.method, status, headers) {
             ReplyVerdict::Own
         } else {
-            ReplyVerdict::Endless
+            ReplyVerdict::Undelimited
         }
     }
 }
--- a/crates/daemon/src/border/caller.rs
+++ b/crates/daemon/src/border/caller.rs
@@ -11,7 +11,7 @@
 use crate::part::ReplyHead;
 
 /// Protocol in which callers send requests and receive responses.
-pub trait CallerBorder: Debug + Send + Sync {
+pub trait CallerAdapter: Debug + Send + Sync {
     /// Parses the head of a request for the engine. The request counts as replayable when its body
     /// has at most `replay_limit` bytes.
     ///
@@ -42,9 +42,9 @@
 
 /// Native protocol: bearer tokens, `x-request-id`, `application/problem+json`.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnCallerBorder;
+pub struct NativeCallerAdapter;
 
-impl CallerBorder for OwnCallerBorder {
+impl CallerAdapter for NativeCallerAdapter {
     fn read_head(
         &self,
         id: RequestId,
--- a/crates/daemon/src/border/mod.rs
+++ b/crates/daemon/src/border/mod.rs
@@ -1,8 +1,8 @@
 //! Adapter traits between the daemon and the systems around it.
 //!
 //! ```text
-//!  callers ──── CallerBorder ───────┐          ┌── BackendBorder ──── backend servers
-//!  backend servers ─ AnnouncementBorder ─▶ daemon ┤
+//!  callers ──── CallerAdapter ───────┐          ┌── BackendAdapter ──── backend servers
+//!  backend servers ─ AnnouncementAdapter ─▶ daemon ┤
 //!  operators ── ContractSource ─────┘          └── MemberDirectory ── other nodes' addresses
 //! ```
 //!
@@ -20,22 +20,22 @@
 
 use crate::settings::DaemonSettings;
 
-pub use announcement::{AnnouncementAnswer, AnnouncementBorder, AnnouncementCall};
+pub use announcement::{AnnouncementAdapter, AnnouncementAnswer, AnnouncementCall};
 pub use backend::{
-    BackendAsk, BackendBorder, BackendRequest, OwnBackendBorder, ReplyExpectation, ReplyVerdict,
-    begin_request,
+    BackendAdapter, BackendRequest, NativeBackendAdapter, ReplyExpectation, ReplyVerdict,
+    RequestSpec, build_request_head,
 };
-pub use caller::{CallerBorder, OwnCallerBorder};
-pub use source::{BorderFuture, ContractSource, MemberDirectory, MemberEntry, SourceNews};
+pub use caller::{CallerAdapter, NativeCallerAdapter};
+pub use source::{AdapterFuture, ContractSource, MemberDirectory, MemberEntry, SourceUpdate};
 
 /// The adapters of one daemon.
-pub struct DaemonBorders {
+pub struct DaemonAdapters {
     /// Protocol of callers.
-    pub caller: Arc<dyn CallerBorder>,
+    pub caller: Arc<dyn CallerAdapter>,
     /// Protocol for requests to backend servers.
-    pub backend: Arc<dyn BackendBorder>,
+    pub backend: Arc<dyn BackendAdapter>,
     /// Additional protocol for announcements of backend servers; the native one is always accepted.
-    pub announcement: Option<Arc<dyn AnnouncementBorder>>,
+    pub announcement: Option<Arc<dyn AnnouncementAdapter>>,
     /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
     /// Source of the fleet contract; `None` when contracts are chains of records in the log.
@@ -44,14 +44,14 @@
     pub members: Option<Arc<dyn MemberDirectory>>,
 }
 
-impl DaemonBorders {
+impl DaemonAdapters {
     /// Returns the adapters for the native protocols.
     #[must_use]
-    pub fn own(settings: &DaemonSettings) -> Self {
+    pub fn native(settings: &DaemonSettings) -> Self {
         let log = HttpLogClient::new(settings.log.address, HttpLogSettings::default());
         Self {
-            caller: Arc::new(OwnCallerBorder),
-            backend: Arc::new(OwnBackendBorder),
+            caller: Arc::new(NativeCallerAdapter),
+            backend: Arc::new(NativeBackendAdapter),
             announcement: None,
             log: Arc::new(log),
             contracts: None,
--- a/crates/daemon/src/border/source.rs
+++ b/crates/daemon/src/border/source.rs
@@ -9,11 +9,11 @@
 use sycamorelink_log::LogError;
 
 /// Future that an adapter's asynchronous method returns.
-pub type BorderFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LogError>> + Send + 'a>>;
+pub type AdapterFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LogError>> + Send + 'a>>;
 
 /// Result of one read of the source.
 #[derive(Clone, Debug)]
-pub enum SourceNews {
+pub enum SourceUpdate {
     /// The newest contract.
     Contract(Arc<FleetContract>),
     /// A contract that cannot be decoded. The contract in force stays in force.
@@ -29,7 +29,7 @@
 pub trait ContractSource: Send {
     /// Returns the current contract on the first call, and on later calls waits for a change or for
     /// the source's own timeout. The first call after an error behaves like the first call.
-    fn next(&mut self) -> BorderFuture<'_, SourceNews>;
+    fn next(&mut self) -> AdapterFuture<'_, SourceUpdate>;
 }
 
 /// Directory entry by which other nodes find a node.
@@ -46,7 +46,7 @@
 /// Directory in which nodes publish their addresses for each other.
 pub trait MemberDirectory: Send + Sync {
     /// Writes this node's entry, replacing an earlier one of the same name.
-    fn announce<'a>(&'a self, entry: &'a MemberEntry) -> BorderFuture<'a, ()>;
+    fn announce<'a>(&'a self, entry: &'a MemberEntry) -> AdapterFuture<'a, ()>;
 
     /// Resolves when the directory was restored from an older copy, so that entries may be lost.
     fn restored(&self) -> Pin<Box<dyn Future<Output = ()> + Send + '_>> {
@@ -54,8 +54,8 @@
     }
 
     /// Returns all entries, including those of nodes that have stopped.
-    fn list(&self) -> BorderFuture<'_, Vec<MemberEntry>>;
+    fn list(&self) -> AdapterFuture<'_, Vec<MemberEntry>>;
 
     /// Removes the entry of a node that leaves permanently.
-    fn withdraw<'a>(&'a self, name: &'a str) -> BorderFuture<'a, ()>;
+    fn withdraw<'a>(&'a self, name: &'a str) -> AdapterFuture<'a, ()>;
 }
--- a/crates/daemon/src/callers/exchange.rs
+++ b/crates/daemon/src/callers/exchange.rs
@@ -21,11 +21,11 @@
 use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 
 use super::answer::{replay_answer, unavailable_reply_answer};
-use super::head::target_of;
+use super::head::request_target;
 use super::socket::{CallerSocket, wait_for_disconnect};
 use super::stream::{StreamedReply, stream_body};
 use super::{COMMAND_DEPTH, CallerCommand, CallerContext};
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::part::{
     BODY_DEPTH, BodyReceiver, BodySender, BodyTruncated, REPLY_DEPTH, ReplyEnd, ReplyHead,
     ReplyPart, buffered_body,
@@ -61,7 +61,7 @@
     let declared = caller.body_length;
     if context
         .inbox
-        .try_send(ShellInput::Request(caller, port))
+        .try_send(DecisionInput::Request(caller, port))
         .is_err()
     {
         let refusal =
@@ -73,7 +73,7 @@
         socket: context.sockets.get(peer),
         context,
         id,
-        target: target_of(&request).to_owned(),
+        target: request_target(&request).to_owned(),
         method: request.method().as_str().to_owned(),
         headers: request.headers().clone(),
         body: Some(body),
@@ -383,7 +383,7 @@
     }
 
     async fn send_event(&self, event: NodeEvent) {
-        self.context.inbox.send(ShellInput::Event(event)).await;
+        self.context.inbox.send(DecisionInput::Event(event)).await;
     }
 }
 
@@ -394,7 +394,7 @@
     fn drop(&mut self) {
         if !self.answered {
             let event = NodeEvent::CallerGone { request: self.id };
-            let _ = self.context.inbox.try_send(ShellInput::Event(event));
+            let _ = self.context.inbox.try_send(DecisionInput::Event(event));
         }
     }
 }
--- a/crates/daemon/src/callers/head.rs
+++ b/crates/daemon/src/callers/head.rs
@@ -35,7 +35,7 @@
     replay_limit: u64,
 ) -> Result<CallerRequest, RefusalCode> {
     let headers = request.headers();
-    let body_length = declared_body(headers)?;
+    let body_length = declared_body_length(headers)?;
     Ok(CallerRequest {
         id,
         label: Arc::from(id.to_string()),
@@ -44,7 +44,7 @@
         method: Arc::from(request.method().as_str()),
         host: Arc::from(""),
         path: Arc::from(request.uri().path()),
-        target: Arc::from(target_of(request)),
+        target: Arc::from(request_target(request)),
         key: read_key(headers)?,
         body_length,
         replayable: body_length.is_some_and(|length| length <= replay_limit),
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// Returns `bad-request` when the length is ambiguous or invalid.
-pub fn declared_body(headers: &HeaderMap) -> Result<Option<u64>, RefusalCode> {
+pub fn declared_body_length(headers: &HeaderMap) -> Result<Option<u64>, RefusalCode> {
     let length = declared_length(headers)?;
     let chunked = headers.contains_key(TRANSFER_ENCODING);
     Ok(if chunked {
@@ -68,7 +68,7 @@
 }
 
 /// Returns the path and query of a request.
-pub fn target_of<B>(request: &http::Request<B>) -> &str {
+pub fn request_target<B>(request: &http::Request<B>) -> &str {
     let uri = request.uri();
     uri.path_and_query()
         .map_or_else(|| uri.path(), |target| target.as_str())
@@ -136,7 +136,7 @@
 pub fn forwarded_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     headers
         .iter()
-        .filter(|(name, _)| !is_hop_header(name))
+        .filter(|(name, _)| !is_hop_by_hop_header(name))
         .filter(|(name, _)| **name != AUTHORIZATION && **name != CONTENT_LENGTH)
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect()
@@ -144,6 +144,6 @@
 
 /// Returns whether a header is hop-by-hop.
 #[must_use]
-pub fn is_hop_header(name: &HeaderName) -> bool {
+pub fn is_hop_by_hop_header(name: &HeaderName) -> bool {
     HOP_HEADERS.contains(name) || HOP_NAMES.contains(&name.as_str())
 }
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -21,7 +21,8 @@
     REQUEST_ID_HEADER, StoredReply, plain_head_answer, refusal_answer, reply_head_answer,
 };
 pub use head::{
-    TIMEOUT_HEADER, declared_body, forwarded_headers, is_hop_header, read_head, target_of,
+    TIMEOUT_HEADER, declared_body_length, forwarded_headers, is_hop_by_hop_header, read_head,
+    request_target,
 };
 pub use server::{CallerContext, serve_callers};
 pub use socket::CallerSockets;
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -11,9 +11,9 @@
 
 use super::exchange::answer_request;
 use super::socket::{CallerSockets, TrackedListener};
-use crate::border::CallerBorder;
+use crate::border::CallerAdapter;
 use crate::http_server::PortServer;
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
 use crate::work::AttemptTask;
 
@@ -23,7 +23,7 @@
     /// Instance and incarnation of this node; the incarnation makes request ids unique.
     pub instance: InstanceId,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Channel to the work thread, which runs the attempts.
     pub attempts: mpsc::Sender<AttemptTask>,
     /// Largest reply that is buffered until it is complete, in bytes.
@@ -35,7 +35,7 @@
     /// Connections of callers, used to detect disconnects.
     pub sockets: CallerSockets,
     /// Protocol in which callers send requests and receive responses.
-    pub adapter: Arc<dyn CallerBorder>,
+    pub adapter: Arc<dyn CallerAdapter>,
     /// Set while the daemon drains; responses then carry `Connection: close`, so that callers open a
     /// new connection.
     pub leaving: Arc<AtomicBool>,
--- a/crates/daemon/src/callers/stream.rs
+++ b/crates/daemon/src/callers/stream.rs
@@ -12,7 +12,7 @@
 
 use super::exchange::NumberedPart;
 use super::socket::CallerSocket;
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::part::{BodyTruncated, ReplyPart};
 use crate::ring::RingSender;
 
@@ -31,7 +31,7 @@
     /// Channel for the remaining parts.
     pub parts: mpsc::Receiver<NumberedPart>,
     /// Ring of the decision thread, for the report.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Cancels the attempt when dropped, for example because the caller disconnected.
     pub cancel: oneshot::Sender<()>,
     /// The caller's connection, which is aborted when the reply is truncated.
@@ -90,7 +90,7 @@
         self.report.latency = self.started.elapsed();
         self.report.status = Some(self.status);
         let event = NodeEvent::AttemptEnded(self.report.clone());
-        self.inbox.send(ShellInput::Event(event)).await;
+        self.inbox.send(DecisionInput::Event(event)).await;
     }
 }
 
@@ -103,7 +103,7 @@
         let event = NodeEvent::CallerGone {
             request: self.report.attempt.request,
         };
-        let _ = self.inbox.try_send(ShellInput::Event(event));
+        let _ = self.inbox.try_send(DecisionInput::Event(event));
     }
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -13,12 +13,12 @@
 use sycamorelink_wire::{FleetKeys, PeerIdentity, WireSettings};
 use tokio::sync::watch;
 
-use crate::border::{ContractSource, DaemonBorders, MemberEntry};
+use crate::border::{ContractSource, DaemonAdapters, MemberEntry};
 use crate::callers::{CallerContext, CallerSockets, serve_callers};
 use crate::decision_loop::{DecisionLoop, DecisionOutputs};
 use crate::gossip::start_gossip;
 use crate::http_server::{HttpPorts, PortServer};
-use crate::inbox::{INBOX_DEPTH, ShellInput};
+use crate::inbox::{DecisionInput, INBOX_DEPTH};
 use crate::log_thread::{LogParts, start_log};
 use crate::members::MemberParts;
 use crate::metrics::NodeTelemetry;
@@ -57,7 +57,7 @@
     /// Returns an error when an address cannot be bound, a section of the settings is invalid or a
     /// thread cannot be started.
     pub fn start(settings: DaemonSettings) -> anyhow::Result<DaemonHandle> {
-        let adapters = DaemonBorders::own(&settings);
+        let adapters = DaemonAdapters::native(&settings);
         Self::start_with(settings, adapters)
     }
 
@@ -72,7 +72,7 @@
     )]
     pub fn start_with(
         settings: DaemonSettings,
-        mut adapters: DaemonBorders,
+        mut adapters: DaemonAdapters,
     ) -> anyhow::Result<DaemonHandle> {
         let sockets = DaemonSockets::bind(&settings)?;
         let addresses = sockets.addresses()?;
@@ -168,15 +168,15 @@
 struct SharedParts {
     instance: InstanceId,
     clock: Arc<dyn NodeClock>,
-    inbox: RingSender<ShellInput>,
-    adapters: DaemonBorders,
+    inbox: RingSender<DecisionInput>,
+    adapters: DaemonAdapters,
     stream: Arc<str>,
     leaving: Arc<AtomicBool>,
     directory: BackendDirectory,
     loads: LoadBoard,
     ready: Arc<AtomicBool>,
     drained: Arc<AtomicBool>,
-    drain_wanted: Arc<AtomicBool>,
+    drain_requested: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     drain: watch::Sender<bool>,
     telemetry: NodeTelemetry,
@@ -186,9 +186,9 @@
     fn new(
         settings: &DaemonSettings,
         clock: Arc<dyn NodeClock>,
-        inbox: RingSender<ShellInput>,
+        inbox: RingSender<DecisionInput>,
         instance: InstanceId,
-        adapters: DaemonBorders,
+        adapters: DaemonAdapters,
     ) -> Self {
         let telemetry = NodeTelemetry::new(
             Arc::clone(&clock),
@@ -206,7 +206,7 @@
             loads: LoadBoard::default(),
             ready: Arc::default(),
             drained: Arc::default(),
-            drain_wanted: Arc::default(),
+            drain_requested: Arc::default(),
             stop: Arc::default(),
             drain: watch::Sender::new(false),
             telemetry,
@@ -248,7 +248,7 @@
         SourceParts {
             contracts,
             members,
-            leave: Arc::clone(&self.drain_wanted),
+            leave: Arc::clone(&self.drain_requested),
             clock: Arc::clone(&self.clock),
             inbox: self.inbox.clone(),
             seed: self.instance.node.0,
@@ -280,7 +280,7 @@
             clock: Arc::clone(&self.clock),
             directory: self.directory.clone(),
             ready: Arc::clone(&self.ready),
-            drain_wanted: Arc::clone(&self.drain_wanted),
+            drain_requested: Arc::clone(&self.drain_requested),
             own_ip: addresses.operators.ip(),
         }
     }
@@ -339,13 +339,13 @@
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.shared
             .inbox
-            .send_blocking(ShellInput::Event(NodeEvent::SeedsFound(seeds)));
+            .send_blocking(DecisionInput::Event(NodeEvent::SeedsFound(seeds)));
     }
 
     /// Returns whether an operator requested a drain.
     #[must_use]
-    pub fn drain_wanted(&self) -> bool {
-        self.shared.drain_wanted.load(Ordering::Acquire)
+    pub fn drain_requested(&self) -> bool {
+        self.shared.drain_requested.load(Ordering::Acquire)
     }
 
     /// Starts a drain, which [`Self::is_drained`] reports as complete.
@@ -353,7 +353,7 @@
         self.shared.leaving.store(true, Ordering::Relaxed);
         self.shared
             .inbox
-            .send_blocking(ShellInput::Event(NodeEvent::DrainRequested));
+            .send_blocking(DecisionInput::Event(NodeEvent::DrainRequested));
     }
 
     /// Returns whether the drain is complete: all work is handed over or finished.
@@ -379,13 +379,13 @@
     pub fn stop(self) {
         self.shared
             .inbox
-            .send_blocking(ShellInput::Event(NodeEvent::Departed));
+            .send_blocking(DecisionInput::Event(NodeEvent::Departed));
         thread::sleep(SHUTDOWN_FLUSH_TIME);
         self.callers.stop(false);
         self.auxiliary_ports.stop(false);
         let _ = self.shared.drain.send(true);
         self.shared.stop.store(true, Ordering::Relaxed);
-        self.shared.inbox.send_blocking(ShellInput::Stop);
+        self.shared.inbox.send_blocking(DecisionInput::Stop);
         let _ = self.decision.join();
         let _ = self.gossip_thread.join();
         self.work.join();
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc;
 
 use crate::callers::CallerCommand;
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::log_thread::LogCommand;
 use crate::metrics::NodeTelemetry;
 use crate::notes::NoteKeeper;
@@ -63,7 +63,7 @@
 pub struct DecisionLoop {
     engine: NodeEngine,
     clock: Arc<dyn NodeClock>,
-    inbox: RingReceiver<ShellInput>,
+    inbox: RingReceiver<DecisionInput>,
     outputs: DecisionOutputs,
     notes: NoteKeeper,
     gossip_bytes: MetricCounter,
@@ -84,7 +84,7 @@
     pub fn new(
         engine: NodeEngine,
         clock: Arc<dyn NodeClock>,
-        inbox: RingReceiver<ShellInput>,
+        inbox: RingReceiver<DecisionInput>,
         outputs: DecisionOutputs,
     ) -> Self {
         let notes = NoteKeeper::new(
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Runs until it receives [`ShellInput::Stop`].
+    /// Runs until it receives [`DecisionInput::Stop`].
     pub fn run(mut self) {
         loop {
             let mut handled = 0;
@@ -133,21 +133,21 @@
         }
     }
 
-    fn handle_input(&mut self, input: ShellInput) -> bool {
+    fn handle_input(&mut self, input: DecisionInput) -> bool {
         match input {
-            ShellInput::Event(event) => self.handle_event(event),
-            ShellInput::Request(caller, port) => {
+            DecisionInput::Event(event) => self.handle_event(event),
+            DecisionInput::Request(caller, port) => {
                 self.callers.insert(caller.id, port);
                 self.handle_event(NodeEvent::RequestArrived(caller));
             }
-            ShellInput::Offer(offer, port) => self.on_work_offer(offer, port),
-            ShellInput::Query(query, reply) => {
+            DecisionInput::Offer(offer, port) => self.on_work_offer(offer, port),
+            DecisionInput::Query(query, reply) => {
                 let now = self.clock.now();
                 let directory = &self.outputs.directory;
                 let answer = answer_query(&self.engine, &self.notes, directory, now, &query);
                 let _ = reply.send(Arc::new(answer));
             }
-            ShellInput::Stop => return false,
+            DecisionInput::Stop => return false,
         }
         true
     }
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -13,7 +13,7 @@
 use sycamorelink_telemetry::{EventCode, EventFields, MetricName, MetricTags};
 use sycamorelink_wire::{DATAGRAM_BYTES, FleetKeys, decode_datagram};
 
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::metrics::NodeTelemetry;
 use crate::ring::RingSender;
 
@@ -28,7 +28,7 @@
 pub fn start_gossip(
     socket: UdpSocket,
     keys: Arc<FleetKeys>,
-    inbox: RingSender<ShellInput>,
+    inbox: RingSender<DecisionInput>,
     telemetry: NodeTelemetry,
     stop: Arc<AtomicBool>,
 ) -> anyhow::Result<JoinHandle<()>> {
@@ -44,7 +44,7 @@
 fn receive(
     socket: &UdpSocket,
     keys: &FleetKeys,
-    inbox: &RingSender<ShellInput>,
+    inbox: &RingSender<DecisionInput>,
     telemetry: &NodeTelemetry,
     stop: &AtomicBool,
 ) {
@@ -58,7 +58,7 @@
                 Ok(message) => {
                     received.add(length as u64);
                     let event = NodeEvent::DatagramReceived { from, message };
-                    if inbox.try_send(ShellInput::Event(event)).is_err() {
+                    if inbox.try_send(DecisionInput::Event(event)).is_err() {
                         telemetry.ring_full("decision");
                     }
                 }
--- a/crates/daemon/src/inbox.rs
+++ b/crates/daemon/src/inbox.rs
@@ -11,7 +11,7 @@
 
 /// One input of the decision thread.
 #[derive(Debug)]
-pub enum ShellInput {
+pub enum DecisionInput {
     /// An event that expects no direct reply.
     Event(NodeEvent),
     /// A caller's request, and the channel for commands to its exchange.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -34,6 +34,6 @@
 mod startup;
 mod work;
 
-pub use callers::{declared_body, is_hop_header, plain_head_answer, target_of};
+pub use callers::{declared_body_length, is_hop_by_hop_header, plain_head_answer, request_target};
 pub use daemon::{Daemon, DaemonHandle};
 pub use sockets::DaemonAddresses;
--- a/crates/daemon/src/log_thread.rs
+++ b/crates/daemon/src/log_thread.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::metrics::NodeTelemetry;
 use crate::ring::RingSender;
 
@@ -71,7 +71,7 @@
     /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Seed of the randomized delays, different for each node.
     pub seed: u64,
     /// Event log and metrics.
@@ -214,7 +214,7 @@
 }
 
 async fn send_event(parts: &LogParts, event: NodeEvent) {
-    parts.inbox.send(ShellInput::Event(event)).await;
+    parts.inbox.send(DecisionInput::Event(event)).await;
 }
 
 async fn run_commands(
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::border::{MemberDirectory, MemberEntry};
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
 
 /// Backoff while the directory rejects calls or is unreachable. The whole fleet calls one
@@ -104,7 +104,7 @@
     /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Seed of the randomized delays, different for each node.
     pub seed: u64,
 }
@@ -126,7 +126,7 @@
     entries: Vec<MemberEntry>,
     first_start: bool,
     clock: Arc<dyn NodeClock>,
-    inbox: RingSender<ShellInput>,
+    inbox: RingSender<DecisionInput>,
     policy: ListingPolicy,
     backoff: OutageBackoff,
     /// Whether the directory holds this node's current entry.
@@ -309,7 +309,7 @@
     }
 
     async fn send_event(&self, event: NodeEvent) {
-        self.inbox.send(ShellInput::Event(event)).await;
+        self.inbox.send(DecisionInput::Event(event)).await;
     }
 }
 
--- a/crates/daemon/src/operators/route.rs
+++ b/crates/daemon/src/operators/route.rs
@@ -18,7 +18,7 @@
 use super::reply::{ApiProblem, empty_reply, json_reply, with_etag};
 use super::server::OperatorContext;
 use crate::border::AnnouncementCall;
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::notes::{AuditCall, AuditNote};
 
 /// Customers in one page when the call sets no `limit`.
@@ -80,7 +80,7 @@
     if let Some(note) = AuditNote::of(&audited, reply) {
         let (reply, _) = oneshot::channel();
         let query = OperatorQuery::Audit(Box::new(note));
-        context.inbox.send(ShellInput::Query(query, reply)).await;
+        context.inbox.send(DecisionInput::Query(query, reply)).await;
     }
 }
 
@@ -165,7 +165,7 @@
     };
     context
         .inbox
-        .send(ShellInput::Event(NodeEvent::UpstreamAnnounced(
+        .send(DecisionInput::Event(NodeEvent::UpstreamAnnounced(
             announcement,
         )))
         .await;
@@ -187,7 +187,7 @@
         context.directory.insert(slot, address);
     }
     if let Some(event) = answer.event {
-        context.inbox.send(ShellInput::Event(event)).await;
+        context.inbox.send(DecisionInput::Event(event)).await;
     }
     Some(answer.reply)
 }
@@ -199,7 +199,7 @@
 ) -> Result<Response<Bytes>, ApiProblem> {
     let slot = local_slot(context, call, slot)?;
     let event = NodeEvent::UpstreamWithdrawn { slot, life: None };
-    context.inbox.send(ShellInput::Event(event)).await;
+    context.inbox.send(DecisionInput::Event(event)).await;
     Ok(empty_reply(StatusCode::NO_CONTENT))
 }
 
@@ -230,10 +230,10 @@
             require_access(account, AccessCall::DrainDaemon, None)?;
             context
                 .inbox
-                .send(ShellInput::Event(NodeEvent::DrainRequested))
+                .send(DecisionInput::Event(NodeEvent::DrainRequested))
                 .await;
             context
-                .drain_wanted
+                .drain_requested
                 .store(true, std::sync::atomic::Ordering::Release);
             let status = context.query(OperatorQuery::Status).await?;
             let body = serde_json::json!({
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -18,9 +18,9 @@
 use super::query::OperatorQuery;
 use super::reply::ApiProblem;
 use super::route::{OperatorCall, handle_call};
-use crate::border::AnnouncementBorder;
+use crate::border::AnnouncementAdapter;
 use crate::http_server::PortServer;
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
 use crate::work::BackendDirectory;
 
@@ -32,7 +32,7 @@
 /// State shared by all calls of the operators' port.
 pub struct OperatorContext {
     /// Ring of the decision thread, for events and queries.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Client of the platform's log.
     pub log: Arc<dyn LogClient>,
     /// Name of the stream of contract changes.
@@ -46,9 +46,9 @@
     /// Set while requests can be served.
     pub ready: Arc<AtomicBool>,
     /// Set when an operator requests a drain.
-    pub drain_wanted: Arc<AtomicBool>,
+    pub drain_requested: Arc<AtomicBool>,
     /// Adapter for announcements in the platform's own protocol, if there is one.
-    pub announcement: Option<Arc<dyn AnnouncementBorder>>,
+    pub announcement: Option<Arc<dyn AnnouncementAdapter>>,
     /// Address that this port listens on; calls from it count as local.
     pub own_ip: IpAddr,
 }
@@ -61,7 +61,7 @@
     /// When no answer arrives within [`ANSWER_TIMEOUT`].
     pub async fn query(&self, query: OperatorQuery) -> Result<Arc<Value>, ApiProblem> {
         let (reply, answer) = oneshot::channel();
-        self.inbox.send(ShellInput::Query(query, reply)).await;
+        self.inbox.send(DecisionInput::Query(query, reply)).await;
         let answer = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
         answer.ok().and_then(Result::ok).ok_or_else(|| {
             ApiProblem::new(
--- a/crates/daemon/src/source_thread.rs
+++ b/crates/daemon/src/source_thread.rs
@@ -19,8 +19,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-use crate::border::{ContractSource, SourceNews};
-use crate::inbox::ShellInput;
+use crate::border::{ContractSource, SourceUpdate};
+use crate::inbox::DecisionInput;
 use crate::log_thread::{COMMAND_DEPTH, LogCommand};
 use crate::members::{DIRECTORY_BACKOFF, MemberParts, MemberSignals, MemberTask, pause_after};
 use crate::metrics::NodeTelemetry;
@@ -41,7 +41,7 @@
     /// Source of the current time.
     pub clock: Arc<dyn NodeClock>,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Seed of the randomized delays, different for each node.
     pub seed: u64,
     /// Event log.
@@ -159,22 +159,22 @@
     }
 }
 
-async fn on_update(parts: &SourceParts, update: SourceNews) {
+async fn on_update(parts: &SourceParts, update: SourceUpdate) {
     match update {
-        SourceNews::Contract(contract) => {
+        SourceUpdate::Contract(contract) => {
             send_event(&parts.inbox, NodeEvent::FleetContract(contract)).await;
             // The pause combines contracts that change in quick succession into one update.
             tokio::time::sleep(CONTRACT_PAUSE).await;
         }
-        SourceNews::Unreadable { reason } => {
+        SourceUpdate::Unreadable { reason } => {
             let fields = EventFields::new().reason(&reason);
             let events = &parts.telemetry.events;
             events.emit(EventCode::PoisonRecord, &fields);
         }
-        SourceNews::Unchanged => {}
+        SourceUpdate::Unchanged => {}
     }
 }
 
-async fn send_event(inbox: &RingSender<ShellInput>, event: NodeEvent) {
-    inbox.send(ShellInput::Event(event)).await;
+async fn send_event(inbox: &RingSender<DecisionInput>, event: NodeEvent) {
+    inbox.send(DecisionInput::Event(event)).await;
 }
--- a/crates/daemon/src/work/executor.rs
+++ b/crates/daemon/src/work/executor.rs
@@ -20,9 +20,9 @@
 
 use super::backend::{SendFailure, backend_body, refuses_connections};
 use super::{ReplySink, WorkCommand, WorkContext};
-use crate::border::{BackendAsk, BackendRequest, ReplyExpectation, ReplyVerdict};
-use crate::callers::{StoredReply, is_hop_header};
-use crate::inbox::ShellInput;
+use crate::border::{BackendRequest, ReplyExpectation, ReplyVerdict, RequestSpec};
+use crate::callers::{StoredReply, is_hop_by_hop_header};
+use crate::inbox::DecisionInput;
 use crate::part::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
 
 /// Capacity of the command channel of one piece of work.
@@ -62,7 +62,7 @@
 pub async fn execute(context: WorkContext, task: ExecutorTask) {
     let (port, mut commands) = mpsc::channel(COMMAND_DEPTH);
     let work = task.offer.work;
-    let input = ShellInput::Offer(task.offer.clone(), port);
+    let input = DecisionInput::Offer(task.offer.clone(), port);
     if context.inbox.try_send(input).is_err() {
         let refusal = RequestRefusal::not_run(RefusalCode::Overloaded);
         refuse(&task.reply, &refusal, None).await;
@@ -186,7 +186,7 @@
 }
 
 async fn send_event(context: &WorkContext, event: NodeEvent) {
-    context.inbox.send(ShellInput::Event(event)).await;
+    context.inbox.send(DecisionInput::Event(event)).await;
 }
 
 /// Outcome of a run and the reply to store.
@@ -219,7 +219,7 @@
 impl WorkRun {
     fn new(context: WorkContext, task: ExecutorTask, life: Option<Arc<str>>) -> Self {
         let request_id = task.offer.attempt.request.to_string();
-        let spec = BackendAsk {
+        let spec = RequestSpec {
             method: Method::from_bytes(task.method.as_bytes()).unwrap_or(Method::GET),
             target: task.target,
             headers: task.headers,
@@ -291,16 +291,16 @@
         expectation: &ReplyExpectation,
     ) -> RunEnd {
         let (parts, mut body) = response.into_parts();
-        let verdict = self
-            .context
-            .adapter
-            .judge(expectation, parts.status, &parts.headers);
+        let verdict =
+            self.context
+                .adapter
+                .classify_reply(expectation, parts.status, &parts.headers);
         match verdict {
             ReplyVerdict::Own => {}
             ReplyVerdict::Declined => return RunEnd::of(WorkEnd::Declined),
             ReplyVerdict::Replaced => return RunEnd::of(WorkEnd::Replaced),
-            ReplyVerdict::Foreign => return self.reject(EventCode::ReplyMismatched),
-            ReplyVerdict::Endless => return self.reject(EventCode::ReplyMalformed),
+            ReplyVerdict::Mismatched => return self.reject(EventCode::ReplyMismatched),
+            ReplyVerdict::Undelimited => return self.reject(EventCode::ReplyMalformed),
         }
         let head = reply_head(parts.status, &parts.headers);
         self.reply.send(ReplyPart::Head(head.clone())).await;
@@ -361,7 +361,7 @@
         .and_then(|text| text.parse().ok());
     let forwarded = headers
         .iter()
-        .filter(|(name, _)| !is_hop_header(name) && **name != CONTENT_LENGTH)
+        .filter(|(name, _)| !is_hop_by_hop_header(name) && **name != CONTENT_LENGTH)
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect();
     ReplyHead {
--- a/crates/daemon/src/work/serving.rs
+++ b/crates/daemon/src/work/serving.rs
@@ -18,7 +18,7 @@
 use super::attempt::{WorkExtras, load_report};
 use super::executor::{ExecutorTask, execute};
 use super::{ReplySink, WorkContext};
-use crate::inbox::ShellInput;
+use crate::inbox::DecisionInput;
 use crate::part::{
     AttemptFailure, BODY_DEPTH, BodySender, BodyTruncated, REPLY_DEPTH, ReplyHead, ReplyPart,
 };
@@ -82,7 +82,7 @@
         if self
             .context
             .inbox
-            .try_send(ShellInput::Event(event))
+            .try_send(DecisionInput::Event(event))
             .is_err()
         {
             let fields = EventFields::new().peer(&from).reason(&"decision");
--- a/crates/daemon/src/work/thread.rs
+++ b/crates/daemon/src/work/thread.rs
@@ -22,8 +22,8 @@
 use super::backend::BackendPool;
 use super::serving::serve_peers;
 use super::{AttemptTask, BackendDirectory};
-use crate::border::BackendBorder;
-use crate::inbox::ShellInput;
+use crate::border::BackendAdapter;
+use crate::inbox::DecisionInput;
 use crate::metrics::EventPort;
 use crate::ring::RingSender;
 
@@ -73,7 +73,7 @@
     /// Instance and incarnation of this node.
     pub instance: InstanceId,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Addresses of the backend servers.
     pub directory: BackendDirectory,
     /// Connections to the backend servers.
@@ -85,7 +85,7 @@
     /// Event log.
     pub events: EventPort,
     /// Protocol for requests to backend servers.
-    pub adapter: Arc<dyn BackendBorder>,
+    pub adapter: Arc<dyn BackendAdapter>,
     work_counter: Rc<AtomicU64>,
 }
 
@@ -98,7 +98,7 @@
 
     /// Sends an event to the decision thread.
     pub async fn send_event(&self, event: NodeEvent) {
-        self.inbox.send(ShellInput::Event(event)).await;
+        self.inbox.send(DecisionInput::Event(event)).await;
     }
 }
 
@@ -112,7 +112,7 @@
     /// Listener for connections from peers.
     pub listener: TcpListener,
     /// Ring of the decision thread, for events.
-    pub inbox: RingSender<ShellInput>,
+    pub inbox: RingSender<DecisionInput>,
     /// Addresses of the backend servers.
     pub directory: BackendDirectory,
     /// Loads of the backend servers.
@@ -120,7 +120,7 @@
     /// Event log.
     pub events: EventPort,
     /// Protocol for requests to backend servers.
-    pub adapter: Arc<dyn BackendBorder>,
+    pub adapter: Arc<dyn BackendAdapter>,
     /// Set to true when the node stops accepting work from peers.
     pub drain: watch::Receiver<bool>,
 }
--- a/crates/ops/src/reload.rs
+++ b/crates/ops/src/reload.rs
@@ -10,14 +10,14 @@
 
 use sycamorelink_core::FindingList;
 use sycamorelink_daemon::DaemonHandle;
-use sycamorelink_daemon::border::DaemonBorders;
+use sycamorelink_daemon::border::DaemonAdapters;
 use sycamorelink_daemon::settings::DaemonSettings;
 use sycamorelink_telemetry::{EventCode, EventFields, emit};
 
 use crate::settings_check::read_settings;
 
 /// Function that creates the adapters that the settings select, or returns findings.
-pub type AdapterFactory<'a> = &'a dyn Fn(&DaemonSettings) -> Result<DaemonBorders, FindingList>;
+pub type AdapterFactory<'a> = &'a dyn Fn(&DaemonSettings) -> Result<DaemonAdapters, FindingList>;
 
 /// Settings in force and the file that they were read from.
 pub struct SettingsReload<'a> {
--- a/crates/ops/src/serve.rs
+++ b/crates/ops/src/serve.rs
@@ -180,7 +180,7 @@
             emit(EventCode::DaemonReady, &EventFields::new());
         }
         ready = handle.is_ready();
-        if handle.drain_wanted() {
+        if handle.drain_requested() {
             return;
         }
     }
--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -5,7 +5,7 @@
 
 use clap::Parser;
 use sycamorelink_core::FindingList;
-use sycamorelink_daemon::border::DaemonBorders;
+use sycamorelink_daemon::border::DaemonAdapters;
 use sycamorelink_daemon::settings::{DaemonSettings, InterfaceForm};
 use sycamorelink_ops::serve::serve_daemon;
 use sycamorelink_ops::{ExitKind, ShellContext, ToolSettings, exit_kind};
@@ -20,9 +20,9 @@
 }
 
 /// The borders that the settings ask for.
-fn borders(settings: &DaemonSettings) -> Result<DaemonBorders, FindingList> {
+fn borders(settings: &DaemonSettings) -> Result<DaemonAdapters, FindingList> {
     match settings.interface {
-        InterfaceForm::Own => Ok(DaemonBorders::own(settings)),
+        InterfaceForm::Own => Ok(DaemonAdapters::native(settings)),
         InterfaceForm::Platform => sycamorelink_platform::borders(settings),
     }
 }
