--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -23,7 +23,7 @@
 use crate::members::MemberParts;
 use crate::metrics::NodeTelemetry;
 use crate::metrics_thread::start_metrics;
-use crate::operators::{OperatorContext, OperatorGate, serve_operators};
+use crate::operators::{OperatorAuthenticator, OperatorContext, serve_operators};
 use crate::ready::{serve_metrics_page, serve_ready};
 use crate::ring::{RingSender, bounded_ring};
 use crate::settings::DaemonSettings;
@@ -86,7 +86,7 @@
         if contracts.is_some() {
             engine_settings.contracts = ContractMode::Fleet;
         }
-        let gate = OperatorGate::new(&settings.operators)
+        let gate = OperatorAuthenticator::new(&settings.operators)
             .context("the operators' accounts have findings")?;
         let (inbox, receiver) = bounded_ring(INBOX_DEPTH);
         let shared = SharedParts::new(&settings, clock, inbox, facts.instance, adapters);
@@ -270,7 +270,11 @@
         }
     }
 
-    fn operator_context(&self, gate: OperatorGate, addresses: &DaemonAddresses) -> OperatorContext {
+    fn operator_context(
+        &self,
+        gate: OperatorAuthenticator,
+        addresses: &DaemonAddresses,
+    ) -> OperatorContext {
         OperatorContext {
             inbox: self.inbox.clone(),
             log: Arc::clone(&self.adapters.log),
@@ -281,7 +285,7 @@
             directory: self.directory.clone(),
             ready: Arc::clone(&self.ready),
             drain_requested: Arc::clone(&self.drain_requested),
-            own_ip: addresses.operators.ip(),
+            listen_ip: addresses.operators.ip(),
         }
     }
 }
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -26,7 +26,7 @@
 use crate::inbox::DecisionInput;
 use crate::log_thread::LogCommand;
 use crate::metrics::NodeTelemetry;
-use crate::notes::NoteKeeper;
+use crate::notes::NoteRecorder;
 use crate::operators::answer_query;
 use crate::ring::RingReceiver;
 use crate::work::{BackendDirectory, LoadBoard, OutboundMessage, WorkCommand};
@@ -65,7 +65,7 @@
     clock: Arc<dyn NodeClock>,
     inbox: RingReceiver<DecisionInput>,
     outputs: DecisionOutputs,
-    notes: NoteKeeper,
+    notes: NoteRecorder,
     gossip_bytes: MetricCounter,
     callers: BTreeMap<RequestId, mpsc::Sender<CallerCommand>>,
     works: BTreeMap<WorkId, WorkChannel>,
@@ -87,7 +87,7 @@
         inbox: RingReceiver<DecisionInput>,
         outputs: DecisionOutputs,
     ) -> Self {
-        let notes = NoteKeeper::new(
+        let notes = NoteRecorder::new(
             engine.own_instance(),
             clock.wall().saturating_sub(clock.now()),
             &outputs.telemetry,
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -32,7 +32,7 @@
 pub use audit::{AuditCall, AuditNote};
 
 /// Logs and counts the notes of one node, and records requests in its burn ledger.
-pub struct NoteKeeper {
+pub struct NoteRecorder {
     burn: BurnLedger,
     objectives: ObjectiveTable,
     burn_watch: BurnWatch,
@@ -49,7 +49,7 @@
     next_slow_check: Duration,
 }
 
-impl NoteKeeper {
+impl NoteRecorder {
     /// Creates a recorder for one incarnation of a node. `wall_at_start` is the wall-clock time at
     /// which the node's clock read zero.
     #[must_use]
--- a/crates/daemon/src/notes/attempts.rs
+++ b/crates/daemon/src/notes/attempts.rs
@@ -5,10 +5,10 @@
 use sycamorelink_policy::UpstreamView;
 use sycamorelink_telemetry::{EventCode, EventFields, MetricName};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 use crate::metrics_table::SeriesKey;
 
-impl NoteKeeper {
+impl NoteRecorder {
     pub(super) fn record_attempt(&mut self, note: &NodeNote) {
         match note {
             NodeNote::AttemptSent {
--- a/crates/daemon/src/notes/audit.rs
+++ b/crates/daemon/src/notes/audit.rs
@@ -10,7 +10,7 @@
 use sycamorelink_contract::access::AccessCall;
 use sycamorelink_telemetry::{EventCode, EventFields};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 
 /// Path prefix of the calls that backend servers of this instance make.
 const BACKEND_PATH_PREFIX: &str = "/v1/local/";
@@ -80,7 +80,7 @@
     }
 }
 
-impl NoteKeeper {
+impl NoteRecorder {
     /// Logs an entry. Entries about changes bypass the throttle.
     pub fn record_audit(&self, note: &AuditNote) {
         let mut fields = EventFields::new()
--- a/crates/daemon/src/notes/findings.rs
+++ b/crates/daemon/src/notes/findings.rs
@@ -5,10 +5,10 @@
 use sycamorelink_policy::PoolFinding;
 use sycamorelink_telemetry::{EventCode, EventFields, MetricName};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 use crate::metrics_table::SeriesKey;
 
-impl NoteKeeper {
+impl NoteRecorder {
     pub(super) fn record_pool_finding(&mut self, service: &ServiceName, finding: &PoolFinding) {
         if let Some(name) = finding_metric(finding) {
             self.increment(SeriesKey::of(name).service(service));
--- a/crates/daemon/src/notes/periodic.rs
+++ b/crates/daemon/src/notes/periodic.rs
@@ -9,7 +9,7 @@
 use sycamorelink_telemetry::burn::{BurnQuery, BurnWindow, burn_rate};
 use sycamorelink_telemetry::{BurnReport, EventCode, EventFields, MetricName};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 use crate::metrics_table::SeriesKey;
 
 /// Time between two updates of the gauges.
@@ -22,7 +22,7 @@
 /// Thousandths in one. Metrics carry whole numbers, so burn rates are sent in thousandths.
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-impl NoteKeeper {
+impl NoteRecorder {
     /// Updates gauges and checks for burn alerts when they are due.
     pub fn tick(&mut self, now: Duration, engine: &NodeEngine) {
         if now < self.next_gauges {
--- a/crates/daemon/src/notes/requests.rs
+++ b/crates/daemon/src/notes/requests.rs
@@ -7,7 +7,7 @@
 use sycamorelink_telemetry::burn::{ObjectiveSource, RequestEnd};
 use sycamorelink_telemetry::{BurnOutcome, EventCode, EventFields, MetricName};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 use crate::metrics_table::SeriesKey;
 
 /// Maximum number of services whose upstreams are counted in gauges.
@@ -15,7 +15,7 @@
 /// Outcome tag of requests that failed because of their caller and so burn no error budget.
 const CALLER_OUTCOME: &str = "caller";
 
-impl NoteKeeper {
+impl NoteRecorder {
     pub(super) fn record_settled(&mut self, now: Duration, summary: &RequestSummary) {
         let outcome = self.classify(now, summary);
         self.count_request(summary, outcome);
--- a/crates/daemon/src/notes/roster.rs
+++ b/crates/daemon/src/notes/roster.rs
@@ -10,9 +10,9 @@
 use sycamorelink_telemetry::reach::ReachChange;
 use sycamorelink_telemetry::{EventCode, EventFields};
 
-use super::NoteKeeper;
+use super::NoteRecorder;
 
-impl NoteKeeper {
+impl NoteRecorder {
     pub(super) fn record_member_change(&mut self, now: Duration, note: &NodeNote) {
         match note {
             NodeNote::MemberUp(peer) => {
--- a/crates/daemon/src/operators/access.rs
+++ b/crates/daemon/src/operators/access.rs
@@ -22,12 +22,12 @@
 ///
 /// Without any account, callers on the same instance may read, and every change is refused.
 #[derive(Clone, Debug)]
-pub struct OperatorGate {
+pub struct OperatorAuthenticator {
     table: AccessTable,
     local_reads_allowed: bool,
 }
 
-impl OperatorGate {
+impl OperatorAuthenticator {
     /// Converts the accounts from the settings.
     ///
     /// # Errors
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -16,6 +16,6 @@
 mod route;
 mod server;
 
-pub use access::OperatorGate;
+pub use access::OperatorAuthenticator;
 pub use query::{OperatorQuery, answer_query};
 pub use server::{OperatorContext, serve_operators};
--- a/crates/daemon/src/operators/query.rs
+++ b/crates/daemon/src/operators/query.rs
@@ -9,7 +9,7 @@
 use sycamorelink_telemetry::burn::BurnQuery;
 
 use super::history::contract_history;
-use crate::notes::{AuditNote, NoteKeeper};
+use crate::notes::{AuditNote, NoteRecorder};
 use crate::work::BackendDirectory;
 
 /// A query to the decision thread.
@@ -46,7 +46,7 @@
 #[must_use]
 pub fn answer_query(
     engine: &NodeEngine,
-    notes: &NoteKeeper,
+    notes: &NoteRecorder,
     directory: &BackendDirectory,
     now: Duration,
     query: &OperatorQuery,
--- a/crates/daemon/src/operators/route.rs
+++ b/crates/daemon/src/operators/route.rs
@@ -128,7 +128,7 @@
     call: &OperatorCall,
     slot: &str,
 ) -> Result<u16, ApiProblem> {
-    let local = call.peer.ip().is_loopback() || call.peer.ip() == context.own_ip;
+    let local = call.peer.ip().is_loopback() || call.peer.ip() == context.listen_ip;
     if !local {
         let detail = "only backend servers of this instance announce themselves here";
         return Err(ApiProblem::new(StatusCode::FORBIDDEN, "forbidden", detail));
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -14,7 +14,7 @@
 use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 use xitca_web::http::WebRequest;
 
-use super::access::OperatorGate;
+use super::access::OperatorAuthenticator;
 use super::query::OperatorQuery;
 use super::reply::ApiProblem;
 use super::route::{OperatorCall, handle_call};
@@ -38,7 +38,7 @@
     /// Name of the stream of contract changes.
     pub stream: Arc<str>,
     /// Accounts that may call the port.
-    pub gate: OperatorGate,
+    pub gate: OperatorAuthenticator,
     /// Clock for the stamps of changes and for timeouts.
     pub clock: Arc<dyn NodeClock>,
     /// Addresses of the backend servers of this instance.
@@ -50,7 +50,7 @@
     /// Adapter for announcements in the platform's own protocol, if there is one.
     pub announcement: Option<Arc<dyn AnnouncementAdapter>>,
     /// Address that this port listens on; calls from it count as local.
-    pub own_ip: IpAddr,
+    pub listen_ip: IpAddr,
 }
 
 impl OperatorContext {
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -18,7 +18,7 @@
 
 pub use builder::SettingsBuilder;
 pub use model::{
-    DaemonSettings, DrainSettings, FleetKey, FleetKeyring, InterfaceForm, ListenAddresses,
+    DaemonSettings, DrainSettings, FleetKey, FleetKeyring, InterfaceProtocol, ListenAddresses,
     LogLevel, LogOutput, OperatorAccount, OperatorRole, PlatformLog, TelemetrySettings,
 };
 pub use sections::section_defaults;
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -40,7 +40,7 @@
     /// Region that the failure domain belongs to.
     pub region: Arc<str>,
     /// Protocols that the daemon uses with callers, backend servers and the platform.
-    pub interface: InterfaceForm,
+    pub interface: InterfaceProtocol,
     /// Service of this instance's backend server. When set, requests that the backend server sends
     /// are counted under it.
     pub service: Option<ServiceName>,
@@ -93,7 +93,7 @@
             instance: Arc::from(""),
             domain: DomainName::new(""),
             region: Arc::from(DEFAULT_REGION),
-            interface: InterfaceForm::default(),
+            interface: InterfaceProtocol::default(),
             service: None,
             listen: ListenAddresses::default(),
             advertise: None,
@@ -145,7 +145,7 @@
 /// Set of protocols used with callers, backend servers and the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum InterfaceForm {
+pub enum InterfaceProtocol {
     /// Native protocols of this project.
     #[default]
     Own,
--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -6,7 +6,7 @@
 use clap::Parser;
 use sycamorelink_core::FindingList;
 use sycamorelink_daemon::border::DaemonAdapters;
-use sycamorelink_daemon::settings::{DaemonSettings, InterfaceForm};
+use sycamorelink_daemon::settings::{DaemonSettings, InterfaceProtocol};
 use sycamorelink_ops::serve::serve_daemon;
 use sycamorelink_ops::{ExitKind, ShellContext, ToolSettings, exit_kind};
 
@@ -22,8 +22,8 @@
 /// The borders that the settings ask for.
 fn borders(settings: &DaemonSettings) -> Result<DaemonAdapters, FindingList> {
     match settings.interface {
-        InterfaceForm::Own => Ok(DaemonAdapters::native(settings)),
-        InterfaceForm::Platform => sycamorelink_platform::borders(settings),
+        InterfaceProtocol::Own => Ok(DaemonAdapters::native(settings)),
+        InterfaceProtocol::Platform => sycamorelink_platform::borders(settings),
     }
 }
 
