--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -38,8 +38,8 @@
 impl EventPort {
     /// Creates a port that also counts every event in the registry's event metric.
     #[must_use]
-    pub fn counting(clock: Arc<dyn NodeClock>, registry: &Arc<MetricRegistry>) -> Self {
-        let throttle = EventThrottle::new(THROTTLE_PERIOD, THROTTLE_BURST).counting(registry);
+    pub fn with_counters(clock: Arc<dyn NodeClock>, registry: &Arc<MetricRegistry>) -> Self {
+        let throttle = EventThrottle::new(THROTTLE_PERIOD, THROTTLE_BURST).with_counters(registry);
         Self {
             throttle: Arc::new(throttle),
             registry: Arc::clone(registry),
@@ -61,7 +61,7 @@
 
     /// Logs how many events were suppressed. The metrics thread calls this once a second.
     pub fn report_suppressed(&self) {
-        self.throttle.sweep(self.clock.now());
+        self.throttle.emit_suppressed(self.clock.now());
     }
 }
 
@@ -95,7 +95,7 @@
         };
         let registry = Arc::new(MetricRegistry::new(&settings));
         Self {
-            events: EventPort::counting(clock, &registry),
+            events: EventPort::with_counters(clock, &registry),
             registry,
             page: serve_page.then(|| MetricPage::new(&settings.prefix)),
             settings,
--- a/crates/daemon/src/metrics_thread.rs
+++ b/crates/daemon/src/metrics_thread.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Context;
-use sycamorelink_telemetry::metric::{MetricCounter, PairSink};
+use sycamorelink_telemetry::metric::{MetricCounter, TeeSink};
 use sycamorelink_telemetry::{
     EventCode, EventFields, MetricName, MetricSink, MetricTags, open_sink,
 };
@@ -29,7 +29,7 @@
 ) -> anyhow::Result<JoinHandle<()>> {
     let sink = open_sink(&telemetry.settings).context("cannot send metrics")?;
     let sink: Box<dyn MetricSink> = match &telemetry.page {
-        Some(page) => Box::new(PairSink::new(sink, Box::new(page.clone()))),
+        Some(page) => Box::new(TeeSink::new(sink, Box::new(page.clone()))),
         None => sink,
     };
     let sender = MetricSender::new(telemetry, sink);
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -4,7 +4,7 @@
 //! ```text
 //!  NodeNote ─▶ NoteRecorder ─┬─▶ EventPort    a log line for the operator
 //!                            ├─▶ MetricTable  a count for the metrics thread
-//!                            └─▶ BurnLedger ─ every 30 seconds ─▶ BurnWatch ─▶ SL8011 to SL8013
+//!                            └─▶ BurnLedger ─ every 30 seconds ─▶ AlertTracker ─▶ SL8011 to SL8013
 //! ```
 
 mod attempts;
@@ -21,8 +21,8 @@
 use sycamorelink_contract::RouteTable;
 use sycamorelink_core::{InstanceId, RequestId, ServiceName, UpstreamId};
 use sycamorelink_engine::NodeNote;
-use sycamorelink_telemetry::burn::{BurnQuery, BurnWatch};
-use sycamorelink_telemetry::reach::ReachWatch;
+use sycamorelink_telemetry::burn::{AlertTracker, BurnQuery};
+use sycamorelink_telemetry::reach::PartitionMonitor;
 use sycamorelink_telemetry::{BurnLedger, BurnReport, EventCode, EventFields, MetricName};
 
 use crate::metrics::{EventPort, NodeTelemetry};
@@ -35,8 +35,8 @@
 pub struct NoteRecorder {
     burn: BurnLedger,
     objectives: ObjectiveTable,
-    burn_watch: BurnWatch,
-    reach: ReachWatch,
+    burn_watch: AlertTracker,
+    reach: PartitionMonitor,
     events: EventPort,
     metrics: MetricTable,
     /// When a service last refused a request because of overload.
@@ -57,8 +57,8 @@
         Self {
             burn: BurnLedger::new(instance, wall_at_start),
             objectives: ObjectiveTable::default(),
-            burn_watch: BurnWatch::default(),
-            reach: ReachWatch::default(),
+            burn_watch: AlertTracker::default(),
+            reach: PartitionMonitor::default(),
             events: telemetry.events.clone(),
             metrics: MetricTable::new(telemetry.registry.clone()),
             last_shed: BTreeMap::new(),
@@ -77,7 +77,7 @@
     /// Returns the burn of the requests that this node took from callers.
     #[must_use]
     pub fn burn_report(&self, now: Duration, query: &BurnQuery) -> BurnReport {
-        self.burn.answer(now, query, &self.objectives)
+        self.burn.query(now, query, &self.objectives)
     }
 
     /// Records a note. Returns the request if the note reports its end.
--- a/crates/daemon/src/notes/periodic.rs
+++ b/crates/daemon/src/notes/periodic.rs
@@ -33,7 +33,7 @@
         self.emit_ended_overloads(now);
         if now >= self.next_slow_check {
             self.next_slow_check = now + SLOW_CHECK_PERIOD;
-            self.reach.forget(now);
+            self.reach.expire_lost(now);
             self.update_member_gauges(engine);
             self.update_upstream_gauges(engine);
             self.check_burn_alerts(now);
--- a/crates/daemon/src/notes/requests.rs
+++ b/crates/daemon/src/notes/requests.rs
@@ -38,7 +38,7 @@
         let term =
             parts.and_then(|(customer, service)| self.objectives.objective(customer, service));
         let objective = term.unwrap_or_default().objective;
-        let outcome = objective.judge(summary.latency, &request_end(summary))?;
+        let outcome = objective.classify(summary.latency, &request_end(summary))?;
         if let Some((customer, service)) = parts {
             self.burn.record(now, customer, service, outcome);
         }
--- a/crates/daemon/src/notes/roster.rs
+++ b/crates/daemon/src/notes/roster.rs
@@ -7,7 +7,7 @@
 use sycamorelink_core::unit::format_duration;
 use sycamorelink_engine::NodeNote;
 use sycamorelink_roster::{DownCause, RosterNote};
-use sycamorelink_telemetry::reach::ReachChange;
+use sycamorelink_telemetry::reach::PartitionChange;
 use sycamorelink_telemetry::{EventCode, EventFields};
 
 use super::NoteRecorder;
@@ -47,13 +47,13 @@
         }
     }
 
-    fn emit_reach_change(&self, change: Option<ReachChange>) {
+    fn emit_reach_change(&self, change: Option<PartitionChange>) {
         match change {
-            Some(ReachChange::Split { lost, known }) => {
+            Some(PartitionChange::Detected { lost, known }) => {
                 let fields = EventFields::new().count(&lost).limit(&known);
                 self.emit(EventCode::RosterSplit, &fields);
             }
-            Some(ReachChange::Healed { lost }) => {
+            Some(PartitionChange::Healed { lost }) => {
                 self.emit(EventCode::RosterHealed, &EventFields::new().count(&lost));
             }
             None => {}
--- a/crates/ops/src/burn.rs
+++ b/crates/ops/src/burn.rs
@@ -73,7 +73,7 @@
             }
             Err(error) => {
                 context.warn(format_args!("{daemon} is not in the report"));
-                sum.note_missing();
+                sum.count_missing();
                 failure.get_or_insert(error);
             }
         }
--- a/crates/telemetry/src/burn/classify.rs
+++ b/crates/telemetry/src/burn/classify.rs
@@ -27,7 +27,7 @@
     /// latency of the objective had passed; otherwise a service would look healthy because its
     /// callers give up before the slow replies arrive.
     #[must_use]
-    pub fn judge(&self, latency: Duration, end: &RequestEnd) -> Option<BurnOutcome> {
+    pub fn classify(&self, latency: Duration, end: &RequestEnd) -> Option<BurnOutcome> {
         let late = latency > self.latency;
         match end {
             RequestEnd::Reply(status) if *status >= FIRST_SERVER_ERROR => Some(BurnOutcome::Failed),
--- a/crates/telemetry/src/burn/ledger.rs
+++ b/crates/telemetry/src/burn/ledger.rs
@@ -119,12 +119,12 @@
             detail,
             ..BurnQuery::default()
         };
-        self.answer(now, &query, objectives)
+        self.query(now, &query, objectives)
     }
 
     /// Returns a report of the rows that the query selects, with the objectives in force now.
     #[must_use]
-    pub fn answer(
+    pub fn query(
         &self,
         now: Duration,
         query: &BurnQuery,
--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -24,5 +24,5 @@
 pub use summary::{BurnSummary, SummaryPoint, SummaryRow, SummaryWindow};
 pub use table::BurnTable;
 pub use time::UtcTime;
-pub use watch::{BurnChange, BurnWatch};
+pub use watch::{AlertChange, AlertTracker};
 pub use window::{BurnWindow, WindowCoverage};
--- a/crates/telemetry/src/burn/report.rs
+++ b/crates/telemetry/src/burn/report.rs
@@ -153,7 +153,7 @@
 
     /// Counts a daemon that was asked and gave no report, so that readers see that the sum is
     /// incomplete.
-    pub fn note_missing(&mut self) {
+    pub fn count_missing(&mut self) {
         self.missing = self.missing.saturating_add(1);
     }
 
--- a/crates/telemetry/src/burn/watch.rs
+++ b/crates/telemetry/src/burn/watch.rs
@@ -9,13 +9,13 @@
 
 /// Alert states of the last report, by customer and service.
 #[derive(Debug, Default)]
-pub struct BurnWatch {
+pub struct AlertTracker {
     states: BTreeMap<(CustomerName, ServiceName), BurnAlert>,
 }
 
 /// A change of an alert between two reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BurnChange {
+pub struct AlertChange {
     /// Customer of the row.
     pub customer: CustomerName,
     /// Service of the row.
@@ -26,7 +26,7 @@
     pub after: BurnAlert,
 }
 
-impl BurnChange {
+impl AlertChange {
     /// Returns the event to log for the change.
     ///
     /// A change to drift has an event only when it ends a fast or slow burn: drift is shown in
@@ -42,9 +42,9 @@
     }
 }
 
-impl BurnWatch {
+impl AlertTracker {
     /// Stores the alerts of a report and returns the changes since the previous one.
-    pub fn update(&mut self, report: &BurnReport) -> Vec<BurnChange> {
+    pub fn update(&mut self, report: &BurnReport) -> Vec<AlertChange> {
         let coverage = report.coverage();
         let mut states = BTreeMap::new();
         for row in &report.rows {
@@ -72,8 +72,8 @@
     (customer, service): &(CustomerName, ServiceName),
     before: BurnAlert,
     after: BurnAlert,
-) -> Option<BurnChange> {
-    (before != after).then(|| BurnChange {
+) -> Option<AlertChange> {
+    (before != after).then(|| AlertChange {
         customer: customer.clone(),
         service: service.clone(),
         before,
--- a/crates/telemetry/src/event/throttle.rs
+++ b/crates/telemetry/src/event/throttle.rs
@@ -57,7 +57,7 @@
 
     /// Counts every event in the metric `events`, whether it is logged or suppressed.
     #[must_use]
-    pub fn counting(mut self, registry: &MetricRegistry) -> Self {
+    pub fn with_counters(mut self, registry: &MetricRegistry) -> Self {
         self.counters = EventCode::ALL
             .iter()
             .map(|code| MetricTags::new().with("code", code.as_str()))
@@ -102,7 +102,7 @@
     }
 
     /// Logs the number of events suppressed in periods that have ended. Call it once per period.
-    pub fn sweep(&self, now: Duration) {
+    pub fn emit_suppressed(&self, now: Duration) {
         for (code, suppressed) in self.take_suppressed(now) {
             let fields = EventFields::new().reason(&code).count(&suppressed);
             emit_with_suppressed(EventCode::EventsSuppressed, &fields, 0);
--- a/crates/telemetry/src/metric/mod.rs
+++ b/crates/telemetry/src/metric/mod.rs
@@ -17,4 +17,4 @@
 pub use registry::{MetricRegistry, OTHER_SERIES};
 pub use series::FlushCount;
 pub use settings::MetricSettings;
-pub use sink::{MetricSample, MetricSink, NoopSink, PairSink, SinkError, StatsdSink, open_sink};
+pub use sink::{MetricSample, MetricSink, NoopSink, SinkError, StatsdSink, TeeSink, open_sink};
--- a/crates/telemetry/src/metric/sink.rs
+++ b/crates/telemetry/src/metric/sink.rs
@@ -156,12 +156,12 @@
 
 /// Sink that forwards every sample to two sinks.
 #[derive(Debug)]
-pub struct PairSink {
+pub struct TeeSink {
     first: Box<dyn MetricSink>,
     second: Box<dyn MetricSink>,
 }
 
-impl PairSink {
+impl TeeSink {
     /// Creates a sink that forwards to both sinks.
     #[must_use]
     pub fn new(first: Box<dyn MetricSink>, second: Box<dyn MetricSink>) -> Self {
@@ -169,7 +169,7 @@
     }
 }
 
-impl MetricSink for PairSink {
+impl MetricSink for TeeSink {
     fn send(&self, sample: &MetricSample<'_>) -> Result<(), SinkError> {
         // The second sink gets the sample even if the first one fails. After an error the registry
         // sends a count again, so the sink that accepted it counts it twice.
--- a/crates/telemetry/src/reach.rs
+++ b/crates/telemetry/src/reach.rs
@@ -18,9 +18,9 @@
 
 /// Start or end of a network partition, as seen by one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReachChange {
+pub enum PartitionChange {
     /// A large part of the fleet is unreachable.
-    Split {
+    Detected {
         /// Number of lost daemons.
         lost: usize,
         /// Number of known daemons, including the lost ones.
@@ -39,22 +39,22 @@
 /// daemons, and operators would look at these daemons instead of the network. Daemons that left by
 /// themselves do not count as lost.
 #[derive(Debug, Default)]
-pub struct ReachWatch {
+pub struct PartitionMonitor {
     up: BTreeSet<NodeId>,
     lost: BTreeMap<NodeId, Duration>,
     partitioned: bool,
 }
 
-impl ReachWatch {
+impl PartitionMonitor {
     /// Records that a daemon is up.
-    pub fn up(&mut self, node: NodeId) -> Option<ReachChange> {
+    pub fn up(&mut self, node: NodeId) -> Option<PartitionChange> {
         self.lost.remove(&node);
         self.up.insert(node);
         self.change()
     }
 
     /// Records that the fleet has declared a daemon down.
-    pub fn lost(&mut self, now: Duration, node: NodeId) -> Option<ReachChange> {
+    pub fn lost(&mut self, now: Duration, node: NodeId) -> Option<PartitionChange> {
         self.up.remove(&node);
         self.lost.insert(node, now);
         self.change()
@@ -69,22 +69,22 @@
     /// Drops daemons that were lost more than an hour ago.
     ///
     /// When this ends a partition, no change is reported, because no daemon came back.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire_lost(&mut self, now: Duration) {
         self.lost
             .retain(|_, since| now.saturating_sub(*since) < LOST_RETENTION);
         self.partitioned &= !self.is_healed();
     }
 
-    fn change(&mut self) -> Option<ReachChange> {
+    fn change(&mut self) -> Option<PartitionChange> {
         let lost = self.lost.len();
         let known = lost + self.up.len();
         if !self.partitioned && lost >= MIN_LOST && lost * PARTITION_DIVISOR >= known {
             self.partitioned = true;
-            return Some(ReachChange::Split { lost, known });
+            return Some(PartitionChange::Detected { lost, known });
         }
         if self.partitioned && self.is_healed() {
             self.partitioned = false;
-            return Some(ReachChange::Healed { lost });
+            return Some(PartitionChange::Healed { lost });
         }
         None
     }
--- a/crates/telemetry/tests/burn.rs
+++ b/crates/telemetry/tests/burn.rs
@@ -8,8 +8,8 @@
     CustomerName, InstanceId, NodeId, NodeIncarnation, RefusalCode, RequestRefusal, ServiceName,
 };
 use sycamorelink_telemetry::burn::{
-    BurnAlert, BurnCounts, BurnLedger, BurnObjective, BurnOutcome, BurnQuery, BurnReport, BurnRow,
-    BurnRule, BurnSource, BurnSummary, BurnTable, BurnWatch, BurnWindow, OTHER_NAME,
+    AlertTracker, BurnAlert, BurnCounts, BurnLedger, BurnObjective, BurnOutcome, BurnQuery,
+    BurnReport, BurnRow, BurnRule, BurnSource, BurnSummary, BurnTable, BurnWindow, OTHER_NAME,
     ObjectiveSource, ObjectiveTerm, ReportDetail, RequestEnd, UtcTime, WindowCoverage, burn_rate,
 };
 use sycamorelink_telemetry::event::EventCode;
@@ -364,10 +364,10 @@
         rows: vec![row(target, [counts(10_000, failed); 5])],
         ..BurnReport::default()
     };
-    let mut watch = BurnWatch::default();
+    let mut tracker = AlertTracker::default();
     let mut seen = Vec::new();
     for failed in [0, 100, 100, 500, 100, 0, 0] {
-        for change in watch.update(&report(failed)) {
+        for change in tracker.update(&report(failed)) {
             seen.push(change.event());
         }
     }
@@ -391,7 +391,7 @@
     }
     let query = r#"{"customer": "brannock", "detail": "points"}"#;
     let query: BurnQuery = serde_json::from_str(query).expect("the query is valid");
-    let report = ledger.answer(Duration::ZERO, &query, &NoObjectives);
+    let report = ledger.query(Duration::ZERO, &query, &NoObjectives);
     let rows: Vec<_> = report
         .rows
         .iter()
@@ -410,7 +410,7 @@
 #[test]
 fn missing_daemons_are_shown() {
     let mut report = support::fleet_report();
-    report.note_missing();
+    report.count_missing();
     let text = BurnTable(&BurnSummary::of(&report)).to_string();
     assert!(text.contains("2 daemons, 1 more did not answer;"), "{text}");
 }
@@ -452,10 +452,10 @@
 #[test]
 fn request_ends_are_classified() {
     let target = BurnObjective::default();
-    let judge = |late: bool, end: &RequestEnd| {
+    let classify = |late: bool, end: &RequestEnd| {
         let latency = target.latency * if late { 2 } else { 1 };
         target
-            .judge(latency, end)
+            .classify(latency, end)
             .map_or("not counted", |outcome| outcome.as_str())
     };
     let mut lines = Vec::new();
@@ -463,17 +463,17 @@
         let end = RequestEnd::Reply(status);
         lines.push(format!(
             "{status}: {}, {}",
-            judge(false, &end),
-            judge(true, &end)
+            classify(false, &end),
+            classify(true, &end)
         ));
     }
     for code in RefusalCode::ALL {
         let not_run = RequestEnd::Refusal(RequestRefusal::not_run(*code));
         let unknown = RequestEnd::Refusal(RequestRefusal::unknown(*code));
-        let (in_time, late) = (judge(false, &not_run), judge(true, &not_run));
+        let (in_time, late) = (classify(false, &not_run), classify(true, &not_run));
         lines.push(format!(
             "{code}: {in_time}, {late}, {}",
-            judge(false, &unknown)
+            classify(false, &unknown)
         ));
     }
     insta::assert_snapshot!(lines.join("\n"));
--- a/crates/telemetry/tests/events.rs
+++ b/crates/telemetry/tests/events.rs
@@ -291,7 +291,7 @@
         throttle.emit(now, EventCode::UpstreamEjected, &EventFields::new());
         let now = Duration::from_secs(12);
         throttle.emit(now, EventCode::ReplyTruncated, &EventFields::new());
-        throttle.sweep(Duration::from_secs(30));
+        throttle.emit_suppressed(Duration::from_secs(30));
     });
     let lines: Vec<_> = text.lines().map(without_time).collect();
     insta::assert_json_snapshot!(lines);
@@ -313,7 +313,7 @@
 #[test]
 fn metric_counts_suppressed_events() {
     let registry = MetricRegistry::new(&MetricSettings::default());
-    let throttle = EventThrottle::new(Duration::from_secs(10), 1).counting(&registry);
+    let throttle = EventThrottle::new(Duration::from_secs(10), 1).with_counters(&registry);
     for _ in 0..5 {
         let _ = throttle.admit(Duration::ZERO, EventCode::BadRequest);
     }
