--- a/crates/daemon/src/operators/publish.rs
+++ b/crates/daemon/src/operators/publish.rs
@@ -11,7 +11,7 @@
     ChangeAction, ChangeId, ContractChange, ContractVersion, CustomerContract, LogRecord,
 };
 use sycamorelink_core::CustomerName;
-use sycamorelink_log::{LogError, ReadBack, SettleResult, append_and_settle};
+use sycamorelink_log::{AppendOutcome, LogError, ReadBack, append_and_settle};
 
 use super::query::OperatorQuery;
 use super::reply::{ApiProblem, json_reply, with_etag};
@@ -219,7 +219,7 @@
     };
     let bytes = Bytes::from(change.encode());
     match append_and_settle(context.log.as_ref(), range, bytes, is_same_change).await {
-        Ok(SettleResult::Taken { .. } | SettleResult::NotSeen { .. })
+        Ok(AppendOutcome::Appended { .. } | AppendOutcome::NotFound { .. })
         | Err(LogError::Uncertain { .. }) => Ok(()),
         Err(error) => Err(log_problem(&error)),
     }
--- a/crates/daemon/src/work/serving.rs
+++ b/crates/daemon/src/work/serving.rs
@@ -44,7 +44,7 @@
         ConnectError::Refused(HandshakeRefusal::UnknownVersion)
         | ConnectError::Frame(FrameError::Version(_)) => Some(EventCode::PeerVersion),
         ConnectError::Refused(HandshakeRefusal::UnknownKey) => Some(EventCode::KeyMismatched),
-        ConnectError::Refused(HandshakeRefusal::WrongProof) | ConnectError::NotOfFleet => {
+        ConnectError::Refused(HandshakeRefusal::WrongProof) | ConnectError::Unauthenticated => {
             Some(EventCode::PeerForeign)
         }
         ConnectError::Refused(HandshakeRefusal::WrongInstance { .. })
@@ -53,7 +53,7 @@
         ConnectError::Refused(HandshakeRefusal::Malformed)
         | ConnectError::Frame(FrameError::Kind(_) | FrameError::Truncated)
         | ConnectError::Codec(_)
-        | ConnectError::OutOfTurn(_) => Some(EventCode::FrameMalformed),
+        | ConnectError::UnexpectedFrame(_) => Some(EventCode::FrameMalformed),
         ConnectError::Unreachable(_) | ConnectError::TimedOut => None,
     }
 }
--- a/crates/daemon/src/work/thread.rs
+++ b/crates/daemon/src/work/thread.rs
@@ -212,7 +212,7 @@
 async fn report_quiet_peers(context: WorkContext) {
     loop {
         tokio::time::sleep(QUIET_CHECK_INTERVAL).await;
-        for peer in context.peers.quiet_peers(QUIET_LIMIT) {
+        for peer in context.peers.unresponsive_peers(QUIET_LIMIT) {
             context
                 .send_event(NodeEvent::PeerUnresponsive { node: peer.node })
                 .await;
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -28,4 +28,4 @@
 pub use follow::{FollowEvent, FollowSettings, FollowStep, LogFollower};
 pub use http_log::{HttpLogClient, HttpLogSettings};
 pub use memory::{MemoryFault, MemoryLog};
-pub use settle::{ReadBack, SettleResult, append_and_settle, read_back};
+pub use settle::{AppendOutcome, ReadBack, append_and_settle, read_back};
--- a/crates/log/src/settle.rs
+++ b/crates/log/src/settle.rs
@@ -5,9 +5,9 @@
 //! instead read back from an offset known before the append, and searched for the id of the change.
 //!
 //! ```text
-//! append ──▶ receipt ───────────────────────────────▶ Taken
-//!        └─▶ uncertain ─▶ read back ─▶ found ───────▶ Taken
-//!                                  └─▶ end reached ─▶ NotSeen
+//! append ──▶ receipt ───────────────────────────────▶ Appended
+//!        └─▶ uncertain ─▶ read back ─▶ found ───────▶ Appended
+//!                                  └─▶ end reached ─▶ NotFound
 //!                                  └─▶ trimmed/down ▶ error, outcome unknown
 //! ```
 
@@ -33,15 +33,15 @@
 
 /// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SettleResult {
+pub enum AppendOutcome {
     /// The append took effect.
-    Taken {
+    Appended {
         /// Offset of the record.
         offset: u64,
     },
     /// The record is not among those before `next`. An append still in progress may take effect
     /// later, so a second append is safe only if readers drop a change whose id they have seen.
-    NotSeen {
+    NotFound {
         /// End of the stream when it was read.
         next: u64,
     },
@@ -56,7 +56,7 @@
     client: &dyn LogClient,
     range: ReadBack<'_>,
     is_own: F,
-) -> Result<SettleResult, LogError>
+) -> Result<AppendOutcome, LogError>
 where
     F: Fn(&LogRecord) -> bool,
 {
@@ -70,13 +70,13 @@
         };
         let page = client.read(range.stream, request).await?;
         if let Some(record) = page.records.iter().find(|record| is_own(record)) {
-            return Ok(SettleResult::Taken {
+            return Ok(AppendOutcome::Appended {
                 offset: record.offset,
             });
         }
         let Some(last) = page.records.last() else {
             if !wait.is_zero() || range.patience.is_zero() {
-                return Ok(SettleResult::NotSeen { next: page.next });
+                return Ok(AppendOutcome::NotFound { next: page.next });
             }
             wait = range.patience;
             continue;
@@ -96,13 +96,13 @@
     range: ReadBack<'_>,
     data: Bytes,
     is_own: F,
-) -> Result<SettleResult, LogError>
+) -> Result<AppendOutcome, LogError>
 where
     F: Fn(&LogRecord) -> bool,
 {
     let error = match client.append(range.stream, data).await {
         Ok(receipt) => {
-            return Ok(SettleResult::Taken {
+            return Ok(AppendOutcome::Appended {
                 offset: receipt.offset,
             });
         }
--- a/crates/log/tests/settle.rs
+++ b/crates/log/tests/settle.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use support::{STREAM, client_for, run_local, start_log};
 use sycamorelink_log::{
-    LogClient, LogError, LogRecord, MemoryFault, MemoryLog, ReadBack, SettleResult,
+    AppendOutcome, LogClient, LogError, LogRecord, MemoryFault, MemoryLog, ReadBack,
     append_and_settle, read_back,
 };
 use sycamorelink_standin::{LogMode, LogStandinSettings};
@@ -36,7 +36,7 @@
         client.append(STREAM, change("other")).await.unwrap();
         log.set_mode(LogMode::LoseReplies);
         let settled = append_and_settle(&client, READ_BACK, change("own"), is_change("own")).await;
-        assert_eq!(settled, Ok(SettleResult::Taken { offset: 1 }));
+        assert_eq!(settled, Ok(AppendOutcome::Appended { offset: 1 }));
         assert_eq!(log.append_count(), 2);
     });
 }
@@ -49,7 +49,7 @@
         log.append(STREAM, change("other")).await.unwrap();
         log.set_fault(MemoryFault::LoseAppends);
         let settled = append_and_settle(&log, READ_BACK, change("own"), is_change("own")).await;
-        assert_eq!(settled, Ok(SettleResult::NotSeen { next: 1 }));
+        assert_eq!(settled, Ok(AppendOutcome::NotFound { next: 1 }));
     });
 }
 
@@ -65,7 +65,7 @@
         assert!(settled.unwrap_err().may_have_taken_effect());
         log.set_mode(LogMode::Up);
         let settled = read_back(&client, READ_BACK, is_change("own")).await;
-        assert_eq!(settled, Ok(SettleResult::NotSeen { next: 0 }));
+        assert_eq!(settled, Ok(AppendOutcome::NotFound { next: 0 }));
     });
 }
 
@@ -94,7 +94,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             log.append(STREAM, change("own")).await.unwrap();
         });
-        assert_eq!(settled, Ok(SettleResult::Taken { offset: 0 }));
+        assert_eq!(settled, Ok(AppendOutcome::Appended { offset: 0 }));
     });
 }
 
@@ -129,6 +129,6 @@
             ..READ_BACK
         };
         let settled = read_back(&client, patient_range, is_change("own")).await;
-        assert_eq!(settled, Ok(SettleResult::Taken { offset: 0 }));
+        assert_eq!(settled, Ok(AppendOutcome::Appended { offset: 0 }));
     });
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -72,7 +72,7 @@
                 self.ended = true;
                 Ok(None)
             }
-            other => Err(WireError::OutOfTurn(other)),
+            other => Err(WireError::UnexpectedFrame(other)),
         }
     }
 
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -31,7 +31,7 @@
     },
     /// The peer cannot prove that it holds a key of this fleet.
     #[error("peer does not hold a key of this fleet")]
-    NotOfFleet,
+    Unauthenticated,
     /// The peer sent bytes that are not valid frames.
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -40,7 +40,7 @@
     Codec(#[from] CodecError),
     /// The peer sent a frame of an unexpected kind.
     #[error("unexpected frame {0:?}")]
-    OutOfTurn(FrameKind),
+    UnexpectedFrame(FrameKind),
 }
 
 /// Reason why a stream failed.
@@ -90,7 +90,7 @@
     Codec(#[from] CodecError),
     /// The stream carries a frame of an unexpected kind.
     #[error("unexpected frame {0:?}")]
-    OutOfTurn(FrameKind),
+    UnexpectedFrame(FrameKind),
     /// The body does not match the length or digest sent with it.
     #[error("body does not match its length or digest: got {actual} bytes, expected {expected}")]
     NotWhole {
--- a/crates/wire/src/exchange.rs
+++ b/crates/wire/src/exchange.rs
@@ -179,7 +179,7 @@
                 self.declared_length = head.body_length;
                 Ok(ReplyOpening::Reply(head))
             }
-            other => Err(WireError::OutOfTurn(other)),
+            other => Err(WireError::UnexpectedFrame(other)),
         }
     }
 
@@ -212,7 +212,7 @@
                 self.outcome = Some(Err(failed));
                 Ok(None)
             }
-            other => Err(WireError::OutOfTurn(other)),
+            other => Err(WireError::UnexpectedFrame(other)),
         }
     }
 
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -143,7 +143,7 @@
     let key = identity
         .keys
         .find(challenge.key)
-        .ok_or(ConnectError::NotOfFleet)?;
+        .ok_or(ConnectError::Unauthenticated)?;
     let transcript = HandshakeTranscript {
         version: WIRE_VERSION,
         hello: &hello,
@@ -156,7 +156,7 @@
         .map_err(|error| map_wrong_instance(error, target))?;
     let expected = transcript.mac(key, MacPurpose::ServerProof)?;
     if !macs_equal(&accepted.code, &expected) {
-        return Err(ConnectError::NotOfFleet);
+        return Err(ConnectError::Unauthenticated);
     }
     match target {
         Some(expected) if expected != challenge.server => Err(ConnectError::WrongInstance {
@@ -228,7 +228,7 @@
 {
     let refusal = match error {
         ConnectError::Frame(FrameError::Version(_)) => HandshakeRefusal::UnknownVersion,
-        ConnectError::Frame(_) | ConnectError::Codec(_) | ConnectError::OutOfTurn(_) => {
+        ConnectError::Frame(_) | ConnectError::Codec(_) | ConnectError::UnexpectedFrame(_) => {
             HandshakeRefusal::Malformed
         }
         other => return Err(other),
@@ -264,7 +264,7 @@
     io.read_exact(&mut header).await.map_err(unreachable)?;
     let (kind, length) = read_header(header, &FrameLimits::default())?;
     if kind != expected && kind != FrameKind::HandshakeRefused {
-        return Err(ConnectError::OutOfTurn(kind));
+        return Err(ConnectError::UnexpectedFrame(kind));
     }
     let mut payload = vec![0; length];
     io.read_exact(&mut payload).await.map_err(unreachable)?;
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -143,7 +143,7 @@
     /// Returns the peers whose reply to a heartbeat has been outstanding for longer than `limit`.
     /// Their connections are still open.
     #[must_use]
-    pub fn quiet_peers(&self, limit: Duration) -> Vec<InstanceId> {
+    pub fn unresponsive_peers(&self, limit: Duration) -> Vec<InstanceId> {
         let entries = self.shared.entries.borrow();
         let unresponsive = entries.iter().filter(|(_, entry)| {
             let Ok(link) = entry.link.try_lock() else {
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -225,7 +225,7 @@
     let frame = read.await.map_err(|_| WireError::EndedEarly)??;
     let frame = frame.ok_or(WireError::EndedEarly)?;
     if frame.kind != FrameKind::WorkHead {
-        return Err(WireError::OutOfTurn(frame.kind));
+        return Err(WireError::UnexpectedFrame(frame.kind));
     }
     let head: WorkHead = decode_payload(&frame.payload)?;
     if head.upstream.node != serving.own.node {
@@ -243,7 +243,7 @@
 {
     while let Some(frame) = reader.next().await? {
         if frame.kind != FrameKind::Message {
-            return Err(WireError::OutOfTurn(frame.kind));
+            return Err(WireError::UnexpectedFrame(frame.kind));
         }
         let message = decode_payload(&frame.payload)?;
         serving.handler.message(serving.peer, message);
--- a/crates/wire/tests/handshake.rs
+++ b/crates/wire/tests/handshake.rs
@@ -179,7 +179,7 @@
         let client = identity("client");
         let connected = PeerConnection::connect(address, &client, None, settings);
         let error = with_timeout(connected).await.unwrap_err();
-        assert_eq!(error, ConnectError::NotOfFleet);
+        assert_eq!(error, ConnectError::Unauthenticated);
         impostor.await.unwrap();
     });
 }
