--- a/crates/ops/src/contract/local.rs
+++ b/crates/ops/src/contract/local.rs
@@ -71,7 +71,7 @@
 
 /// Contract to compare a file with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ContractSide {
+pub enum DiffBaseline {
     /// Contract in another file.
     File(PathBuf),
     /// Contract in force in the fleet for the same customer.
@@ -87,12 +87,12 @@
 pub fn diff_contracts(
     context: &mut ShellContext,
     file: &Path,
-    baseline: &ContractSide,
+    baseline: &DiffBaseline,
 ) -> anyhow::Result<()> {
     let after = read_contract(file)?;
     let before = match baseline {
-        ContractSide::File(other) => read_contract(other)?,
-        ContractSide::Fleet => {
+        DiffBaseline::File(other) => read_contract(other)?,
+        DiffBaseline::Fleet => {
             let client = DaemonClient::open(context.settings())?;
             let current = fetch_contract(&client, after.customer.as_str())
                 .with_context(|| format!("could not compare {} with the fleet", file.display()))?;
--- a/crates/ops/src/contract/mod.rs
+++ b/crates/ops/src/contract/mod.rs
@@ -20,7 +20,7 @@
 pub use diff::{ContractDifference, value_differences};
 pub use follow::{WaitOptions, wait_for_change};
 pub use local::{
-    ContractSide, diff_contracts, print_sample, print_schema, read_contract, validate_contracts,
+    DiffBaseline, diff_contracts, print_sample, print_schema, read_contract, validate_contracts,
 };
 pub use read::{contract_history, list_contracts, show_contract};
 
--- a/src/bin/sycamorelink/commands/contract/diff.rs
+++ b/src/bin/sycamorelink/commands/contract/diff.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use sycamorelink_ops::ShellContext;
-use sycamorelink_ops::contract::{ContractSide, diff_contracts};
+use sycamorelink_ops::contract::{DiffBaseline, diff_contracts};
 
 #[derive(Debug, Args)]
 pub struct DiffArgs {
@@ -17,8 +17,8 @@
 
 pub fn exec(context: &mut ShellContext, args: &DiffArgs) -> anyhow::Result<()> {
     let side = match &args.against {
-        Some(file) => ContractSide::File(file.clone()),
-        None => ContractSide::Fleet,
+        Some(file) => DiffBaseline::File(file.clone()),
+        None => DiffBaseline::Fleet,
     };
     diff_contracts(context, &args.file, &side)
 }
