--- a/crates/contract/src/schema.rs
+++ b/crates/contract/src/schema.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 use sycamorelink_core::unit::{
-    DURATION_FORMAT, ExactForm, SIZE_FORMAT, UnitError, parse_duration, parse_size,
+    DURATION_FORMAT, ExactSyntax, SIZE_FORMAT, UnitError, parse_duration, parse_size,
 };
 use sycamorelink_core::{FindingList, nearest_name};
 
@@ -131,8 +131,8 @@
 
     fn check_format(&mut self, schema: &Value, text: &str, place: &str) {
         let message = match schema["format"].as_str() {
-            Some(DURATION_FORMAT) => error_message(parse_duration::<ExactForm>(text)),
-            Some(SIZE_FORMAT) => error_message(parse_size::<ExactForm>(text)),
+            Some(DURATION_FORMAT) => error_message(parse_duration::<ExactSyntax>(text)),
+            Some(SIZE_FORMAT) => error_message(parse_size::<ExactSyntax>(text)),
             Some("sha256") if ContentDigest::from_hex(text).is_none() => {
                 Some("must be the 64 hexadecimal digits of a SHA-256 digest".to_owned())
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,4 +21,4 @@
 };
 pub use outcome::{RefusalCode, RequestRefusal, RunState};
 pub use suggest::nearest_name;
-pub use unit::{DurationText, ExactForm, SizeText, SpacedForm, UnitError};
+pub use unit::{DurationText, ExactSyntax, LenientSyntax, SizeText, UnitError};
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -10,8 +10,8 @@
 //!
 //! A value is a whole number with a single unit, so that formatting and parsing round-trip.
 //!
-//! Contracts use the [`ExactForm`], since the set of texts that readers of the log accept must
-//! not change. Settings and command-line arguments, which people type, use the [`SpacedForm`],
+//! Contracts use the [`ExactSyntax`], since the set of texts that readers of the log accept must
+//! not change. Settings and command-line arguments, which people type, use the [`LenientSyntax`],
 //! which also accepts `" 250 ms"`.
 
 use std::borrow::Cow;
@@ -97,23 +97,23 @@
 
 /// Syntax of digits directly followed by a unit, without any other characters.
 #[derive(Clone, Copy, Debug)]
-pub struct ExactForm;
+pub struct ExactSyntax;
 
-impl UnitSyntax for ExactForm {
+impl UnitSyntax for ExactSyntax {
     fn split(text: &str) -> (&str, &str) {
         let unit = text.find(|letter: char| letter.is_ascii_alphabetic());
         text.split_at(unit.unwrap_or(text.len()))
     }
 }
 
-/// Syntax like [`ExactForm`] that also allows blanks around the digits and the unit, and a
+/// Syntax like [`ExactSyntax`] that also allows blanks around the digits and the unit, and a
 /// leading plus sign.
 #[derive(Clone, Copy, Debug)]
-pub struct SpacedForm;
+pub struct LenientSyntax;
 
-impl UnitSyntax for SpacedForm {
+impl UnitSyntax for LenientSyntax {
     fn split(text: &str) -> (&str, &str) {
-        let (digits, unit) = ExactForm::split(text.trim());
+        let (digits, unit) = ExactSyntax::split(text.trim());
         let digits = digits.trim_end();
         (digits.strip_prefix('+').unwrap_or(digits), unit)
     }
@@ -218,7 +218,7 @@
 
 /// Serialization adapter for a [`Duration`] written as `"250ms"`.
 #[derive(Clone, Copy, Debug)]
-pub struct DurationText<F = ExactForm>(PhantomData<F>);
+pub struct DurationText<F = ExactSyntax>(PhantomData<F>);
 
 impl<F> SerializeAs<Duration> for DurationText<F> {
     fn serialize_as<S>(source: &Duration, serializer: S) -> Result<S::Ok, S::Error>
@@ -258,7 +258,7 @@
 
 /// Serialization adapter for a size in bytes written as `"64KB"`.
 #[derive(Clone, Copy, Debug)]
-pub struct SizeText<F = ExactForm>(PhantomData<F>);
+pub struct SizeText<F = ExactSyntax>(PhantomData<F>);
 
 impl<F> SerializeAs<u64> for SizeText<F> {
     fn serialize_as<S>(source: &u64, serializer: S) -> Result<S::Ok, S::Error>
--- a/crates/daemon/src/settings/units.rs
+++ b/crates/daemon/src/settings/units.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use sycamorelink_core::unit;
-use sycamorelink_core::{DurationText, SizeText, SpacedForm, UnitError};
+use sycamorelink_core::{DurationText, LenientSyntax, SizeText, UnitError};
 
 /// `serde_with` adapter for a duration such as `"250ms"`; spaces around the number are allowed.
-pub type UnitDuration = DurationText<SpacedForm>;
+pub type UnitDuration = DurationText<LenientSyntax>;
 
 /// `serde_with` adapter for a size in bytes such as `"64KB"`; spaces around the number are allowed.
-pub type UnitBytes = SizeText<SpacedForm>;
+pub type UnitBytes = SizeText<LenientSyntax>;
 
 /// Parses a duration such as `"250ms"`.
 ///
@@ -17,5 +17,5 @@
 ///
 /// When the number or the unit is missing, or the value does not fit.
 pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
-    unit::parse_duration::<SpacedForm>(text)
+    unit::parse_duration::<LenientSyntax>(text)
 }
--- a/crates/ops/tests/settings.rs
+++ b/crates/ops/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a daemon: defaults, validation findings and their paths.
 
 use serde_json::Value;
-use sycamorelink_core::SpacedForm;
+use sycamorelink_core::LenientSyntax;
 use sycamorelink_core::unit::parse_size;
 use sycamorelink_daemon::settings::{DaemonSettings, parse_duration, section_defaults};
 
@@ -93,7 +93,7 @@
     let cases = ["64KB", "1GB", "12B", "12", "64kb"];
     let sizes: Vec<String> = cases
         .iter()
-        .map(|text| render(parse_size::<SpacedForm>(text)))
+        .map(|text| render(parse_size::<LenientSyntax>(text)))
         .collect();
     insta::assert_snapshot!(sizes.join("\n"));
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -9,7 +9,7 @@
 
 use crate::ledger::{CallKind, SeenCall, SeenReply, SoakLedger};
 use crate::nodes::SoakNode;
-use crate::support::client::{SeenAnswer, talk};
+use crate::support::client::{ReceivedResponse, try_exchange};
 
 /// How long a caller waits: beyond the route's time and any pause of a daemon.
 pub const ANSWER_LIMIT: Duration = Duration::from_secs(10);
@@ -22,8 +22,12 @@
 const PACE: Duration = Duration::from_millis(25);
 
 /// One request on a connection of its own, to a daemon that may be gone; only a whole answer counts.
-pub fn ask_once(address: SocketAddr, request: &str, limit: Duration) -> io::Result<SeenAnswer> {
-    let (answer, end) = talk(address, request, limit)?;
+pub fn ask_once(
+    address: SocketAddr,
+    request: &str,
+    limit: Duration,
+) -> io::Result<ReceivedResponse> {
+    let (answer, end) = try_exchange(address, request, limit)?;
     end.map(|_| answer)
 }
 
--- a/tests/soak/nodes.rs
+++ b/tests/soak/nodes.rs
@@ -16,9 +16,9 @@
 use crate::processes::process::TestProcess;
 use crate::processes::wait_for;
 use crate::proxy::LoopbackProxy;
-use crate::support::backend::own_headers;
+use crate::support::backend::reply_headers;
 use crate::support::client::post;
-use crate::support::http::{Reaction, SeenRequest, serve};
+use crate::support::http::{ReceivedRequest, ServerAction, serve};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_sycamorelinkd");
 /// Pause between two heartbeats of a backend server.
@@ -270,18 +270,18 @@
 }
 
 /// What the backend server does with a request; a run is noted before it has any effect.
-fn react(backend: &BackendState, ledger: &SoakLedger, request: &SeenRequest) -> Reaction {
+fn react(backend: &BackendState, ledger: &SoakLedger, request: &ReceivedRequest) -> ServerAction {
     let life = Arc::clone(&*backend.life.lock().expect("the life"));
     let mode = *backend.mode.lock().expect("the mode");
     let expected = request.header("expected-instance");
     if !expected.is_empty() && expected != &*life {
         let told = vec![("Instance-Id".to_owned(), life.to_string())];
-        return Reaction::Reply(421, told, Vec::new());
+        return ServerAction::Reply(421, told, Vec::new());
     }
-    let mut headers = own_headers(request);
+    let mut headers = reply_headers(request);
     if mode == BackendMode::Shedding {
         headers.push(("Not-Executed".to_owned(), "1".to_owned()));
-        return Reaction::Reply(503, headers, Vec::new());
+        return ServerAction::Reply(503, headers, Vec::new());
     }
     let every_other = backend
         .turn
@@ -306,12 +306,12 @@
     });
     let body = format!("{} {} by {life}", request.method, request.target).into_bytes();
     match (mode, status) {
-        (BackendMode::Silent, _) => Reaction::Silence,
+        (BackendMode::Silent, _) => ServerAction::Unanswered,
         (BackendMode::Halving, _) => {
             let half = body[..body.len() / 2].to_vec();
-            Reaction::Endless(headers, half, true)
+            ServerAction::UntilClose(headers, half, true)
         }
-        (_, 0) => Reaction::Reset,
-        (_, status) => Reaction::Reply(status, headers, body),
+        (_, 0) => ServerAction::Reset,
+        (_, status) => ServerAction::Reply(status, headers, body),
     }
 }
--- a/tests/soak/session.rs
+++ b/tests/soak/session.rs
@@ -11,8 +11,8 @@
 use crate::plan::{BackendMode, SoakAct, SoakPlan, Way, WayFault};
 use crate::processes::process::TestProcess;
 use crate::support::client::request;
-use crate::support::fleet::config_with;
-use crate::support::store::StandInStore;
+use crate::support::fleet::config_with_routes;
+use crate::support::store::FakeStore;
 
 /// Callers of each instance.
 const CALLERS: usize = 2;
@@ -29,7 +29,7 @@
 
 struct SoakSession {
     nodes: Vec<SoakNode>,
-    store: StandInStore,
+    store: FakeStore,
     ledger: SoakLedger,
     newest: AtomicU64,
     planned_only: bool,
@@ -49,7 +49,7 @@
 pub fn play(seed: u64) -> SessionReport {
     let plan = SoakPlan::new(seed);
     let directory = tempfile::tempdir().expect("a directory");
-    let store = StandInStore::start();
+    let store = FakeStore::start();
     let ledger = SoakLedger::default();
     let nodes = (0..plan.nodes)
         .map(|index| {
@@ -146,9 +146,9 @@
                 self.nodes[index].harm(way, WayFault::None);
             }
             SoakAct::StoreAway(time) => {
-                self.store.refuse(Some(503));
+                self.store.set_refusal(Some(503));
                 thread::sleep(time);
-                self.store.refuse(None);
+                self.store.set_refusal(None);
             }
             SoakAct::StoreForgets => {
                 self.store.drop_history("keyed.op");
@@ -176,7 +176,7 @@
     }
 
     fn heal(&self) {
-        self.store.refuse(None);
+        self.store.set_refusal(None);
         for node in &self.nodes {
             node.set_mode(BackendMode::Sound);
             for way in [Way::Peers, Way::Store, Way::Backend] {
@@ -226,5 +226,5 @@
 /// A configuration: look-ups, bookings, and one route more for each version up to its own.
 fn config(version: u64) -> String {
     let routes: Vec<String> = (1..=version).map(|number| format!("v{number}")).collect();
-    config_with(version, "orders", &routes)
+    config_with_routes(version, "orders", &routes)
 }
