--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::ledger::{CallKind, SeenCall, SeenReply, SoakLedger};
 use crate::nodes::SoakNode;
+use crate::record::{CallKind, SeenCall, SeenReply, SoakLedger};
 use crate::support::client::{SeenAnswer, talk};
 
 /// How long a caller waits: beyond the route's time and any pause of a daemon.
--- a/tests/soak/judge.rs
+++ b/tests/soak/invariants.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::callers::ANSWER_LIMIT;
-use crate::ledger::{CallKind, LedgerState, SeenCall, SeenReply, SeenRun};
 use crate::nodes::SoakNode;
+use crate::record::{CallKind, LedgerState, SeenCall, SeenReply, SeenRun};
 
 /// Upstreams that may run one request, as the configuration of the session says.
 const MOST_RUNS: usize = 2;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -19,11 +19,11 @@
 //! directory for the daemons' logs.
 
 mod callers;
-mod judge;
-mod ledger;
+mod invariants;
 mod nodes;
 mod plan;
 mod proxy;
+mod record;
 mod session;
 
 #[path = "../testsuite/support/mod.rs"]
--- a/tests/soak/nodes.rs
+++ b/tests/soak/nodes.rs
@@ -11,11 +11,11 @@
 use serde_json::json;
 
 use crate::callers::ask_once;
-use crate::ledger::{SeenRun, SoakLedger};
 use crate::plan::{BackendMode, Way, WayFault};
 use crate::processes::process::TestProcess;
 use crate::processes::wait_for;
 use crate::proxy::LoopbackProxy;
+use crate::record::{SeenRun, SoakLedger};
 use crate::support::backend::own_headers;
 use crate::support::client::post;
 use crate::support::http::{Reaction, SeenRequest, serve};
--- a/tests/soak/session.rs
+++ b/tests/soak/session.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use crate::callers::{ask_once, call_until};
-use crate::judge::judge;
-use crate::ledger::SoakLedger;
+use crate::invariants::judge;
 use crate::nodes::SoakNode;
 use crate::plan::{BackendMode, SoakAct, SoakPlan, Way, WayFault};
 use crate::processes::process::TestProcess;
+use crate::record::SoakLedger;
 use crate::support::client::request;
 use crate::support::fleet::config_with;
 use crate::support::store::StandInStore;
