--- a/src/bin/sycamorelink/cli.rs
+++ b/src/bin/sycamorelink/cli.rs
@@ -1,4 +1,4 @@
-//! The whole command line: arguments of every command, and the commands.
+//! Definition of the command line: the common options and the output format.
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 
 use crate::commands::TopCommand;
 
-/// Heading of the options that every command has.
+/// Help heading of the options that every command accepts.
 const COMMON: &str = "Common options";
 
-/// What stands under the help of the program.
+/// Text below the options in the program's help.
 const AFTER_HELP: &str = "\
 Any daemon takes any call: name one or several with `--daemon` or in SYCAMORELINK_DAEMON.
 Data goes to stdout, everything else to stderr; exit codes are in docs/exit-codes.md.";
@@ -31,8 +31,8 @@
     pub command: TopCommand,
 }
 
-/// The command line as clap sees it, for completions.
-pub fn command() -> clap::Command {
+/// Returns the clap definition of the command line, from which completions are generated.
+pub fn clap_command() -> clap::Command {
     CommandLine::command()
 }
 
@@ -54,8 +54,11 @@
 }
 
 impl GlobalArgs {
-    /// The context that operations get.
-    pub fn context(&self) -> anyhow::Result<ShellContext> {
+    /// Builds the context of an operation from the options and the environment variables.
+    ///
+    /// Returns an error when the environment holds an invalid address or the token file is
+    /// unreadable.
+    pub fn build_context(&self) -> anyhow::Result<ShellContext> {
         let source = SettingsSource {
             daemons: self.daemon.clone(),
             token_file: self.token_file.clone(),
@@ -79,7 +82,7 @@
 }
 
 impl FormatArgs {
-    pub fn output(&self) -> OutputFormat {
+    pub fn output_format(&self) -> OutputFormat {
         match self.format {
             DataFormat::Text => OutputFormat::Text,
             DataFormat::Json => OutputFormat::Json,
--- a/src/bin/sycamorelink/commands/completions.rs
+++ b/src/bin/sycamorelink/commands/completions.rs
@@ -14,6 +14,11 @@
 
 pub fn exec(context: &mut ShellContext, args: &CompletionsArgs) -> anyhow::Result<()> {
     let mut script = Vec::new();
-    generate(args.shell, &mut cli::command(), "sycamorelink", &mut script);
+    generate(
+        args.shell,
+        &mut cli::clap_command(),
+        "sycamorelink",
+        &mut script,
+    );
     context.data(String::from_utf8(script)?)
 }
--- a/src/bin/sycamorelink/commands/contract/history.rs
+++ b/src/bin/sycamorelink/commands/contract/history.rs
@@ -15,5 +15,5 @@
 }
 
 pub fn exec(context: &mut ShellContext, args: &HistoryArgs) -> anyhow::Result<()> {
-    contract_history(context, &args.customer, args.format.output())
+    contract_history(context, &args.customer, args.format.output_format())
 }
--- a/src/bin/sycamorelink/commands/contract/mod.rs
+++ b/src/bin/sycamorelink/commands/contract/mod.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Reads a version, written `5` or `v5`.
+/// Parses a version, written `5` or `v5`.
 fn parse_version(text: &str) -> Result<u64, ParseIntError> {
     text.strip_prefix('v').unwrap_or(text).parse()
 }
--- a/src/bin/sycamorelink/commands/contract/show.rs
+++ b/src/bin/sycamorelink/commands/contract/show.rs
@@ -17,6 +17,6 @@
 pub fn exec(context: &mut ShellContext, args: &ShowArgs) -> anyhow::Result<()> {
     match &args.customer {
         Some(customer) => show_contract(context, customer),
-        None => list_contracts(context, args.format.output()),
+        None => list_contracts(context, args.format.output_format()),
     }
 }
--- a/src/bin/sycamorelink/commands/fleet.rs
+++ b/src/bin/sycamorelink/commands/fleet.rs
@@ -13,5 +13,5 @@
 }
 
 pub fn exec(context: &mut ShellContext, args: &FleetArgs) -> anyhow::Result<()> {
-    show_fleet(context, args.format.output())
+    show_fleet(context, args.format.output_format())
 }
--- a/src/bin/sycamorelink/commands/instance.rs
+++ b/src/bin/sycamorelink/commands/instance.rs
@@ -13,5 +13,5 @@
 }
 
 pub fn exec(context: &mut ShellContext, args: &InstanceArgs) -> anyhow::Result<()> {
-    show_instance(context, args.format.output())
+    show_instance(context, args.format.output_format())
 }
--- a/src/bin/sycamorelink/commands/lab.rs
+++ b/src/bin/sycamorelink/commands/lab.rs
@@ -79,7 +79,7 @@
     print_table(context, json, || table.to_text())
 }
 
-/// Prints the JSON of a table where it was asked for, otherwise its text.
+/// Prints a table as JSON when `json` holds it, otherwise as text.
 fn print_table<F>(
     context: &mut ShellContext,
     json: Option<serde_json::Result<String>>,
--- a/src/bin/sycamorelink/commands/mod.rs
+++ b/src/bin/sycamorelink/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command, each with its arguments and `exec`.
+//! The commands, one module each with its arguments and an `exec` function.
 
 mod burn;
 mod completions;
--- a/src/bin/sycamorelink/commands/service.rs
+++ b/src/bin/sycamorelink/commands/service.rs
@@ -15,5 +15,5 @@
 }
 
 pub fn exec(context: &mut ShellContext, args: &ServiceArgs) -> anyhow::Result<()> {
-    show_service(context, &args.name, args.format.output())
+    show_service(context, &args.name, args.format.output_format())
 }
--- a/src/bin/sycamorelink/commands/stand_in.rs
+++ b/src/bin/sycamorelink/commands/stand_in.rs
@@ -1,4 +1,4 @@
-//! `sycamorelink stand-in`, for tests that want processes of their own.
+//! `sycamorelink stand-in`, which runs simulated servers as separate processes for tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/bin/sycamorelink/main.rs
+++ b/src/bin/sycamorelink/main.rs
@@ -1,4 +1,4 @@
-//! The command line: reads arguments, calls an operation, turns its end into an exit code.
+//! The command-line binary: parses arguments, runs a command and maps its result to an exit code.
 
 mod cli;
 mod commands;
@@ -11,15 +11,15 @@
 use crate::cli::CommandLine;
 
 fn main() -> ExitCode {
-    let line = CommandLine::parse();
-    let mut context = match line.global.context() {
+    let command_line = CommandLine::parse();
+    let mut context = match command_line.global.build_context() {
         Ok(context) => context,
         Err(error) => {
             eprintln!("error: {error:#}");
             return exit_kind(&error).code().into();
         }
     };
-    match commands::exec(&mut context, line.command) {
+    match commands::exec(&mut context, command_line.command) {
         Ok(()) => ExitKind::Success.code().into(),
         Err(error) => {
             let kind = exit_kind(&error);
--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads arguments, runs one daemon, turns its end into an exit code.
+//! The daemon binary: parses arguments, runs the daemon and maps its result to an exit code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,8 +19,8 @@
     settings: PathBuf,
 }
 
-/// The borders that the settings ask for.
-fn borders(settings: &DaemonSettings) -> Result<DaemonBorders, FindingList> {
+/// Builds the interface adapters that the settings select: the native ones or the platform's.
+fn build_adapters(settings: &DaemonSettings) -> Result<DaemonBorders, FindingList> {
     match settings.interface {
         InterfaceForm::Own => Ok(DaemonBorders::own(settings)),
         InterfaceForm::Platform => sycamorelink_platform::borders(settings),
@@ -30,7 +30,7 @@
 fn main() -> ExitCode {
     let args = DaemonArgs::parse();
     let mut context = ShellContext::builder(ToolSettings::default()).build();
-    match serve_daemon(&mut context, &args.settings, &borders) {
+    match serve_daemon(&mut context, &args.settings, &build_adapters) {
         Ok(()) => ExitKind::Success.code().into(),
         Err(error) => {
             context.error(&error);
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: kept connections, one request after another, used until the process behind is gone.
+//! Simulated callers that send sequential requests over keep-alive connections and reconnect when
+//! the daemon process ends.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,47 +9,48 @@
 use std::time::{Duration, Instant};
 
 use crate::nodes::SoakNode;
-use crate::record::{CallKind, SeenCall, SeenReply, SoakLedger};
+use crate::record::{CallKind, ObservedCall, ObservedReply, SessionRecord};
 use crate::support::client::{SeenAnswer, talk};
 
-/// How long a caller waits: beyond the route's time and any pause of a daemon.
-pub const ANSWER_LIMIT: Duration = Duration::from_secs(10);
-/// What the caller tells as its own deadline, in milliseconds.
+/// Response timeout of a patient caller, longer than the route's deadline and any daemon pause.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Deadline that a caller sends in `Deadline-Ms`, in milliseconds.
 const DEADLINE_MS: u64 = 4000;
-/// How long it waits when it is one of those that give up, and which of its requests are.
-const SHORT_LIMIT: Duration = Duration::from_millis(60);
-const GIVES_UP_EVERY: u64 = 17;
-/// Pause between two requests of one caller.
-const PACE: Duration = Duration::from_millis(25);
+/// Response timeout of the requests that are abandoned early.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Every n-th request of a caller uses `SHORT_TIMEOUT`.
+const SHORT_TIMEOUT_EVERY: u64 = 17;
+/// Pause between consecutive requests of one caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// One request on a connection of its own, to a daemon that may be gone; only a whole answer counts.
-pub fn ask_once(address: SocketAddr, request: &str, limit: Duration) -> io::Result<SeenAnswer> {
-    let (answer, end) = talk(address, request, limit)?;
-    end.map(|_| answer)
+/// Sends one request on a new connection. Returns an error unless the complete response arrives.
+pub fn send_once(address: SocketAddr, request: &str, limit: Duration) -> io::Result<SeenAnswer> {
+    let (response, end) = talk(address, request, limit)?;
+    end.map(|_| response)
 }
 
-/// One caller's connection to one process.
-struct KeptConnection {
+/// Keep-alive connection from one caller to one daemon process.
+struct KeepaliveConnection {
     reader: BufReader<TcpStream>,
-    taker: (usize, u32),
+    daemon: (usize, u32),
 }
 
-impl KeptConnection {
-    fn open(address: SocketAddr, taker: (usize, u32)) -> io::Result<Self> {
+impl KeepaliveConnection {
+    fn open(address: SocketAddr, daemon: (usize, u32)) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         let reader = BufReader::new(stream);
-        Ok(Self { reader, taker })
+        Ok(Self { reader, daemon })
     }
 
-    /// Sends a request and reads its answer; whether the connection may be used again.
+    /// Sends a request and returns its response and whether the connection can be reused.
     fn exchange(
         &mut self,
         method: &str,
         target: &str,
         id: &str,
         limit: Duration,
-    ) -> io::Result<(SeenReply, bool)> {
+    ) -> io::Result<(ObservedReply, bool)> {
         self.reader.get_ref().set_read_timeout(Some(limit))?;
         let request = format!(
             "{method} {target} HTTP/1.1\r\nHost: orders.example\r\nRequest-Id: {id}\r\n\
@@ -58,16 +60,16 @@
         self.read_reply()
     }
 
-    fn read_reply(&mut self) -> io::Result<(SeenReply, bool)> {
+    fn read_reply(&mut self) -> io::Result<(ObservedReply, bool)> {
         let first = self.line()?;
         let status = first.split(' ').nth(1).and_then(|text| text.parse().ok());
-        let mut reply = SeenReply {
+        let mut reply = ObservedReply {
             status: status.ok_or(io::ErrorKind::InvalidData)?,
             signed: false,
             id: String::new(),
             body: String::new(),
         };
-        let (mut length, mut chunked, mut kept) = (None, false, true);
+        let (mut length, mut chunked, mut reusable) = (None, false, true);
         loop {
             let line = self.line()?;
             if line.is_empty() {
@@ -78,7 +80,7 @@
             match name.to_ascii_lowercase().as_str() {
                 "content-length" => length = value.parse().ok(),
                 "transfer-encoding" => chunked = value.contains("chunked"),
-                "connection" => kept = !value.contains("close"),
+                "connection" => reusable = !value.contains("close"),
                 "response-signature" => reply.signed = true,
                 "request-id" => value.clone_into(&mut reply.id),
                 _ => {}
@@ -92,12 +94,12 @@
                 self.reader.read_exact(&mut body)?;
             }
             None => {
-                kept = false;
+                reusable = false;
                 self.reader.read_to_end(&mut body)?;
             }
         }
         reply.body = String::from_utf8_lossy(&body).into_owned();
-        Ok((reply, kept))
+        Ok((reply, reusable))
     }
 
     fn line(&mut self) -> io::Result<String> {
@@ -123,23 +125,25 @@
     }
 }
 
-/// Sends requests to one instance until told to stop. Every third asks for a route of some version up
-/// to the newest that was published; some are given up, and their connection is closed.
-pub fn call_until(
+/// Sends requests to one instance until `stop` is set.
+///
+/// Every third request asks for a route of a published configuration version. Some requests use a
+/// short timeout, and their connection is closed when the timeout expires.
+pub fn run_caller(
     name: &str,
     node: &SoakNode,
-    newest: &AtomicU64,
-    ledger: &SoakLedger,
+    newest_version: &AtomicU64,
+    record: &SessionRecord,
     stop: &AtomicBool,
 ) {
-    let mut connection: Option<KeptConnection> = None;
+    let mut connection: Option<KeepaliveConnection> = None;
     let mut number = 0_u64;
     while !stop.load(Ordering::Relaxed) {
-        thread::sleep(PACE);
+        thread::sleep(REQUEST_INTERVAL);
         if connection.is_none() {
             connection = node
-                .callers()
-                .and_then(|(address, taker)| KeptConnection::open(address, taker).ok());
+                .caller_address()
+                .and_then(|(address, daemon)| KeepaliveConnection::open(address, daemon).ok());
         }
         let Some(mut open) = connection.take() else {
             continue;
@@ -148,34 +152,35 @@
         let id: Arc<str> = Arc::from(format!("{name}-{number}"));
         let (kind, method, target) = match number % 3 {
             0 => {
-                let version = 1 + number / 3 % newest.load(Ordering::Relaxed);
+                let version = 1 + number / 3 % newest_version.load(Ordering::Relaxed);
                 (CallKind::Probe(version), "GET", format!("/v{version}/{id}"))
             }
-            1 => (CallKind::LookUp, "GET", format!("/stock/{id}")),
+            1 => (CallKind::Read, "GET", format!("/stock/{id}")),
             _ => (CallKind::Booking, "POST", format!("/booking/{id}")),
         };
-        let limit = if number.is_multiple_of(GIVES_UP_EVERY) {
-            SHORT_LIMIT
+        let limit = if number.is_multiple_of(SHORT_TIMEOUT_EVERY) {
+            SHORT_TIMEOUT
         } else {
-            ANSWER_LIMIT
+            RESPONSE_TIMEOUT
         };
         let sent = Instant::now();
-        let answer = open.exchange(method, &target, &id, limit);
-        let gave_up = matches!(&answer, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        let taker = open.taker;
-        let answer = answer.ok().map(|(reply, kept)| {
-            connection = kept.then_some(open);
+        let response = open.exchange(method, &target, &id, limit);
+        let timed_out =
+            matches!(&response, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+        let daemon = open.daemon;
+        let response = response.ok().map(|(reply, reusable)| {
+            connection = reusable.then_some(open);
             reply
         });
-        ledger.called(SeenCall {
+        record.add_call(ObservedCall {
             id,
             kind,
             target: Arc::from(target),
-            taker,
+            daemon,
             sent,
             ended: Instant::now(),
-            answer,
-            gave_up,
+            response,
+            timed_out,
         });
     }
 }
--- a/tests/soak/invariants.rs
+++ b/tests/soak/invariants.rs
@@ -1,64 +1,75 @@
-//! Whether what was seen keeps the promises.
+//! Checks of the delivery guarantees against the recorded calls and runs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::callers::ANSWER_LIMIT;
+use crate::callers::RESPONSE_TIMEOUT;
 use crate::nodes::SoakNode;
-use crate::record::{CallKind, LedgerState, SeenCall, SeenReply, SeenRun};
+use crate::record::{CallKind, ObservedCall, ObservedReply, ObservedRun, RecordState};
 
-/// Upstreams that may run one request, as the configuration of the session says.
-const MOST_RUNS: usize = 2;
-/// Time after the acknowledgement of a leaving backend server in which requests may still reach it:
-/// the two seconds that are promised, and half of one for a busy machine.
-const LEAVE_LIMIT: Duration = Duration::from_millis(2500);
-/// Time after a caller has gone in which its request may still reach a backend server: half of a second
-/// is promised, and another for a busy machine.
-const GONE_LIMIT: Duration = Duration::from_secs(1);
-/// Statuses that say that a request has not run and will not.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Maximum number of upstreams that may run one request under the session's configuration.
+const MAX_RUNS: usize = 2;
+/// Time after a daemon acknowledges a draining backend server in which requests may still reach it:
+/// the guaranteed two seconds plus half a second of tolerance for a busy machine.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2500);
+/// Time after a caller disconnects in which its request may still reach a backend server: the
+/// guaranteed half second plus half a second of tolerance for a busy machine.
+const DISCONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Statuses which state that a request has not run and will not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Tells every broken promise.
-pub fn judge(state: &LedgerState, nodes: &[SoakNode], planned_only: bool) -> Vec<String> {
+/// Returns one finding for each violated guarantee.
+pub fn check_invariants(
+    state: &RecordState,
+    nodes: &[SoakNode],
+    planned_only: bool,
+) -> Vec<String> {
     let mut findings = state.findings.clone();
     for call in &state.calls {
         let none = Vec::new();
         let runs = state.runs.get(&call.id).unwrap_or(&none);
-        judge_runs(call, runs, &mut findings);
-        match &call.answer {
+        check_run_count(call, runs, &mut findings);
+        match &call.response {
             Some(reply) => {
-                judge_reply(call, reply, runs, &mut findings);
-                if planned_only && !(reply.status == 200 || NOT_RUN.contains(&reply.status)) {
-                    judge_planned(call, reply, &mut findings);
+                check_response(call, reply, runs, &mut findings);
+                if planned_only
+                    && !(reply.status == 200 || NOT_RUN_STATUSES.contains(&reply.status))
+                {
+                    check_planned_maintenance(call, reply, &mut findings);
                 }
             }
-            None if call.gave_up => judge_gone(call, runs, &nodes[call.taker.0], &mut findings),
-            None => judge_cut(
+            None if call.timed_out => check_stale(call, runs, &nodes[call.daemon.0], &mut findings),
+            None => check_truncated_call(
                 call,
                 runs,
-                &nodes[call.taker.0],
+                &nodes[call.daemon.0],
                 planned_only,
                 &mut findings,
             ),
         }
     }
-    judge_leaving(state, &mut findings);
-    judge_versions(state, &mut findings);
+    check_drained_backends(state, &mut findings);
+    check_route_versions(state, &mut findings);
     findings
 }
 
-fn judge_runs(call: &SeenCall, runs: &[SeenRun], findings: &mut Vec<String>) {
+fn check_run_count(call: &ObservedCall, runs: &[ObservedRun], findings: &mut Vec<String>) {
     if call.kind == CallKind::Booking && runs.len() > 1 {
         findings.push(format!("TWICE: {} ran {} times", call.id, runs.len()));
     }
-    if runs.len() > MOST_RUNS {
+    if runs.len() > MAX_RUNS {
         findings.push(format!("BUDGET: {} ran {} times", call.id, runs.len()));
     }
 }
 
-fn judge_reply(call: &SeenCall, reply: &SeenReply, runs: &[SeenRun], findings: &mut Vec<String>) {
+fn check_response(
+    call: &ObservedCall,
+    reply: &ObservedReply,
+    runs: &[ObservedRun],
+    findings: &mut Vec<String>,
+) {
     let id = &call.id;
-    let not_run = NOT_RUN.contains(&reply.status) && !reply.signed;
+    let not_run = NOT_RUN_STATUSES.contains(&reply.status) && !reply.signed;
     if call.kind == CallKind::Booking && not_run && !runs.is_empty() {
         findings.push(format!("REFUSED: {id} got {} and ran", reply.status));
     }
@@ -66,45 +77,53 @@
         findings.push(format!("MIXED: {id} got the answer of {}", reply.id));
     }
     if reply.status < 300 {
-        let whole = |run: &SeenRun| {
+        let matches_run = |run: &ObservedRun| {
             run.status == 200
                 && reply
                     .body
-                    .ends_with(&format!(" {} by {}", call.target, run.life))
+                    .ends_with(&format!(" {} by {}", call.target, run.incarnation))
         };
-        if !reply.signed || !runs.iter().any(whole) {
+        if !reply.signed || !runs.iter().any(matches_run) {
             findings.push(format!("MIXED: {id} got {reply:?} from {runs:?}"));
         }
     } else if reply.signed
-        && !NOT_RUN.contains(&reply.status)
+        && !NOT_RUN_STATUSES.contains(&reply.status)
         && !runs.iter().any(|run| run.status == reply.status)
     {
         findings.push(format!("MIXED: {id} got {} from {runs:?}", reply.status));
     }
 }
 
-/// Planned work fails nothing. A route of a newer version may be unknown for a moment.
-fn judge_planned(call: &SeenCall, reply: &SeenReply, findings: &mut Vec<String>) {
+/// Reports a call that failed during planned maintenance.
+///
+/// A route of a newly published version may briefly be unknown, so its 404 is accepted.
+fn check_planned_maintenance(
+    call: &ObservedCall,
+    reply: &ObservedReply,
+    findings: &mut Vec<String>,
+) {
     let unknown_yet = matches!(call.kind, CallKind::Probe(_)) && reply.status == 404;
     if !unknown_yet {
         let (id, status) = (&call.id, reply.status);
-        findings.push(format!("LOST: {id} got {status} beside planned work"));
+        findings.push(format!(
+            "LOST: {id} got {status} during planned maintenance"
+        ));
     }
 }
 
-/// A connection ended without a whole answer, though a backend server was at work. That is nobody's
-/// fault when the daemon was killed, or the backend server broke off.
-fn judge_cut(
-    call: &SeenCall,
-    runs: &[SeenRun],
+/// Reports a connection that closed before the complete response although a backend server ran the
+/// request. A killed daemon or a response that the backend server itself cut off explains the loss.
+fn check_truncated_call(
+    call: &ObservedCall,
+    runs: &[ObservedRun],
     node: &SoakNode,
     planned_only: bool,
     findings: &mut Vec<String>,
 ) {
-    let (_, process) = call.taker;
+    let (_, process) = call.daemon;
     let state = node.state();
     let excused = state.killed.contains(&process)
-        || (!planned_only && state.asked.contains(&process))
+        || (!planned_only && state.shutdown_requested.contains(&process))
         || runs.iter().any(|run| run.status == 0);
     if !excused && !runs.is_empty() {
         let after = call.ended.saturating_duration_since(call.sent);
@@ -112,12 +131,19 @@
     }
 }
 
-/// Nobody waits for the request any more, so it is not begun. Nobody has to wait for as long as the most
-/// patient callers do, unless the daemon is gone. A daemon that stood still has not heard of the caller's
-/// end, and reads the request when it goes on: that is excused.
-fn judge_gone(call: &SeenCall, runs: &[SeenRun], node: &SoakNode, findings: &mut Vec<String>) {
+/// Reports a request that started after its caller disconnected, and a caller that waited for the
+/// full response timeout although its daemon was not killed.
+///
+/// A late start is accepted after a pause: a stopped daemon cannot notice the disconnect and reads
+/// the request when it resumes.
+fn check_stale(
+    call: &ObservedCall,
+    runs: &[ObservedRun],
+    node: &SoakNode,
+    findings: &mut Vec<String>,
+) {
     let waited = call.ended.saturating_duration_since(call.sent);
-    if waited >= ANSWER_LIMIT && !node.state().killed.contains(&call.taker.1) {
+    if waited >= RESPONSE_TIMEOUT && !node.state().killed.contains(&call.daemon.1) {
         findings.push(format!(
             "CONFIG: {} had no answer after {waited:?}",
             call.id
@@ -126,10 +152,10 @@
     for run in runs {
         let late = run.at.saturating_duration_since(call.ended);
         let pauses = &node.state().pauses;
-        let still = pauses
+        let during_pause = pauses
             .iter()
             .any(|(begin, end)| *begin < run.at && call.sent < *end);
-        if late > GONE_LIMIT && !still {
+        if late > DISCONNECT_LIMIT && !during_pause {
             findings.push(format!(
                 "GONE: {} ran {late:?} after its caller had gone",
                 call.id
@@ -138,24 +164,27 @@
     }
 }
 
-fn judge_leaving(state: &LedgerState, findings: &mut Vec<String>) {
+fn check_drained_backends(state: &RecordState, findings: &mut Vec<String>) {
     for (id, runs) in &state.runs {
         for run in runs {
-            let left = state.leaving.get(&run.life);
-            let late = left.map(|left| run.at.saturating_duration_since(*left));
-            if late.is_some_and(|late| late > LEAVE_LIMIT) {
-                findings.push(format!("DRAIN: {id} reached {} {late:?} late", run.life));
+            let acked_at = state.drain_acks.get(&run.incarnation);
+            let late = acked_at.map(|acked_at| run.at.saturating_duration_since(*acked_at));
+            if late.is_some_and(|late| late > DRAIN_LIMIT) {
+                findings.push(format!(
+                    "DRAIN: {id} reached {} {late:?} late",
+                    run.incarnation
+                ));
             }
         }
     }
 }
 
-/// Within one process, a route that was served is not unknown later.
-fn judge_versions(state: &LedgerState, findings: &mut Vec<String>) {
-    let mut probes: Vec<(&SeenCall, u64, &SeenReply)> = state
+/// Reports a daemon process that served a route version and later returned 404 for it.
+fn check_route_versions(state: &RecordState, findings: &mut Vec<String>) {
+    let mut probes: Vec<(&ObservedCall, u64, &ObservedReply)> = state
         .calls
         .iter()
-        .filter_map(|call| match (call.kind, &call.answer) {
+        .filter_map(|call| match (call.kind, &call.response) {
             (CallKind::Probe(version), Some(reply)) => Some((call, version, reply)),
             _ => None,
         })
@@ -163,15 +192,18 @@
     probes.sort_by_key(|(call, ..)| call.ended);
     let mut served: BTreeMap<(usize, u32), (u64, std::time::Instant)> = BTreeMap::new();
     for (call, version, reply) in probes {
-        let newest = served.get(&call.taker).copied();
-        if reply.status == 200 && newest.is_none_or(|(newest, _)| version > newest) {
-            served.insert(call.taker, (version, call.ended));
+        let newest_version = served.get(&call.daemon).copied();
+        if reply.status == 200
+            && newest_version.is_none_or(|(newest_version, _)| version > newest_version)
+        {
+            served.insert(call.daemon, (version, call.ended));
         }
-        let known = newest.is_some_and(|(newest, at)| version <= newest && call.sent > at);
-        if reply.status == 404 && !reply.signed && known {
-            let (id, taker) = (&call.id, call.taker);
+        let was_served = newest_version
+            .is_some_and(|(newest_version, at)| version <= newest_version && call.sent > at);
+        if reply.status == 404 && !reply.signed && was_served {
+            let (id, daemon) = (&call.id, call.daemon);
             findings.push(format!(
-                "CONFIG: {id} got 404 for v{version} from {taker:?}"
+                "CONFIG: {id} got 404 for v{version} from {daemon:?}"
             ));
         }
     }
--- a/tests/soak/nodes.rs
+++ b/tests/soak/nodes.rs
@@ -1,4 +1,5 @@
-//! One instance: a daemon as a process, the backend server beside it, and the proxies in its ways.
+//! One instance: a daemon process, its backend server, and the fault-injecting proxies on its
+//! links.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,60 +11,63 @@
 
 use serde_json::json;
 
-use crate::callers::ask_once;
-use crate::plan::{BackendMode, Way, WayFault};
+use crate::callers::send_once;
+use crate::plan::{BackendMode, LinkFault, ProxyLink};
 use crate::processes::process::TestProcess;
 use crate::processes::wait_for;
 use crate::proxy::LoopbackProxy;
-use crate::record::{SeenRun, SoakLedger};
+use crate::record::{ObservedRun, SessionRecord};
 use crate::support::backend::own_headers;
 use crate::support::client::post;
 use crate::support::http::{Reaction, SeenRequest, serve};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_sycamorelinkd");
-/// Pause between two heartbeats of a backend server.
-const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Longest wait for the answer to a heartbeat.
-const HEARTBEAT_LIMIT: Duration = Duration::from_secs(1);
-/// Distance of a proxy's address from that of the daemon behind it.
-const PROXY_OCTET: usize = 100;
-/// Time that a sound backend server takes for a request, and a slow one.
-const WORK_TIME: Duration = Duration::from_millis(5);
-const SLOW_TIME: Duration = Duration::from_millis(500);
+/// Interval between heartbeats of a backend server.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Response timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Difference between the last octets of a proxy's address and of its daemon's address.
+const PROXY_OCTET_OFFSET: usize = 100;
+/// Service time of a healthy backend server.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
+/// Service time of a slow backend server.
+const SLOW_SERVICE_TIME: Duration = Duration::from_millis(500);
 
-/// The process of an instance, as far as there is one.
+/// State of an instance's daemon process.
 #[derive(Default)]
 pub struct ProcessState {
+    /// `None` while the daemon is not running.
     pub process: Option<TestProcess>,
-    /// Counts the processes of the instance.
+    /// Number of daemon processes started so far.
     pub number: u32,
-    /// Somebody will start it again.
-    pub pending: bool,
-    /// Numbers of those that were killed, and of those that were asked to leave.
+    /// Whether another thread is already going to restart the process.
+    pub restart_pending: bool,
+    /// Numbers of the processes that were killed.
     pub killed: Vec<u32>,
-    pub asked: Vec<u32>,
-    /// When it stood still.
+    /// Numbers of the processes that received SIGTERM.
+    pub shutdown_requested: Vec<u32>,
+    /// Start and end of each pause by SIGSTOP and SIGCONT.
     pub pauses: Vec<(Instant, Instant)>,
-    callers: Option<SocketAddr>,
-    operators: Option<SocketAddr>,
+    caller_address: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
 }
 
 struct BackendState {
-    life: Mutex<Arc<str>>,
+    incarnation: Mutex<Arc<str>>,
     mode: Mutex<BackendMode>,
-    leaving: AtomicBool,
-    lives: AtomicU64,
-    turn: AtomicU64,
+    draining: AtomicBool,
+    replacements: AtomicU64,
+    request_count: AtomicU64,
 }
 
-/// An instance.
+/// An instance under test.
 pub struct SoakNode {
     pub index: usize,
     pub name: String,
     directory: PathBuf,
-    store: LoopbackProxy,
-    way_back: LoopbackProxy,
-    way_peers: Mutex<Option<LoopbackProxy>>,
+    store_proxy: LoopbackProxy,
+    backend_proxy: LoopbackProxy,
+    peer_proxy: Mutex<Option<LoopbackProxy>>,
     backend: Arc<BackendState>,
     state: Mutex<ProcessState>,
 }
@@ -74,25 +78,25 @@
         index: usize,
         directory: PathBuf,
         store: SocketAddr,
-        ledger: &SoakLedger,
+        record: &SessionRecord,
     ) -> Self {
         let name = format!("node-{seed}-{index}");
         let backend = Arc::new(BackendState {
-            life: Mutex::new(Arc::from(format!("i-{index}-0"))),
-            mode: Mutex::new(BackendMode::Sound),
-            leaving: AtomicBool::new(false),
-            lives: AtomicU64::new(0),
-            turn: AtomicU64::new(0),
+            incarnation: Mutex::new(Arc::from(format!("i-{index}-0"))),
+            mode: Mutex::new(BackendMode::Healthy),
+            draining: AtomicBool::new(false),
+            replacements: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
         });
-        let (shared, runs) = (Arc::clone(&backend), ledger.clone());
-        let served = serve(move |request| react(&shared, &runs, request));
+        let (shared, runs) = (Arc::clone(&backend), record.clone());
+        let backend_address = serve(move |request| handle_request(&shared, &runs, request));
         Self {
             index,
             name,
             directory,
-            store: LoopbackProxy::start(Ipv4Addr::LOCALHOST, move |_| store),
-            way_back: LoopbackProxy::start(Ipv4Addr::LOCALHOST, move |_| served),
-            way_peers: Mutex::new(None),
+            store_proxy: LoopbackProxy::start(Ipv4Addr::LOCALHOST, move |_| store),
+            backend_proxy: LoopbackProxy::start(Ipv4Addr::LOCALHOST, move |_| backend_address),
+            peer_proxy: Mutex::new(None),
             backend,
             state: Mutex::default(),
         }
@@ -102,32 +106,34 @@
         self.state.lock().expect("the process")
     }
 
-    /// Where callers reach it now, and which process that is.
-    pub fn callers(&self) -> Option<(SocketAddr, (usize, u32))> {
+    /// Returns the daemon's address for callers with the instance index and process number, or
+    /// `None` while the daemon is not running.
+    pub fn caller_address(&self) -> Option<(SocketAddr, (usize, u32))> {
         let state = self.state();
         state
-            .callers
+            .caller_address
             .map(|address| (address, (self.index, state.number)))
     }
 
-    /// Starts a process. Others reach its peers' port through a proxy on an address of its own.
+    /// Starts a daemon process. Other daemons reach its peer port through a proxy on a separate
+    /// loopback address.
     pub fn start(&self) {
-        let own = self.own_address(PROXY_OCTET);
-        let inner = self.own_address(0);
-        let behind = move |port| SocketAddr::from((inner, port));
-        let peers = LoopbackProxy::start(own, behind);
+        let proxy_ip = self.loopback_address(PROXY_OCTET_OFFSET);
+        let daemon_ip = self.loopback_address(0);
+        let daemon_address = move |port| SocketAddr::from((daemon_ip, port));
+        let peers = LoopbackProxy::start(proxy_ip, daemon_address);
         let settings = json!({
             "instance": self.name,
             "domain": format!("d{}", self.index % 2),
             "interface": "platform",
             "service": "orders",
-            "advertise": own.to_string(),
+            "advertise": proxy_ip.to_string(),
             "listen": {
-                "peers": behind(peers.address.port()).to_string(),
-                "gossip": format!("{own}:0"),
+                "peers": daemon_address(peers.address.port()).to_string(),
+                "gossip": format!("{proxy_ip}:0"),
                 "ready": "127.0.0.1:0",
             },
-            "log": { "address": self.store.address.to_string() },
+            "log": { "address": self.store_proxy.address.to_string() },
             "fleet_keys": { "current": { "id": "k1", "secret": "a-secret-of-at-least-32-characters" } },
             "drain": { "serving": "1500ms", "limit": "4s" },
             "limits": { "gate": { "warm_up": "0s" } },
@@ -139,30 +145,30 @@
         let process = TestProcess::start(DAEMON, &["--settings", path.to_str().expect("a path")]);
         let mut state = self.state();
         let address = |name: &str| process.address(name).parse().expect("an address");
-        state.callers = Some(address("callers"));
-        state.operators = Some(address("operators"));
+        state.caller_address = Some(address("callers"));
+        state.operator_address = Some(address("operators"));
         state.number += 1;
         state.process = Some(process);
-        state.pending = false;
-        *self.way_peers.lock().expect("the way") = Some(peers);
+        state.restart_pending = false;
+        *self.peer_proxy.lock().expect("the proxy") = Some(peers);
     }
 
-    /// A loopback address that nothing else listens on or calls from, so that a port that is free at
-    /// one of them is free at the other.
-    fn own_address(&self, offset: usize) -> Ipv4Addr {
+    /// Returns a loopback address that no other program uses. The daemon and its proxy bind the
+    /// same port on two such addresses, so a port that is free on one must be free on the other.
+    fn loopback_address(&self, offset: usize) -> Ipv4Addr {
         let session = std::process::id().to_be_bytes();
         let last = u8::try_from(self.index + 1 + offset).expect("few nodes");
         Ipv4Addr::new(127, session[2] | 1, session[3], last)
     }
 
-    /// Sends a signal, if there is a process.
+    /// Sends a signal to the daemon if it is running.
     pub fn signal(&self, name: &str) {
         if let Some(process) = &self.state().process {
             process.signal(name);
         }
     }
 
-    /// Lets the process stand still for a time.
+    /// Stops the daemon with SIGSTOP for a duration and then resumes it.
     pub fn pause(&self, time: Duration) {
         let begin = Instant::now();
         self.signal("STOP");
@@ -171,7 +177,7 @@
         self.state().pauses.push((begin, Instant::now()));
     }
 
-    /// Ends the process at once. Whether the caller has to start it again.
+    /// Kills the daemon. Returns whether the caller must restart it.
     pub fn kill(&self) -> bool {
         let mut state = self.state();
         let number = state.number;
@@ -179,104 +185,112 @@
         if let Some(mut process) = state.process.take() {
             process.kill();
         }
-        state.callers = None;
-        state.operators = None;
-        !std::mem::replace(&mut state.pending, true)
+        state.caller_address = None;
+        state.operator_address = None;
+        !std::mem::replace(&mut state.restart_pending, true)
     }
 
-    /// Asks the process to leave. Whether the caller has to start it again once it has ended.
-    pub fn ask_to_leave(&self) -> bool {
+    /// Sends SIGTERM to the daemon. Returns whether the caller must restart it after it exits.
+    pub fn request_shutdown(&self) -> bool {
         let mut state = self.state();
         let number = state.number;
-        state.asked.push(number);
+        state.shutdown_requested.push(number);
         if let Some(process) = &state.process {
             process.signal("TERM");
         }
-        !std::mem::replace(&mut state.pending, true)
+        !std::mem::replace(&mut state.restart_pending, true)
     }
 
-    /// Waits until a process that was asked to leave has ended; whether it ended in order, or was
-    /// killed meanwhile.
-    pub fn wait_for_end(&self) -> bool {
+    /// Waits until the daemon exits after SIGTERM. Returns whether it exited successfully; a daemon
+    /// that was killed in the meantime counts as successful.
+    pub fn wait_for_exit(&self) -> bool {
         wait_for("a daemon to leave", || {
             let mut state = self.state();
             let Some(process) = &mut state.process else {
                 return Some(true);
             };
-            let status = process.try_end()?;
+            let status = process.try_wait()?;
             state.process = None;
-            state.callers = None;
-            state.operators = None;
+            state.caller_address = None;
+            state.operator_address = None;
             Some(status.success())
         })
     }
 
-    pub fn harm(&self, way: Way, fault: WayFault) {
-        match way {
-            Way::Store => self.store.harm(fault),
-            Way::Backend => self.way_back.harm(fault),
-            Way::Peers => {
-                if let Some(proxy) = &*self.way_peers.lock().expect("the way") {
-                    proxy.harm(fault);
+    pub fn inject_fault(&self, link: ProxyLink, fault: LinkFault) {
+        match link {
+            ProxyLink::Store => self.store_proxy.inject_fault(fault),
+            ProxyLink::Backend => self.backend_proxy.inject_fault(fault),
+            ProxyLink::Peers => {
+                if let Some(proxy) = &*self.peer_proxy.lock().expect("the proxy") {
+                    proxy.inject_fault(fault);
                 }
             }
         }
     }
 
-    pub fn set_mode(&self, mode: BackendMode) {
+    pub fn set_backend_mode(&self, mode: BackendMode) {
         *self.backend.mode.lock().expect("the mode") = mode;
     }
 
-    /// Another backend server takes the place of the one there is, at the same address.
+    /// Replaces the backend server with a new incarnation at the same address.
     pub fn replace_backend(&self) {
-        let number = self.backend.lives.fetch_add(1, Ordering::Relaxed) + 1;
-        let mut life = self.backend.life.lock().expect("the life");
-        *life = Arc::from(format!("i-{}-{number}", self.index));
-        self.backend.leaving.store(false, Ordering::Relaxed);
+        let number = self.backend.replacements.fetch_add(1, Ordering::Relaxed) + 1;
+        let mut incarnation = self.backend.incarnation.lock().expect("the incarnation");
+        *incarnation = Arc::from(format!("i-{}-{number}", self.index));
+        self.backend.draining.store(false, Ordering::Relaxed);
     }
 
-    /// The backend server says from now on that it leaves.
+    /// Makes the backend server report `draining` in its heartbeats.
     pub fn drain_backend(&self) {
-        self.backend.leaving.store(true, Ordering::Relaxed);
+        self.backend.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Sends heartbeats until told to stop.
-    pub fn beat_until(&self, ledger: &SoakLedger, stop: &AtomicBool) {
+    /// Sends heartbeats of the backend server until `stop` is set.
+    pub fn send_heartbeats(&self, record: &SessionRecord, stop: &AtomicBool) {
         let mut seq = 0;
         while !stop.load(Ordering::Relaxed) {
             seq += 1;
-            self.beat(seq, ledger);
-            thread::sleep(HEARTBEAT);
+            self.send_heartbeat(seq, record);
+            thread::sleep(HEARTBEAT_INTERVAL);
         }
     }
 
-    fn beat(&self, seq: u64, ledger: &SoakLedger) {
-        let Some(operators) = self.state().operators else {
+    fn send_heartbeat(&self, seq: u64, record: &SessionRecord) {
+        let Some(operators) = self.state().operator_address else {
             return;
         };
-        let life = Arc::clone(&*self.backend.life.lock().expect("the life"));
-        let leaving = self.backend.leaving.load(Ordering::Relaxed);
+        let incarnation = Arc::clone(&*self.backend.incarnation.lock().expect("the incarnation"));
+        let draining = self.backend.draining.load(Ordering::Relaxed);
         let body = json!({
-            "service": "orders", "address": self.way_back.address.to_string(),
+            "service": "orders", "address": self.backend_proxy.address.to_string(),
             "zone": format!("d{}", self.index % 2), "version": "v1", "slots": 5,
-            "state": if leaving { "draining" } else { "ready" }, "warmupLeft": "0ms", "seq": seq,
+            "state": if draining { "draining" } else { "ready" }, "warmupLeft": "0ms", "seq": seq,
         });
-        let path = format!("/instances/{life}/heartbeat");
-        let answered = ask_once(operators, &post(&path, &body.to_string()), HEARTBEAT_LIMIT);
-        if leaving && answered.is_ok_and(|answer| (200..300).contains(&answer.status)) {
-            ledger.leaves(&life);
+        let path = format!("/instances/{incarnation}/heartbeat");
+        let answered = send_once(
+            operators,
+            &post(&path, &body.to_string()),
+            HEARTBEAT_TIMEOUT,
+        );
+        if draining && answered.is_ok_and(|response| (200..300).contains(&response.status)) {
+            record.add_drain_ack(&incarnation);
         }
     }
 }
 
-/// What the backend server does with a request; a run is noted before it has any effect.
-fn react(backend: &BackendState, ledger: &SoakLedger, request: &SeenRequest) -> Reaction {
-    let life = Arc::clone(&*backend.life.lock().expect("the life"));
+/// Handles a request at the backend server. The run is recorded before the response is produced.
+fn handle_request(
+    backend: &BackendState,
+    record: &SessionRecord,
+    request: &SeenRequest,
+) -> Reaction {
+    let incarnation = Arc::clone(&*backend.incarnation.lock().expect("the incarnation"));
     let mode = *backend.mode.lock().expect("the mode");
     let expected = request.header("expected-instance");
-    if !expected.is_empty() && expected != &*life {
-        let told = vec![("Instance-Id".to_owned(), life.to_string())];
-        return Reaction::Reply(421, told, Vec::new());
+    if !expected.is_empty() && expected != &*incarnation {
+        let identity = vec![("Instance-Id".to_owned(), incarnation.to_string())];
+        return Reaction::Reply(421, identity, Vec::new());
     }
     let mut headers = own_headers(request);
     if mode == BackendMode::Shedding {
@@ -284,30 +298,30 @@
         return Reaction::Reply(503, headers, Vec::new());
     }
     let every_other = backend
-        .turn
+        .request_count
         .fetch_add(1, Ordering::Relaxed)
         .is_multiple_of(2);
     let status = match mode {
         BackendMode::Failing if every_other => 500,
         BackendMode::Resetting if every_other => 0,
-        BackendMode::Silent | BackendMode::Halving => 0,
+        BackendMode::Silent | BackendMode::Truncating => 0,
         _ => 200,
     };
-    let run = SeenRun {
+    let run = ObservedRun {
         at: Instant::now(),
-        life: Arc::clone(&life),
+        incarnation: Arc::clone(&incarnation),
         status,
     };
-    ledger.ran(request.header("request-id"), run);
+    record.add_run(request.header("request-id"), run);
     thread::sleep(if mode == BackendMode::Slow {
-        SLOW_TIME
+        SLOW_SERVICE_TIME
     } else {
-        WORK_TIME
+        SERVICE_TIME
     });
-    let body = format!("{} {} by {life}", request.method, request.target).into_bytes();
+    let body = format!("{} {} by {incarnation}", request.method, request.target).into_bytes();
     match (mode, status) {
         (BackendMode::Silent, _) => Reaction::Silence,
-        (BackendMode::Halving, _) => {
+        (BackendMode::Truncating, _) => {
             let half = body[..body.len() / 2].to_vec();
             Reaction::Endless(headers, half, true)
         }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What is done in a session, drawn from its seed.
+//! Plan of a session: its faults and maintenance actions, generated from the seed.
 
 use std::time::Duration;
 
@@ -6,191 +6,191 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Every such session has planned work only, and must cut nothing.
-const PLANNED_EVERY: u64 = 3;
-/// Seeds from this one on play a large session: more instances, longer, with more at once.
-const LARGE_FROM: u64 = 1000;
+/// Every n-th seed has only planned maintenance, which must not fail any request.
+const PLANNED_ONLY_EVERY: u64 = 3;
+/// First seed of the large sessions, which have more instances, more actions and a longer duration.
+const FIRST_LARGE_SEED: u64 = 1000;
 
-/// How a backend server answers.
+/// Response behavior of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendMode {
-    /// Whole replies after some milliseconds.
-    Sound,
-    /// The same, after half a second.
+    /// Complete responses after a few milliseconds.
+    Healthy,
+    /// Complete responses after half a second.
     Slow,
-    /// It resets every other connection once it has read a request.
+    /// Resets the connection after reading the request, for every other request.
     Resetting,
-    /// It answers every other request with an error of its own.
+    /// Responds with status 500 to every other request.
     Failing,
-    /// It turns all away unrun.
+    /// Refuses every request without running it.
     Shedding,
-    /// It reads requests and never answers.
+    /// Reads requests and never responds.
     Silent,
-    /// It breaks every reply off in its middle.
-    Halving,
+    /// Sends half of the response body and resets the connection.
+    Truncating,
 }
 
-/// A way that a proxy stands in.
+/// Network link that passes through a proxy.
 #[derive(Clone, Copy, Debug)]
-pub enum Way {
-    /// From other daemons to this one.
+pub enum ProxyLink {
+    /// Other daemons to this one.
     Peers,
-    /// From this daemon to the store.
+    /// This daemon to the store.
     Store,
-    /// From this daemon to its backend server.
+    /// This daemon to its backend server.
     Backend,
 }
 
-/// What a proxy does to the connections of its way.
+/// Fault that a proxy applies to the connections of its link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WayFault {
-    /// Nothing.
+pub enum LinkFault {
+    /// Bytes are relayed unchanged.
     #[default]
     None,
-    /// Every piece arrives late.
+    /// Bytes are relayed after a delay.
     Delayed,
-    /// Nothing arrives from who connects.
-    CutForth,
-    /// Nothing arrives at who connects.
-    CutBack,
-    /// Nothing arrives at all.
-    Silenced,
+    /// Bytes from the connecting side are held back.
+    BlockToServer,
+    /// Bytes to the connecting side are held back.
+    BlockToClient,
+    /// Bytes in both directions are held back.
+    BlockBoth,
     /// Connections are reset.
     Reset,
 }
 
-/// One thing that is done.
+/// A fault or maintenance action, with the index of the node where it has one.
 #[derive(Clone, Copy, Debug)]
-pub enum SoakAct {
-    /// The daemon stands still for this long.
+pub enum SoakAction {
+    /// Stops the daemon with SIGSTOP for a duration.
     Pause(usize, Duration),
-    /// The daemon is killed, and started again after this time.
+    /// Kills the daemon and restarts it after a delay.
     Kill(usize, Duration),
-    /// The daemon is asked to leave, and started again when it has ended.
+    /// Sends SIGTERM to the daemon and restarts it when it has exited.
     Restart(usize),
-    /// The daemon reads its settings again.
+    /// Reloads the daemon's settings with SIGHUP.
     Reload(usize),
-    /// The backend server answers so for this long.
+    /// Sets the backend server's mode for a duration.
     Backend(usize, BackendMode, Duration),
-    /// Another backend server takes the place of this one without a word.
+    /// Replaces the backend server without draining it.
     Replace(usize),
-    /// The backend server says that it leaves; another takes its place later.
+    /// Drains the backend server and replaces it later.
     Drain(usize),
-    /// A way is harmed for this long.
-    Harm(usize, Way, WayFault, Duration),
-    /// The store turns all away for this long.
-    StoreAway(Duration),
-    /// The store drops its history.
-    StoreForgets,
-    /// The operator publishes the next configuration.
+    /// Injects a fault into a link for a duration.
+    InjectFault(usize, ProxyLink, LinkFault, Duration),
+    /// Makes the store reject every request for a duration.
+    StoreOutage(Duration),
+    /// Makes the store drop its history.
+    DropStoreHistory,
+    /// Publishes the next configuration version.
     Publish,
 }
 
-/// When something is done.
+/// An action and its start time, relative to the start of the plan.
 #[derive(Clone, Copy, Debug)]
-pub struct PlannedAct {
+pub struct PlannedAction {
     pub at: Duration,
-    pub act: SoakAct,
+    pub action: SoakAction,
 }
 
-/// The acts of a session, in order.
+/// The actions of a session, in order of their start time.
 #[derive(Debug)]
 pub struct SoakPlan {
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// How long things are done to them.
+    /// Duration in which actions start.
     pub active: Duration,
-    pub acts: Vec<PlannedAct>,
-    /// Nothing but planned work is done.
+    pub actions: Vec<PlannedAction>,
+    /// Whether the plan has only planned maintenance and no faults.
     pub planned_only: bool,
 }
 
 impl SoakPlan {
     pub fn new(seed: u64) -> Self {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let planned_only = seed.is_multiple_of(PLANNED_EVERY);
-        let (nodes, active, least, most) = if seed >= LARGE_FROM {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let planned_only = seed.is_multiple_of(PLANNED_ONLY_EVERY);
+        let (nodes, active, least, most) = if seed >= FIRST_LARGE_SEED {
             (12, Duration::from_secs(20), 40, 80)
         } else {
             (5, Duration::from_secs(6), 6, 12)
         };
-        let count = random.random_range(least..=most);
-        let mut acts: Vec<PlannedAct> = (0..count)
-            .map(|_| PlannedAct {
-                at: active.mul_f64(random.random()),
-                act: if planned_only {
-                    planned(&mut random, nodes)
+        let count = rng.random_range(least..=most);
+        let mut actions: Vec<PlannedAction> = (0..count)
+            .map(|_| PlannedAction {
+                at: active.mul_f64(rng.random()),
+                action: if planned_only {
+                    planned_action(&mut rng, nodes)
                 } else {
-                    any(&mut random, nodes)
+                    random_action(&mut rng, nodes)
                 },
             })
             .collect();
-        acts.sort_by_key(|planned| planned.at);
+        actions.sort_by_key(|planned| planned.at);
         Self {
             nodes,
             active,
-            acts,
+            actions,
             planned_only,
         }
     }
 }
 
-fn planned(random: &mut SmallRng, nodes: usize) -> SoakAct {
-    let node = random.random_range(0..nodes);
-    match random.random_range(0..5) {
-        0 | 1 => SoakAct::Restart(node),
-        2 => SoakAct::Reload(node),
-        3 => SoakAct::Drain(node),
-        _ => SoakAct::Publish,
+fn planned_action(rng: &mut SmallRng, nodes: usize) -> SoakAction {
+    let node = rng.random_range(0..nodes);
+    match rng.random_range(0..5) {
+        0 | 1 => SoakAction::Restart(node),
+        2 => SoakAction::Reload(node),
+        3 => SoakAction::Drain(node),
+        _ => SoakAction::Publish,
     }
 }
 
-fn any(random: &mut SmallRng, nodes: usize) -> SoakAct {
-    let node = random.random_range(0..nodes);
-    let short = Duration::from_millis(random.random_range(100..1500));
-    match random.random_range(0..10) {
-        0 => SoakAct::Pause(node, short),
-        1 => SoakAct::Kill(node, short),
-        2 | 3 => SoakAct::Backend(node, backend_mode(random), short * 2),
-        4 => SoakAct::Replace(node),
-        5 | 6 => SoakAct::Harm(node, way(random), way_fault(random), short),
-        7 => SoakAct::StoreAway(short),
-        8 => SoakAct::StoreForgets,
-        _ => planned(random, nodes),
+fn random_action(rng: &mut SmallRng, nodes: usize) -> SoakAction {
+    let node = rng.random_range(0..nodes);
+    let short = Duration::from_millis(rng.random_range(100..1500));
+    match rng.random_range(0..10) {
+        0 => SoakAction::Pause(node, short),
+        1 => SoakAction::Kill(node, short),
+        2 | 3 => SoakAction::Backend(node, random_backend_mode(rng), short * 2),
+        4 => SoakAction::Replace(node),
+        5 | 6 => SoakAction::InjectFault(node, random_link(rng), random_link_fault(rng), short),
+        7 => SoakAction::StoreOutage(short),
+        8 => SoakAction::DropStoreHistory,
+        _ => planned_action(rng, nodes),
     }
 }
 
-fn backend_mode(random: &mut SmallRng) -> BackendMode {
+fn random_backend_mode(rng: &mut SmallRng) -> BackendMode {
     let modes = [
         BackendMode::Slow,
         BackendMode::Resetting,
         BackendMode::Failing,
         BackendMode::Shedding,
         BackendMode::Silent,
-        BackendMode::Halving,
+        BackendMode::Truncating,
     ];
-    one_of(random, &modes)
+    choose_one(rng, &modes)
 }
 
-fn way(random: &mut SmallRng) -> Way {
-    let ways = [Way::Peers, Way::Store, Way::Backend];
-    one_of(random, &ways)
+fn random_link(rng: &mut SmallRng) -> ProxyLink {
+    let links = [ProxyLink::Peers, ProxyLink::Store, ProxyLink::Backend];
+    choose_one(rng, &links)
 }
 
-fn way_fault(random: &mut SmallRng) -> WayFault {
+fn random_link_fault(rng: &mut SmallRng) -> LinkFault {
     let faults = [
-        WayFault::Delayed,
-        WayFault::CutForth,
-        WayFault::CutBack,
-        WayFault::Silenced,
-        WayFault::Reset,
+        LinkFault::Delayed,
+        LinkFault::BlockToServer,
+        LinkFault::BlockToClient,
+        LinkFault::BlockBoth,
+        LinkFault::Reset,
     ];
-    one_of(random, &faults)
+    choose_one(rng, &faults)
 }
 
-fn one_of<T>(random: &mut SmallRng, from: &[T]) -> T
+fn choose_one<T>(rng: &mut SmallRng, from: &[T]) -> T
 where
     T: Copy,
 {
-    *from.choose(random).expect("something to draw from")
+    *from.choose(rng).expect("a nonempty slice")
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it on demand.
+//! A loopback TCP proxy that injects faults into its connections on demand.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,74 +9,82 @@
 
 use socket2::SockRef;
 
-use crate::plan::WayFault;
+use crate::plan::LinkFault;
 
-/// Time between two looks at what is to be done to a connection.
-const LOOK_STEP: Duration = Duration::from_millis(20);
-/// How late a delayed piece arrives.
+/// Interval at which a relay thread checks the current fault.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay of each read under `LinkFault::Delayed`.
 const DELAY: Duration = Duration::from_millis(150);
-/// Bytes that are moved at once.
-const PIECE: usize = 16 * 1024;
+/// Size of a relay buffer in bytes.
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// A proxy in one way.
+/// A proxy on one network link.
 #[derive(Clone, Debug)]
 pub struct LoopbackProxy {
     pub address: SocketAddr,
-    fault: Arc<Mutex<WayFault>>,
+    fault: Arc<Mutex<LinkFault>>,
 }
 
 #[derive(Clone, Copy)]
 enum Direction {
-    Forth,
-    Back,
+    ToServer,
+    ToClient,
 }
 
 impl LoopbackProxy {
-    /// Listens on any free port of an address. What stands behind is asked at each connection.
-    pub fn start<F>(on: Ipv4Addr, behind: F) -> Self
+    /// Listens on a free port of an address. The closure maps the proxy's port to the target
+    /// address and is called for each connection.
+    pub fn start<F>(ip: Ipv4Addr, target_address: F) -> Self
     where
         F: Fn(u16) -> SocketAddr + Send + Sync + 'static,
     {
-        let listener = TcpListener::bind((on, 0)).expect("a free port");
+        let listener = TcpListener::bind((ip, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let fault: Arc<Mutex<WayFault>> = Arc::default();
+        let fault: Arc<Mutex<LinkFault>> = Arc::default();
         let shared = Arc::clone(&fault);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                // What stands behind may be gone: then the connection ends as it would without us.
-                if let Ok(onward) = TcpStream::connect(behind(address.port())) {
-                    join(&stream, &onward, &shared);
+                // When the target is not listening, closing the stream gives the client the same
+                // result as a direct connection.
+                if let Ok(outbound) = TcpStream::connect(target_address(address.port())) {
+                    spawn_relays(&stream, &outbound, &shared);
                 }
             }
         });
         Self { address, fault }
     }
 
-    /// Does this to all connections from now on.
-    pub fn harm(&self, fault: WayFault) {
+    /// Applies a fault to all current and future connections.
+    pub fn inject_fault(&self, fault: LinkFault) {
         *self.fault.lock().expect("the fault") = fault;
     }
 }
 
-/// A connection through the proxy. Both directions end when one is reset, so that the kernel resets
-/// both sides rather than ending them in order: to a reply without a length that is the difference.
-struct CarriedConnection {
-    fault: Arc<Mutex<WayFault>>,
+/// A connection through the proxy.
+///
+/// When one direction is reset, both end with a reset instead of an orderly close. A client that
+/// reads a response without a length would take an orderly close for the end of a complete
+/// response.
+struct ProxiedConnection {
+    fault: Arc<Mutex<LinkFault>>,
     reset: AtomicBool,
 }
 
-fn join(near: &TcpStream, far: &TcpStream, fault: &Arc<Mutex<WayFault>>) {
-    let connection = Arc::new(CarriedConnection {
+fn spawn_relays(client: &TcpStream, server: &TcpStream, fault: &Arc<Mutex<LinkFault>>) {
+    let connection = Arc::new(ProxiedConnection {
         fault: Arc::clone(fault),
         reset: AtomicBool::new(false),
     });
-    for (from, to, direction) in [(near, far, Direction::Forth), (far, near, Direction::Back)] {
+    for (from, to, direction) in [
+        (client, server, Direction::ToServer),
+        (server, client, Direction::ToClient),
+    ] {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
             return;
         };
         let connection = Arc::clone(&connection);
         thread::spawn(move || {
-            if carry(&from, &to, direction, &connection).is_err() {
+            if relay(&from, &to, direction, &connection).is_err() {
                 connection.reset.store(true, Ordering::Relaxed);
                 for side in [&from, &to] {
                     let _ = SockRef::from(side).set_linger(Some(Duration::ZERO));
@@ -86,36 +94,36 @@
     }
 }
 
-/// Moves bytes in one direction until its end, or until the connection is reset.
-fn carry(
+/// Relays bytes in one direction until end of stream or until the connection is reset.
+fn relay(
     mut from: &TcpStream,
     mut to: &TcpStream,
     direction: Direction,
-    connection: &CarriedConnection,
+    connection: &ProxiedConnection,
 ) -> io::Result<()> {
     to.set_nodelay(true)?;
-    from.set_read_timeout(Some(LOOK_STEP))?;
-    let mut piece = vec![0; PIECE];
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
+    let mut buffer = vec![0; BUFFER_SIZE];
     loop {
         let fault = *connection.fault.lock().expect("the fault");
-        if fault == WayFault::Reset || connection.reset.load(Ordering::Relaxed) {
+        if fault == LinkFault::Reset || connection.reset.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        let held = match direction {
-            Direction::Forth => fault == WayFault::CutForth,
-            Direction::Back => fault == WayFault::CutBack,
+        let blocked = match direction {
+            Direction::ToServer => fault == LinkFault::BlockToServer,
+            Direction::ToClient => fault == LinkFault::BlockToClient,
         };
-        if held || fault == WayFault::Silenced {
-            thread::sleep(LOOK_STEP);
+        if blocked || fault == LinkFault::BlockBoth {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        match from.read(&mut piece) {
+        match from.read(&mut buffer) {
             Ok(0) => return to.shutdown(Shutdown::Write),
             Ok(count) => {
-                if fault == WayFault::Delayed {
+                if fault == LinkFault::Delayed {
                     thread::sleep(DELAY);
                 }
-                to.write_all(&piece[..count])?;
+                to.write_all(&buffer[..count])?;
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -1,97 +1,100 @@
-//! What callers and backend servers saw, from which a session is judged.
+//! Record of the calls and runs of a session, as callers and backend servers observed them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// A request that a backend server began to work on.
+/// Start of a request on a backend server.
 #[derive(Clone, Debug)]
-pub struct SeenRun {
+pub struct ObservedRun {
     pub at: Instant,
-    /// Life of the backend server.
-    pub life: Arc<str>,
-    /// Status that it gave, 0 where it gave none.
+    /// Identifier of the backend server's incarnation; changes when the server is replaced.
+    pub incarnation: Arc<str>,
+    /// Status of the response, 0 when the backend server sends no complete response.
     pub status: u16,
 }
 
 /// Kind of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// May run again.
-    LookUp,
-    /// May run once.
+    /// Idempotent read that may run more than once.
+    Read,
+    /// Booking that must run at most once.
     Booking,
-    /// Asks for a route that came with a configuration of this version.
+    /// Request for a route that was added by this configuration version.
     Probe(u64),
 }
 
-/// A request as its caller saw it.
+/// A request as observed by its caller.
 #[derive(Clone, Debug)]
-pub struct SeenCall {
+pub struct ObservedCall {
     pub id: Arc<str>,
     pub kind: CallKind,
     pub target: Arc<str>,
-    /// Instance that took it, and the number of its process.
-    pub taker: (usize, u32),
+    /// Index of the instance that received the request, and the number of its daemon process.
+    pub daemon: (usize, u32),
     pub sent: Instant,
     pub ended: Instant,
-    /// The answer; none when the connection ended before it was whole.
-    pub answer: Option<SeenReply>,
-    /// The caller closed the connection because it had waited for long enough.
-    pub gave_up: bool,
+    /// `None` when the connection closed before the complete response arrived.
+    pub response: Option<ObservedReply>,
+    /// Whether the caller closed the connection because its timeout expired.
+    pub timed_out: bool,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct SeenReply {
+pub struct ObservedReply {
     pub status: u16,
     pub signed: bool,
     pub id: String,
     pub body: String,
 }
 
-/// Everything that was seen.
+/// Record shared by the callers, the nodes and the session.
 #[derive(Clone, Debug, Default)]
-pub struct SoakLedger {
-    state: Arc<Mutex<LedgerState>>,
+pub struct SessionRecord {
+    state: Arc<Mutex<RecordState>>,
 }
 
-/// The contents of a ledger.
+/// The contents of a record.
 #[derive(Clone, Debug, Default)]
-pub struct LedgerState {
-    pub runs: BTreeMap<Arc<str>, Vec<SeenRun>>,
-    pub calls: Vec<SeenCall>,
-    /// When a daemon acknowledged that a life of a backend server leaves.
-    pub leaving: BTreeMap<Arc<str>, Instant>,
-    /// What went wrong while the session ran.
+pub struct RecordState {
+    pub runs: BTreeMap<Arc<str>, Vec<ObservedRun>>,
+    pub calls: Vec<ObservedCall>,
+    /// Time at which a daemon first acknowledged that a backend server incarnation is draining.
+    pub drain_acks: BTreeMap<Arc<str>, Instant>,
+    /// Violations that were detected while the session ran.
     pub findings: Vec<String>,
 }
 
-impl SoakLedger {
-    pub fn ran(&self, id: &str, run: SeenRun) {
-        let mut state = self.state.lock().expect("the ledger");
+impl SessionRecord {
+    pub fn add_run(&self, id: &str, run: ObservedRun) {
+        let mut state = self.state.lock().expect("the record");
         state.runs.entry(Arc::from(id)).or_default().push(run);
     }
 
-    pub fn called(&self, call: SeenCall) {
-        self.state.lock().expect("the ledger").calls.push(call);
+    pub fn add_call(&self, call: ObservedCall) {
+        self.state.lock().expect("the record").calls.push(call);
     }
 
-    pub fn leaves(&self, life: &Arc<str>) {
-        let mut state = self.state.lock().expect("the ledger");
+    pub fn add_drain_ack(&self, incarnation: &Arc<str>) {
+        let mut state = self.state.lock().expect("the record");
         let now = Instant::now();
-        state.leaving.entry(Arc::clone(life)).or_insert(now);
+        state
+            .drain_acks
+            .entry(Arc::clone(incarnation))
+            .or_insert(now);
     }
 
-    pub fn found(&self, finding: String) {
+    pub fn add_finding(&self, finding: String) {
         self.state
             .lock()
-            .expect("the ledger")
+            .expect("the record")
             .findings
             .push(finding);
     }
 
-    pub fn state(&self) -> LedgerState {
-        self.state.lock().expect("the ledger").clone()
+    pub fn state(&self) -> RecordState {
+        self.state.lock().expect("the record").clone()
     }
 }
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: every kind gets a clear error at once, and the daemon goes on serving.
+//! Invalid input is rejected with a specific error, and the daemon continues to serve.
 
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -7,51 +7,52 @@
 use crate::support::fixture::{CALLER_TOKEN, FleetFixture, booking, fresh_key, price_check};
 use crate::support::http::{TestRequest, send_raw};
 
-/// Sends raw bytes to the callers' port and tells the status of the answer.
-fn raw_status(fleet: &FleetFixture, bytes: &[u8]) -> u16 {
-    send_raw(&fleet.instances[0].callers(), bytes).map_or(0, |reply| reply.status)
+/// Sends raw bytes to the callers' port. Returns the response status, or 0 when the daemon closes
+/// the connection without a response.
+fn send_for_status(fleet: &FleetFixture, bytes: &[u8]) -> u16 {
+    send_raw(&fleet.instances[0].caller_address(), bytes).map_or(0, |reply| reply.status)
 }
 
-fn still_serves(fleet: &FleetFixture) {
+fn assert_serving(fleet: &FleetFixture) {
     assert_eq!(fleet.call(0, &price_check()).status, 200);
 }
 
-// A caller sends bytes that are not HTTP, a header block beyond the limit, and both kinds of body
-// length at once (request smuggling). Each gets a 4xx answer or a closed connection, nothing of it
-// reaches a backend server, and the next caller is served.
+// Guards against malformed HTTP reaching a backend server: bytes that are not HTTP, a header block
+// beyond the limit, and conflicting body lengths (request smuggling). Each gets a 4xx response or a
+// closed connection.
 #[test]
 fn malformed_requests_are_refused() {
     let fleet = FleetFixture::start(1);
     fleet.publish_sample();
-    let ran = fleet.instances[0].runs();
+    let ran = fleet.instances[0].run_counters();
 
     assert!(matches!(
-        raw_status(&fleet, b"\x16\x03\x01 not http at all\r\n\r\n"),
+        send_for_status(&fleet, b"\x16\x03\x01 not http at all\r\n\r\n"),
         0 | 400
     ));
     let mut large = b"GET /prices/a HTTP/1.1\r\nhost: test\r\n".to_vec();
     large.extend_from_slice(format!("x-filler: {}\r\n\r\n", "a".repeat(64 << 10)).as_bytes());
-    assert_eq!(raw_status(&fleet, &large), 431);
+    assert_eq!(send_for_status(&fleet, &large), 431);
     let token = format!("authorization: Bearer {CALLER_TOKEN}\r\n");
     let both = format!(
         "POST /bookings HTTP/1.1\r\nhost: test\r\n{token}content-length: 5\r\n\
          transfer-encoding: chunked\r\nconnection: close\r\n\r\n0\r\n\r\n"
     );
-    assert_eq!(raw_status(&fleet, both.as_bytes()), 400);
+    assert_eq!(send_for_status(&fleet, both.as_bytes()), 400);
     let twice = format!(
         "POST /bookings HTTP/1.1\r\nhost: test\r\n{token}content-length: 5\r\n\
          content-length: 6\r\nconnection: close\r\n\r\nhello"
     );
-    assert_eq!(raw_status(&fleet, twice.as_bytes()), 400);
+    assert_eq!(send_for_status(&fleet, twice.as_bytes()), 400);
 
-    assert_eq!(fleet.instances[0].runs()["total"], ran["total"]);
-    still_serves(&fleet);
+    assert_eq!(fleet.instances[0].run_counters()["total"], ran["total"]);
+    assert_serving(&fleet);
 }
 
-// A caller announces ten bytes of body, sends four and closes. The request never becomes whole, so
-// no backend server may run it; the daemon drops it and goes on.
+// Guards against running an incomplete request: the caller announces a body of ten bytes, sends
+// four and closes the connection.
 #[test]
-fn a_body_shorter_than_announced_never_runs() {
+fn truncated_request_body_is_never_run() {
     let fleet = FleetFixture::start(1);
     fleet.publish_sample();
     let key = fresh_key();
@@ -59,7 +60,7 @@
         "POST /bookings HTTP/1.1\r\nhost: test\r\nauthorization: Bearer {CALLER_TOKEN}\r\n\
          idempotency-key: {key}\r\ncontent-length: 10\r\n\r\nfour"
     );
-    let mut stream = TcpStream::connect(fleet.instances[0].callers()).expect("connects");
+    let mut stream = TcpStream::connect(fleet.instances[0].caller_address()).expect("connects");
     stream.write_all(head.as_bytes()).expect("sends");
     stream.shutdown(std::net::Shutdown::Write).expect("closes");
     let mut answer = Vec::new();
@@ -70,12 +71,12 @@
         "{}",
         String::from_utf8_lossy(&answer)
     );
-    assert_eq!(fleet.runs_of_key(&key), 0);
-    still_serves(&fleet);
+    assert_eq!(fleet.count_runs(&key), 0);
+    assert_serving(&fleet);
 }
 
 #[test]
-fn wrong_names_and_keys_get_their_codes() {
+fn invalid_requests_get_specific_error_codes() {
     let fleet = FleetFixture::start(1);
     fleet.publish_sample();
     let cases = [
@@ -119,32 +120,32 @@
                 "{name}: {} {} run={}",
                 reply.status,
                 reply.code(),
-                reply.run()
+                reply.run_state()
             )
         })
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
-    still_serves(&fleet);
+    assert_serving(&fleet);
 }
 
-// A booking comes again under its key with another body. It is another request: it is refused and
-// not run, and the first stays as it is.
+// Guards against running a different request under a used key: a booking is sent again with the
+// same key and another body.
 #[test]
-fn a_key_used_for_another_body_is_refused() {
+fn key_reused_with_another_body_is_refused() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     let key = fresh_key();
     assert_eq!(fleet.call(0, &booking(&key)).status, 200);
     let other = fleet.call(1, &booking(&key).body(b"two lorries"));
     assert_eq!((other.status, other.code().as_str()), (422, "key-reused"));
-    assert_eq!(fleet.runs_of_key(&key), 1);
+    assert_eq!(fleet.count_runs(&key), 1);
 }
 
-// Somebody who is not of the fleet speaks to the inner protocol and to the gossip port: garbage, a
-// truncated hello, an endless frame. The connections are closed, nothing runs, and the daemon goes
-// on serving its peers and callers.
+// Guards against garbage from outside the fleet on the peer and gossip ports: bytes of another
+// protocol, a truncated hello and an oversized frame. The daemon must continue to serve callers and
+// keep its peers.
 #[test]
-fn strangers_at_the_inner_protocol_change_nothing() {
+fn garbage_on_peer_and_gossip_ports_is_ignored() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     let peers = fleet.instances[0].daemon.address("peers");
@@ -168,7 +169,7 @@
         let _ = socket.send_to(bytes, &gossip);
     }
     for _ in 0..10 {
-        still_serves(&fleet);
+        assert_serving(&fleet);
     }
-    assert_eq!(fleet.instances[1].ask("/v1/status")["members"], 2);
+    assert_eq!(fleet.instances[1].get_json("/v1/status")["members"], 2);
 }
--- a/tests/testsuite/cli/api.rs
+++ b/tests/testsuite/cli/api.rs
@@ -1,13 +1,13 @@
-//! The operators' API against its description in `docs/api/openapi.json`.
+//! Replies of the operators' API match the description in `docs/api/openapi.json`.
 
 use serde_json::Value;
 use sycamorelink_ops::{ApiCall, DaemonClient, Method, ToolSettings};
 
-use super::daemon::SmallSite;
+use super::daemon::SiteFixture;
 
 const DESCRIPTION: &str = include_str!("../../../docs/api/openapi.json");
 
-/// Paths that are read, as called and as described.
+/// GET paths of the API: the path to request, and its path template in the description.
 const READ_PATHS: [(&str, &str); 8] = [
     ("/v1/status", "/v1/status"),
     ("/v1/fleet", "/v1/fleet"),
@@ -25,8 +25,8 @@
     ),
 ];
 
-/// Compares a reply with a schema, as far as the description goes: required members, kinds,
-/// choices and elements.
+/// Checks a JSON value against the schema features that the description uses: references, types,
+/// enumerations, required members, properties and array items.
 struct SchemaCheck<'a> {
     description: &'a Value,
     findings: Vec<String>,
@@ -39,7 +39,10 @@
             let schema = self.description.pointer(pointer).expect("a schema").clone();
             return self.check(place, &schema, value);
         }
-        if !kinds(schema).iter().any(|kind| is_kind(kind, value)) {
+        if !schema_types(schema)
+            .iter()
+            .any(|type_name| matches_type(type_name, value))
+        {
             self.findings
                 .push(format!("{place}: {value} is no {}", schema["type"]));
         }
@@ -67,15 +70,15 @@
     }
 }
 
-fn kinds(schema: &Value) -> Vec<&str> {
+fn schema_types(schema: &Value) -> Vec<&str> {
     match &schema["type"] {
-        Value::Array(kinds) => kinds.iter().filter_map(Value::as_str).collect(),
-        kind => kind.as_str().into_iter().collect(),
+        Value::Array(schema_types) => schema_types.iter().filter_map(Value::as_str).collect(),
+        type_name => type_name.as_str().into_iter().collect(),
     }
 }
 
-fn is_kind(kind: &str, value: &Value) -> bool {
-    match kind {
+fn matches_type(type_name: &str, value: &Value) -> bool {
+    match type_name {
         "object" => value.is_object(),
         "array" => value.is_array(),
         "string" => value.is_string(),
@@ -86,7 +89,7 @@
     }
 }
 
-fn client_of(site: &SmallSite) -> DaemonClient {
+fn client_of(site: &SiteFixture) -> DaemonClient {
     let settings = ToolSettings {
         daemons: vec![site.operators()],
         token: Some("operator-demo".into()),
@@ -96,8 +99,8 @@
 }
 
 #[test]
-fn replies_are_as_described() {
-    let site = SmallSite::start();
+fn replies_match_the_openapi_description() {
+    let site = SiteFixture::start();
     site.write_sample("brannock.json");
     site.run_until(&["contract", "publish", "brannock.json"], "exit code 0");
     site.run_until(&["instance"], "orders");
@@ -117,10 +120,10 @@
     assert!(check.findings.is_empty(), "{}", check.findings.join("\n"));
 }
 
-/// Clients may escape any letter of a name, and some escape more than others.
+// Guards against names being compared without percent-decoding: clients may escape any letter.
 #[test]
-fn escaped_names_are_the_names() {
-    let site = SmallSite::start();
+fn percent_encoded_names_are_decoded() {
+    let site = SiteFixture::start();
     site.write_sample("brannock.json");
     site.run_until(&["contract", "publish", "brannock.json"], "exit code 0");
     site.run_until(&["instance"], "orders");
@@ -142,11 +145,11 @@
     }
 }
 
-/// A removal is sent to an escaped path. The routes take it for what it means, and so must the
-/// audit trail: otherwise an operator could change contracts without a trace.
+// Guards against a contract change without an audit record: routing decodes a percent-encoded path,
+// so the audit log must decode it too.
 #[test]
-fn an_escaped_path_does_not_pass_by_the_audit_trail() {
-    let site = SmallSite::start();
+fn change_through_percent_encoded_path_is_audited() {
+    let site = SiteFixture::start();
     let client = client_of(&site);
     let id = "0192f0c1-2d3e-7f40-8a5b-6c7d8e9fa0b1";
     let call = ApiCall::new(Method::DELETE, "/v1/%63ontracts/br%61nnock").change(id, 7);
--- a/tests/testsuite/cli/contract.rs
+++ b/tests/testsuite/cli/contract.rs
@@ -1,4 +1,4 @@
-//! `contract`, as far as it needs no daemon.
+//! The `contract` subcommands that run without a daemon.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_sample_is_valid() {
+fn samples_are_valid() {
     let directory = tempfile::tempdir().expect("a directory");
     for name in ["brannock", "harbour-mesh"] {
         let printed = super::output_in(directory.path(), &["contract", "sample", name]);
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn an_unknown_sample_gets_a_hint() {
+fn unknown_sample_gets_hint() {
     insta::assert_snapshot!(run(&["contract", "sample", "branock"]));
 }
 
 #[test]
-fn findings_of_all_files_at_once() {
+fn validate_reports_findings_of_all_files() {
     let directory = tempfile::tempdir().expect("a directory");
     write_sample(
         directory.path(),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_difference_of_two_files_value_by_value() {
+fn diff_lists_every_changed_value() {
     let directory = tempfile::tempdir().expect("a directory");
     write_sample(directory.path(), "old.json", ("x", "x"));
     let sample = sycamorelink_contract::samples::brannock_json()
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn a_command_that_needs_a_daemon_says_how_to_name_one() {
+fn missing_daemon_address_gets_hint() {
     insta::assert_snapshot!(run(&["contract", "show", "brannock"]));
 }
 
 #[test]
-fn a_daemon_that_cannot_be_reached() {
+fn unreachable_daemon_is_an_error() {
     // Port 1 of the loopback interface is not listened on.
     let args = ["--daemon", "127.0.0.1:1", "contract", "show", "brannock"];
     insta::assert_snapshot!(run(&args));
--- a/tests/testsuite/cli/daemon.rs
+++ b/tests/testsuite/cli/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process, driven by the command line alone.
+//! A daemon process operated through the command line.
 
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader};
@@ -13,12 +13,12 @@
 
 use super::render;
 
-/// Looks at a state that is waited for, at most.
-const MOST_LOOKS: u32 = 200;
-/// Time between two looks.
-const LOOK_STEP: Duration = Duration::from_millis(50);
+/// Number of polls after which a wait fails.
+const MAX_POLLS: u32 = 200;
+/// Interval between polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the processes of a site write to stderr.
+/// File in the site's directory that collects stderr of all its processes.
 const LOG_FILE: &str = "site.log";
 
 fn append_to(file: &Path) -> File {
@@ -27,13 +27,14 @@
     opened.expect("a log file")
 }
 
-/// A process with the first line that it printed. It ends with the test.
-struct RunningProcess {
+/// A child process and the listen addresses from its first line of output. The process is killed
+/// when the value is dropped.
+struct SiteProcess {
     child: Child,
     listening: serde_json::Value,
 }
 
-impl RunningProcess {
+impl SiteProcess {
     fn start(program: &str, args: &[&str], directory: &Path) -> Self {
         let mut child = Command::new(program)
             .args(args)
@@ -57,35 +58,35 @@
     }
 }
 
-impl Drop for RunningProcess {
+impl Drop for SiteProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A log, a daemon and a backend server, each a process of its own.
-pub(super) struct SmallSite {
+/// A stand-in log, a daemon and a backend server, each in a separate process.
+pub(super) struct SiteFixture {
     directory: TempDir,
-    _log: RunningProcess,
-    daemon: RunningProcess,
-    _backend: RunningProcess,
+    _log: SiteProcess,
+    daemon: SiteProcess,
+    _backend: SiteProcess,
 }
 
-impl SmallSite {
+impl SiteFixture {
     pub(super) fn start() -> Self {
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path();
         let tool = env!("CARGO_BIN_EXE_sycamorelink");
-        let log = RunningProcess::start(tool, &["stand-in", "log", "--for", "60s"], path);
+        let log = SiteProcess::start(tool, &["stand-in", "log", "--for", "60s"], path);
         fs::write(path.join("node.json"), settings(&log.address("address"))).expect("a file");
         let program = env!("CARGO_BIN_EXE_sycamorelinkd");
-        let daemon = RunningProcess::start(program, &["--settings", "node.json"], path);
+        let daemon = SiteProcess::start(program, &["--settings", "node.json"], path);
         let operators = daemon.address("operators");
         let args = [
             "stand-in", "backend", "--for", "60s", "--beside", &operators,
         ];
-        let backend = RunningProcess::start(tool, &args, path);
+        let backend = SiteProcess::start(tool, &args, path);
         Self {
             directory,
             _log: log,
@@ -98,7 +99,7 @@
         self.directory.path().join(name)
     }
 
-    /// Address of the daemon's operators' port.
+    /// Returns the address of the daemon's operators' port.
     pub(super) fn operators(&self) -> SocketAddr {
         self.daemon
             .address("operators")
@@ -112,7 +113,8 @@
         fs::write(self.file(name), sample).expect("a file");
     }
 
-    /// Runs the tool as the operator and replaces what differs from run to run.
+    /// Runs the tool as the operator and replaces ids, times and addresses, which vary between
+    /// runs.
     fn run(&self, args: &[&str]) -> String {
         let operators = self.daemon.address("operators");
         let output = Command::new(env!("CARGO_BIN_EXE_sycamorelink"))
@@ -126,27 +128,27 @@
         text.replace(&operators, "DAEMON")
     }
 
-    /// Waits until the processes of the site have logged a text, and returns its line.
+    /// Waits until a process of the site logs a line that contains the text, and returns the line.
     pub(super) fn wait_logged(&self, text: &str) -> String {
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_POLLS {
             let log = fs::read_to_string(self.file(LOG_FILE)).expect("the log");
             if let Some(line) = log.lines().find(|line| line.contains(text)) {
                 return line.to_owned();
             }
-            thread::sleep(LOOK_STEP);
+            thread::sleep(POLL_INTERVAL);
         }
         panic!("never logged {text:?}");
     }
 
-    /// Runs the tool until its output contains the text.
+    /// Runs the tool repeatedly until its output contains the text, and returns the output.
     pub(super) fn run_until(&self, args: &[&str], text: &str) -> String {
         let mut last = String::new();
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_POLLS {
             last = self.run(args);
             if last.contains(text) {
                 return last;
             }
-            thread::sleep(LOOK_STEP);
+            thread::sleep(POLL_INTERVAL);
         }
         panic!("never printed {text:?}, at last:\n{last}");
     }
@@ -171,7 +173,7 @@
         .fold(text.to_owned(), |text, id| text.replace(id, "ID"))
 }
 
-/// Replaces times such as `2026-01-31T08:15:00Z`, at their width.
+/// Replaces times such as `2026-01-31T08:15:00Z` by a placeholder of the same width.
 fn hide_times(text: &str) -> String {
     let is_time = |word: &&str| word.len() == 20 && word.ends_with('Z') && word.contains('T');
     let words = text.split_ascii_whitespace();
@@ -180,11 +182,11 @@
     })
 }
 
-/// An operator publishes a contract, amends it, and a second operator amends the version that is
-/// no longer in force: that one is told which change won, and nothing of the first is lost.
+// Guards against a lost update: an operator amends a contract, and a second amendment of the
+// outdated version must be rejected with the change that won.
 #[test]
-fn contracts_from_publication_to_removal() {
-    let site = SmallSite::start();
+fn contract_lifecycle_from_publish_to_remove() {
+    let site = SiteFixture::start();
     let sample = sycamorelink_contract::samples::brannock_json();
     site.write_sample("first.json");
     let amended = sample.replace("\"per_second\": 400", "\"per_second\": 500");
@@ -206,8 +208,8 @@
 }
 
 #[test]
-fn the_backend_server_beside_the_daemon_shows() {
-    let site = SmallSite::start();
+fn backend_server_is_listed_with_its_daemon() {
+    let site = SiteFixture::start();
     site.run_until(&["fleet"], "orders");
     let instance = site.run_until(&["instance"], "orders");
     assert!(instance.contains("in region r1"), "{instance}");
@@ -217,15 +219,15 @@
 }
 
 #[test]
-fn a_wrong_token_is_denied() {
-    let site = SmallSite::start();
+fn wrong_token_is_denied() {
+    let site = SiteFixture::start();
     let file = site.file("token");
     fs::write(&file, "guess\n").expect("a file");
     insta::assert_snapshot!(site.run(&["--token-file", "token", "fleet"]));
 }
 
 #[test]
-fn a_daemon_with_findings_does_not_start() {
+fn daemon_with_invalid_settings_does_not_start() {
     let directory = tempfile::tempdir().expect("a directory");
     fs::write(
         directory.path().join("node.json"),
--- a/tests/testsuite/cli/dev.rs
+++ b/tests/testsuite/cli/dev.rs
@@ -1,12 +1,11 @@
-//! `dev`: the whole small fleet, end to end.
+//! The `dev` command, which runs a small fleet in one process.
 
 use super::run;
 
-/// Callers, daemons, backend servers and the log run in one process. A backend server turns slow,
-/// another one fails, an instance is drained, and callers send keys again through other daemons.
-/// Every caller gets its own whole answer, and no key runs twice.
+// Guards against duplicate runs and wrong replies while one backend server is slow, another fails,
+// an instance drains and callers resend keys through other daemons.
 #[test]
-fn every_promise_is_kept_while_backend_servers_turn_gray() {
+fn dev_fleet_handles_gray_failures() {
     let text = run(&["dev", "--for", "5s"]);
     for expected in [
         "exit code 0",
--- a/tests/testsuite/cli/shell.rs
+++ b/tests/testsuite/cli/exit_codes.rs
@@ -1,4 +1,4 @@
-//! Quietness, exit codes and their page.
+//! Exit codes, their documentation page and rejected arguments.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 use super::run;
 
 #[test]
-fn the_page_lists_every_exit_code() {
+fn exit_code_page_lists_every_code() {
     let page = include_str!("../../../docs/exit-codes.md");
     for kind in ExitKind::ALL {
         let mut row = String::new();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn exit_codes_differ() {
+fn exit_codes_are_distinct() {
     let mut codes: Vec<u8> = ExitKind::ALL.iter().map(|kind| kind.code()).collect();
     codes.dedup();
     assert_eq!(codes.len(), ExitKind::ALL.len());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_drain_takes_exactly_one_daemon() {
+fn drain_requires_exactly_one_daemon() {
     let args = [
         "drain",
         "--daemon",
@@ -37,6 +37,6 @@
 }
 
 #[test]
-fn a_wrong_address_in_the_arguments() {
+fn invalid_daemon_address_is_rejected() {
     insta::assert_snapshot!(run(&["fleet", "--daemon", "localhost:80"]));
 }
--- a/tests/testsuite/cli/explain.rs
+++ b/tests/testsuite/cli/explain.rs
@@ -1,9 +1,9 @@
-//! `explain`.
+//! The `explain` command.
 
 use super::run;
 
 #[test]
-fn an_event_by_number_and_by_name() {
+fn event_is_explained_by_number_and_name() {
     let by_number = run(&["explain", "SL3006"]);
     assert_eq!(by_number, run(&["explain", "floor-held"]));
     assert_eq!(by_number, run(&["explain", "3006"]));
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn a_refusal() {
+fn refusal_is_explained() {
     insta::assert_snapshot!(run(&["explain", "key-busy"]));
 }
 
 #[test]
-fn an_unknown_code_gets_a_hint() {
+fn unknown_code_gets_hint() {
     let texts = [
         run(&["explain", "flor-held"]),
         run(&["explain", "SL3099"]),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_list_has_every_event() {
+fn list_contains_every_event() {
     let list = run(&["explain", "--list"]);
     for code in sycamorelink_telemetry::EventCode::ALL {
         assert!(list.contains(code.as_str()), "{code} is missing");
--- a/tests/testsuite/cli/help.rs
+++ b/tests/testsuite/cli/help.rs
@@ -1,4 +1,4 @@
-//! Help of every command, and hints on mistyped ones.
+//! Help of every command, hints for mistyped commands and shell completions.
 
 use std::fmt::Write;
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_mistyped_command_gets_a_hint() {
+fn mistyped_command_gets_hint() {
     let texts = [
         run(&["fleat"]),
         run(&["contract", "pubish", "x.json"]),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_amendment_has_to_name_its_base() {
+fn amend_requires_a_base_version() {
     insta::assert_snapshot!(run(&["contract", "amend", "x.json"]));
     insta::assert_snapshot!(run(&["contract", "amend", "x.json", "--base", "newest"]));
 }
--- a/tests/testsuite/cli/mod.rs
+++ b/tests/testsuite/cli/mod.rs
@@ -1,25 +1,25 @@
-//! The command line: help, findings, hints, exit codes.
+//! Command-line tests: help, findings, hints and exit codes.
 
 mod api;
 mod contract;
 mod daemon;
 mod dev;
+mod exit_codes;
 mod explain;
 mod help;
 mod settings;
-mod shell;
 mod stand_in;
 mod trace;
 
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// What one run of the tool printed, with its exit code, as one text for snapshots.
+/// Runs the tool and formats its exit code, stdout and stderr as one text for snapshots.
 fn run(args: &[&str]) -> String {
     run_in(Path::new("."), args)
 }
 
-/// The same in a directory.
+/// Runs the tool as `run` does, in the given directory.
 fn run_in(directory: &Path, args: &[&str]) -> String {
     render(&output_in(directory, args))
 }
--- a/tests/testsuite/cli/settings.rs
+++ b/tests/testsuite/cli/settings.rs
@@ -1,4 +1,4 @@
-//! `settings check`.
+//! The `settings check` command.
 
 use std::fs;
 
@@ -19,7 +19,7 @@
 }"#;
 
 #[test]
-fn valid_settings() {
+fn valid_settings_are_accepted() {
     let directory = tempfile::tempdir().expect("a directory");
     fs::write(directory.path().join("node.json"), VALID).expect("a file");
     let text = run_in(directory.path(), &["settings", "check", "node.json"]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn all_findings_at_once() {
+fn check_reports_all_findings() {
     let directory = tempfile::tempdir().expect("a directory");
     fs::write(directory.path().join("node.json"), INVALID).expect("a file");
     let text = run_in(directory.path(), &["settings", "check", "node.json"]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_missing_file() {
+fn missing_settings_file_is_an_error() {
     let directory = tempfile::tempdir().expect("a directory");
     let text = run_in(directory.path(), &["settings", "check", "none.json"]);
     insta::assert_snapshot!(text);
--- a/tests/testsuite/cli/stand_in.rs
+++ b/tests/testsuite/cli/stand_in.rs
@@ -1,9 +1,9 @@
-//! `stand-in`, as tests of whole processes use it.
+//! The `stand-in` command, which end-to-end tests use to start servers.
 
 use super::run;
 
 #[test]
-fn it_tells_where_it_listens() {
+fn stand_in_prints_its_listen_address() {
     for kind in ["log", "backend"] {
         let text = run(&["stand-in", kind, "--for", "1ms"]);
         let line = text.lines().nth(2).expect("a line on stdout");
--- a/tests/testsuite/cli/trace.rs
+++ b/tests/testsuite/cli/trace.rs
@@ -1,39 +1,41 @@
-//! `trace`, on lines that daemons of a loaded fleet wrote.
+//! The `trace` command on log lines from daemons of a loaded fleet.
 
 use super::run;
 
-/// Lines of four failed requests, and of the upstreams that they met, as a collector joined them.
+/// Log lines of four failed requests and of the upstreams that were tried, merged as by a log
+/// collector.
 const LOG: &str = "tests/testsuite/cli/logs/day.log";
 
-// A look-up is refused as not run. No backend server was handed it: every upstream that was asked had
-// no slot in time or was held off.
+// A read is refused as not run: every upstream that was tried had no free slot in time or was held
+// off, so no backend server received the request.
 #[test]
-fn a_refusal_that_is_said_to_be_not_run() {
+fn refused_read_is_shown_as_not_run() {
     insta::assert_snapshot!(run(&["trace", "00793ddb7dd41291", LOG]));
 }
 
-// A backend server resets the connection under a request, and nobody can say whether it ran. It was
-// the first to meet the fault; the next one is held off.
+// A backend server resets the connection during a request, so whether the request ran is unknown.
+// This is the first request that the fault hit, and the next request is held off.
 #[test]
-fn an_answer_lost_after_the_work_may_have_run() {
+fn connection_reset_during_run_is_shown_as_unknown() {
     insta::assert_snapshot!(run(&["trace", "092692031df0fba4", LOG]));
 }
 
-// Three upstreams hold a booking off, the fourth takes it and has not answered at the route's time.
+// Three upstreams are held off for a booking, and the fourth accepts it and does not respond before
+// the route's deadline.
 #[test]
-fn a_time_out_behind_a_partly_failing_upstream() {
+fn timed_out_booking_shows_every_attempt() {
     insta::assert_snapshot!(run(&["trace", "96c84c6c7452ef74", LOG]));
 }
 
-// A look-up is held off by three upstreams, the fourth resets its connection, and the retry budget of the
-// node that took it is used up: the caller gets an error that another try might have spared it.
+// Three upstreams are held off for a read and the fourth resets its connection. The retry budget of
+// the receiving node is used up, so the caller gets an error that a retry might have avoided.
 #[test]
-fn a_look_up_that_the_budget_did_not_repeat() {
+fn read_without_retry_budget_is_not_retried() {
     insta::assert_snapshot!(run(&["trace", "41eada88dc8239b0", LOG]));
 }
 
 #[test]
-fn a_request_that_no_log_names_and_a_log_that_is_not_there() {
+fn unknown_request_and_missing_log_are_errors() {
     let texts = [
         run(&["trace", "nobody", LOG]),
         run(&["trace", "nobody", "no-such.log"]),
--- a/tests/testsuite/fleet/at_most_once.rs
+++ b/tests/testsuite/fleet/at_most_once.rs
@@ -1,5 +1,5 @@
-//! A booking runs at most once, whatever is killed, frozen or cut. Runs are counted at the backend
-//! servers.
+//! A booking runs at most once, also when processes are killed or suspended. Runs are counted at
+//! the backend servers.
 
 use std::thread;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::support::http::TestReply;
 use crate::support::{wait_for, wait_until};
 
-/// Sends a booking again until it has a reply that is a final answer to the key: it ran, or nobody
-/// can tell.
+/// Sends a booking until its reply is final for the key: the booking ran, or its state is unknown.
 fn resend_until_settled(fleet: &FleetFixture, index: usize, key: &str) -> TestReply {
     wait_for("a booking to settle", || {
-        let reply = booking(key).send(&fleet.instances[index].callers()).ok()?;
-        (reply.run() != "not-run").then_some(reply)
+        let reply = booking(key)
+            .send(&fleet.instances[index].caller_address())
+            .ok()?;
+        (reply.run_state() != "not-run").then_some(reply)
     })
 }
 
-// A caller hears nothing and sends the booking again, through another daemon.
-// The first send holds the key's grants while its backend server still runs it; the second finds
-// them and waits for the same run. Both get the one reply.
+// Guards against a second run when a caller resends a booking through another daemon while the
+// first send is still running. The resend must wait for the first run and get the same reply.
 #[test]
-fn a_resend_during_a_slow_run_joins_it() {
+fn resend_during_slow_run_joins_it() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     for instance in &fleet.instances {
@@ -32,19 +32,19 @@
     let key = fresh_key();
     let (first, second) = thread::scope(|scope| {
         let first = scope.spawn(|| fleet.call(0, &booking(&key)));
-        wait_until("the first run to begin", || fleet.runs_of_key(&key) == 1);
+        wait_until("the first run to begin", || fleet.count_runs(&key) == 1);
         let second = fleet.call(1, &booking(&key));
         (first.join().expect("the first caller is answered"), second)
     });
     assert_eq!((first.status, second.status), (200, 200));
     assert_eq!(first.body, second.body);
-    assert_eq!(fleet.runs_of_key(&key), 1);
+    assert_eq!(fleet.count_runs(&key), 1);
 }
 
-// Two sends of one booking come to two daemons at the same moment.
-// Whichever gets the grants runs it; the other withdraws and joins.
+// Guards against two runs when one booking arrives at several daemons simultaneously. The daemon
+// that gets the key's grants runs the booking, and the others withdraw and wait for that run.
 #[test]
-fn two_sends_at_once_run_once() {
+fn concurrent_sends_run_once() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     for _ in 0..10 {
@@ -52,20 +52,20 @@
         thread::scope(|scope| {
             for instance in &fleet.instances {
                 let request = booking(&key);
-                scope.spawn(move || request.send(&instance.callers()).expect("an answer"));
+                scope.spawn(move || request.send(&instance.caller_address()).expect("an answer"));
             }
         });
         let reply = resend_until_settled(&fleet, 0, &key);
         assert_eq!(reply.status, 200, "{:?}", reply.json());
-        assert_eq!(fleet.runs_of_key(&key), 1);
+        assert_eq!(fleet.count_runs(&key), 1);
     }
 }
 
-// The log is down all through, and one daemon is killed with everything it remembered.
-// Its seats are taken over by others; bookings go through meanwhile and after, each once, and a
-// booking that ran before gets its reply again.
+// Guards against lost or repeated bookings when a daemon is killed with its in-memory state while
+// the log is down. Other daemons must take over its guard seats and replay the reply of an earlier
+// booking.
 #[test]
-fn bookings_go_on_with_the_log_down_and_a_daemon_killed() {
+fn bookings_continue_with_log_down_and_daemon_killed() {
     let mut fleet = FleetFixture::start(5);
     fleet.publish_sample();
     let before = fresh_key();
@@ -79,7 +79,7 @@
         let key = fresh_key();
         let reply = resend_until_settled(&fleet, round % 4, &key);
         assert_eq!(
-            (reply.status, reply.run()),
+            (reply.status, reply.run_state()),
             (200, "ran"),
             "{:?}",
             reply.json()
@@ -89,14 +89,14 @@
     for key in keys {
         let again = resend_until_settled(&fleet, 2, &key);
         assert_eq!(again.status, 200, "{:?}", again.json());
-        assert!(fleet.runs_of_key(&key) <= 1);
+        assert!(fleet.count_runs(&key) <= 1);
     }
 }
 
-// A daemon is frozen for longer than any timer while bookings run, and thawed.
-// While it sleeps others take its seats; awake, it must not let an old grant run a second time.
+// Guards against a second run after a daemon is suspended for longer than any timer and other
+// daemons take over its guard seats: the resumed daemon must not act on its outdated grants.
 #[test]
-fn a_frozen_daemon_thaws_without_a_second_run() {
+fn resumed_daemon_does_not_run_booking_twice() {
     let fleet = FleetFixture::start(4);
     fleet.publish_sample();
     fleet.instances[3].daemon.signal("STOP");
@@ -107,15 +107,14 @@
     fleet.instances[3].daemon.signal("CONT");
     for key in &keys {
         resend_until_settled(&fleet, 3, key);
-        assert!(fleet.runs_of_key(key) <= 1, "{key} ran twice");
+        assert!(fleet.count_runs(key) <= 1, "{key} ran twice");
     }
 }
 
-// The backend server crashes while it runs a booking, and the caller sends it again.
-// Nobody can tell what the crash left behind: the caller is told "unknown" at once, every time, and
-// the booking never runs again.
+// Guards against rerunning a booking whose backend server crashed during the run. The effect of the
+// crashed run is unknown, so every resend must be answered with "unknown".
 #[test]
-fn a_booking_that_crashed_its_backend_server_is_never_run_again() {
+fn booking_that_crashed_backend_server_is_not_rerun() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     for instance in &fleet.instances {
@@ -126,16 +125,16 @@
     let request = booking(&key).body(b"poison");
     for index in [0, 1, 2, 0] {
         let reply = fleet.call(index, &request);
-        assert_eq!(reply.run(), "unknown", "{:?}", reply.json());
+        assert_eq!(reply.run_state(), "unknown", "{:?}", reply.json());
     }
     thread::sleep(Duration::from_millis(500));
-    assert!(fleet.runs_of_key(&key) <= 1);
+    assert!(fleet.count_runs(&key) <= 1);
 }
 
-// A daemon is replaced on the same instance, keeping nothing, while its peers live on.
-// The new life must not answer for what the old one granted.
+// Guards against a second run after a daemon is replaced without its state. The new process must
+// not answer for grants of the old one.
 #[test]
-fn a_replaced_daemon_does_not_forget_a_run() {
+fn replaced_daemon_does_not_rerun_bookings() {
     let mut fleet = FleetFixture::start(4);
     fleet.publish_sample();
     let keys: Vec<String> = (0..8).map(|_| fresh_key()).collect();
@@ -147,14 +146,16 @@
     fleet.instances[3].daemon = daemon;
     for key in &keys {
         let reply = wait_for("the replaced daemon to answer", || {
-            let reply = booking(key).send(&fleet.instances[3].callers()).ok()?;
-            (reply.run() != "not-run").then_some(reply)
+            let reply = booking(key)
+                .send(&fleet.instances[3].caller_address())
+                .ok()?;
+            (reply.run_state() != "not-run").then_some(reply)
         });
         assert!(
-            matches!(reply.run(), "ran" | "unknown"),
+            matches!(reply.run_state(), "ran" | "unknown"),
             "{:?}",
             reply.json()
         );
-        assert!(fleet.runs_of_key(key) <= 1);
+        assert!(fleet.count_runs(key) <= 1);
     }
 }
--- a/tests/testsuite/fleet/contracts.rs
+++ b/tests/testsuite/fleet/contracts.rs
@@ -1,4 +1,5 @@
-//! Contracts: accepted means in force everywhere within seconds, and never an older one again.
+//! An accepted contract is in force on every daemon within seconds, and no daemon returns to an
+//! older version.
 
 use serde_json::{Value, json};
 
@@ -12,16 +13,16 @@
     contract.to_string()
 }
 
-fn head_of(fleet: &FleetFixture, index: usize) -> u64 {
-    fleet.instances[index].ask("/v1/status")["contracts"]["head"]
+fn log_head(fleet: &FleetFixture, index: usize) -> u64 {
+    fleet.instances[index].get_json("/v1/status")["contracts"]["head"]
         .as_u64()
         .unwrap_or_default()
 }
 
-// Two operators amend the same version at the same moment, through two daemons.
-// The log's order decides; the later one is told which change won, and every daemon has the first.
+// Guards against a lost update when two operators amend the same version through two daemons. The
+// order in the log decides, and the rejected operator gets the id of the change that won.
 #[test]
-fn of_two_operators_at_once_the_first_in_the_log_wins() {
+fn first_of_two_concurrent_amendments_wins() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     let replies: Vec<_> = std::thread::scope(|scope| {
@@ -52,31 +53,30 @@
         .json();
     assert_eq!(loser["winner"]["change"], winner["change"]);
     for index in 0..3 {
-        wait_until("both changes to be read", || head_of(&fleet, index) == 3);
-        let shown = fleet.instances[index].ask("/v1/contracts/brannock");
-        let first = fleet.instances[0].ask("/v1/contracts/brannock");
+        wait_until("both changes to be read", || log_head(&fleet, index) == 3);
+        let shown = fleet.instances[index].get_json("/v1/contracts/brannock");
+        let first = fleet.instances[0].get_json("/v1/contracts/brannock");
         assert_eq!(shown["rate"], first["rate"]);
     }
 }
 
-// The append of a change takes effect and its reply is lost.
-// The daemon looks for the change's own id instead of appending again: the operator is told the
-// version, and the log holds the change once.
+// Guards against a duplicate change when an append takes effect and its reply is lost. The daemon
+// must search the log for the change's id instead of appending again.
 #[test]
-fn a_lost_append_reply_is_settled_by_reading_back() {
+fn lost_append_reply_is_resolved_from_the_log() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     fleet.control_log(&json!({ "mode": "lose-replies" }));
     let reply = fleet.publish(0, "brannock", 1, &contract_with_rate(321.0));
     assert_eq!(reply.status, 200, "{:?}", reply.json());
     fleet.control_log(&json!({ "mode": "up" }));
-    assert_eq!(head_of(&fleet, 0), 2);
+    assert_eq!(log_head(&fleet, 0), 2);
 }
 
-// The log goes down. A change is refused as not made, callers are served on by the contracts in
-// force, and a daemon that starts meanwhile gets them from its peers.
+// Guards against an outage of the log stopping the fleet. A change is refused, and a daemon that
+// starts during the outage gets the contracts in force from its peers.
 #[test]
-fn a_daemon_that_starts_in_an_outage_gets_contracts_from_peers() {
+fn daemon_started_during_log_outage_gets_contracts_from_peers() {
     let mut fleet = FleetFixture::start(2);
     fleet.publish_sample();
     fleet.control_log(&json!({ "mode": "unavailable" }));
@@ -88,17 +88,19 @@
     fleet.control_log(&json!({ "mode": "down" }));
     fleet.add_instance("latecomer");
     let reply = wait_for("the latecomer to serve", || {
-        let reply = price_check().send(&fleet.instances[2].callers()).ok()?;
+        let reply = price_check()
+            .send(&fleet.instances[2].caller_address())
+            .ok()?;
         (reply.status == 200).then_some(reply)
     });
-    assert_eq!(reply.run(), "ran");
-    assert_eq!(head_of(&fleet, 2), 1);
+    assert_eq!(reply.run_state(), "ran");
+    assert_eq!(log_head(&fleet, 2), 1);
 }
 
-// Garbage, half a record and a record of a later format stand in the contract stream.
-// None of them stops the replay: the change after them is in force everywhere.
+// Guards against unreadable records in the contract stream blocking later changes: garbage, a
+// truncated record and an empty object.
 #[test]
-fn poison_records_do_not_stop_the_replay() {
+fn unreadable_records_do_not_stop_replay() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     let log = fleet.log.address("address");
@@ -120,8 +122,8 @@
     let reply = fleet.publish(1, "brannock", 1, &contract_with_rate(350.0));
     assert_eq!(reply.status, 200, "{:?}", reply.json());
     for index in 0..2 {
-        wait_until("the change to be in force", || head_of(&fleet, index) == 5);
-        let shown = fleet.instances[index].ask("/v1/contracts/brannock");
+        wait_until("the change to be in force", || log_head(&fleet, index) == 5);
+        let shown = fleet.instances[index].get_json("/v1/contracts/brannock");
         assert_eq!(shown["rate"]["per_second"], 350.0);
     }
 }
--- a/tests/testsuite/fleet/leaving.rs
+++ b/tests/testsuite/fleet/draining.rs
@@ -1,4 +1,4 @@
-//! Leaving: no new work after seconds, and nothing in flight cut off.
+//! Draining: new requests stop within seconds, and requests in flight complete.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::thread;
@@ -9,31 +9,31 @@
 use crate::support::fixture::{FleetFixture, InstanceFixture, booking, fresh_key, price_check};
 use crate::support::wait_until;
 
-/// Time within which the news of a leaving backend server must have reached every daemon.
-const LEAVE_LIMIT: Duration = Duration::from_secs(2);
+/// Time within which every daemon must stop sending requests to a draining backend server.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-// A backend server announces that it is leaving while the log is down.
-// The news goes by gossip and rides on nothing else; two seconds later no daemon sends it work.
+// Guards against requests to a draining backend server while the log is down. Gossip alone must
+// spread the announcement to every daemon within two seconds.
 #[test]
-fn a_leaving_backend_server_gets_no_new_work() {
+fn draining_backend_server_gets_no_new_requests() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     fleet.control_log(&json!({ "mode": "down" }));
     fleet.instances[2].control_backend(&json!({ "phase": "leaving" }));
-    thread::sleep(LEAVE_LIMIT);
-    let before = fleet.instances[2].runs()["total"].clone();
+    thread::sleep(DRAIN_LIMIT);
+    let before = fleet.instances[2].run_counters()["total"].clone();
     for round in 0..30 {
         let reply = fleet.call(round % 3, &price_check());
         assert_eq!(reply.status, 200, "{:?}", reply.json());
     }
-    assert_eq!(fleet.instances[2].runs()["total"], before);
+    assert_eq!(fleet.instances[2].run_counters()["total"], before);
 }
 
-// Every daemon is restarted in turn under load, with streams and bookings in flight.
-// Each leaves by SIGTERM: it tells its peers, hands its seats over and finishes what it has. No
-// caller of the others sees a refusal, nothing is cut off, and no booking runs twice.
+// Guards against failed requests during a rolling restart under load. On SIGTERM a daemon must
+// notify its peers, hand over its guard seats and complete its requests, while callers of the other
+// daemons see no refusal.
 #[test]
-fn a_rolling_restart_of_daemons_cuts_off_nothing() {
+fn rolling_daemon_restart_fails_no_requests() {
     let mut fleet = FleetFixture::start(3);
     fleet.publish_sample();
     for index in 0..3 {
@@ -44,9 +44,9 @@
             .iter()
             .enumerate()
             .filter(|(place, _)| *place != index)
-            .map(|(_, instance)| instance.callers())
+            .map(|(_, instance)| instance.caller_address())
             .collect();
-        let mut leaving = take_daemon(&mut fleet, index);
+        let mut draining_daemon = detach_daemon(&mut fleet, index);
         thread::scope(|scope| {
             for address in &staying {
                 scope.spawn(|| {
@@ -59,9 +59,12 @@
                     }
                 });
             }
-            let status = leaving.terminate();
+            let status = draining_daemon.terminate();
             stop.store(true, Ordering::Relaxed);
-            assert!(status.success(), "the daemon cut something off: {status}");
+            assert!(
+                status.success(),
+                "the daemon exited with requests cut off: {status}"
+            );
         });
         assert!(answered.load(Ordering::Relaxed) > 0);
         let name = format!("instance-{index}");
@@ -71,7 +74,7 @@
     }
 }
 
-fn take_daemon(fleet: &mut FleetFixture, index: usize) -> crate::support::process::TestProcess {
+fn detach_daemon(fleet: &mut FleetFixture, index: usize) -> crate::support::process::TestProcess {
     let placeholder = crate::support::process::TestProcess::start(
         env!("CARGO_BIN_EXE_sycamorelink"),
         &["stand-in", "log"],
@@ -79,16 +82,15 @@
     std::mem::replace(&mut fleet.instances[index].daemon, placeholder)
 }
 
-// A backend server is restarted under load: it announces that it leaves, finishes, and a new one
-// announces itself. Callers see nothing of it.
+// Guards against failed requests when a backend server is drained and replaced under load.
 #[test]
-fn a_restart_of_a_backend_server_is_not_seen_by_callers() {
+fn backend_server_restart_fails_no_requests() {
     let mut fleet = FleetFixture::start(3);
     fleet.publish_sample();
     let addresses: Vec<String> = fleet
         .instances
         .iter()
-        .map(InstanceFixture::callers)
+        .map(InstanceFixture::caller_address)
         .collect();
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -101,11 +103,11 @@
             });
         }
         fleet.instances[0].control_backend(&json!({ "phase": "leaving" }));
-        thread::sleep(LEAVE_LIMIT);
+        thread::sleep(DRAIN_LIMIT);
         fleet.instances[0].backend.terminate();
         fleet.restart_backend(0);
         wait_until("the new backend server to serve", || {
-            fleet.instances[0].runs()["total"]["finished"].as_u64() > Some(0)
+            fleet.instances[0].run_counters()["total"]["finished"].as_u64() > Some(0)
         });
         stop.store(true, Ordering::Relaxed);
     });
--- a/tests/testsuite/fleet/whole_path.rs
+++ b/tests/testsuite/fleet/end_to_end.rs
@@ -1,17 +1,17 @@
-//! The whole path: a caller, two daemons, two backend servers, the log.
+//! Requests through a complete fleet: a caller, two daemons, two backend servers and the log.
 
 use insta::assert_snapshot;
 
 use crate::support::fixture::{FleetFixture, booking, fresh_key, price_check};
 use crate::support::http::TestReply;
 
-/// What of an answer is the same in every run.
+/// Formats the parts of a reply that are the same in every test run.
 fn summary(reply: &TestReply) -> String {
     let body = reply.json();
     format!(
         "{} run={} replayed={} method={} path={} bytes={}",
         reply.status,
-        reply.run(),
+        reply.run_state(),
         reply.header("idempotent-replayed"),
         body["method"],
         body["path"],
@@ -19,12 +19,11 @@
     )
 }
 
-// A caller sends price checks and a booking to either daemon and gets whole answers.
-// The contract is read from the log; upstreams are found by gossip; half of the requests take the
-// inner protocol. The booking sent again through the other daemon runs once, counted at the backend
-// servers, and gets the kept reply.
+// Guards against a break anywhere between caller and backend server: reading the contract from the
+// log, discovering upstreams by gossip and forwarding between daemons, which half of the requests
+// need. A booking that is resent through the other daemon must run once and get the stored reply.
 #[test]
-fn a_request_is_served_from_end_to_end() {
+fn requests_are_served_end_to_end() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     for _ in 0..20 {
@@ -40,9 +39,9 @@
     ];
     assert_snapshot!(answers.join("\n"));
     assert_eq!(first.body, second.body);
-    assert_eq!(fleet.runs_of_key(&key), 1);
+    assert_eq!(fleet.count_runs(&key), 1);
     for instance in &fleet.instances {
-        let runs = instance.runs();
+        let runs = instance.run_counters();
         assert!(
             runs["total"]["finished"].as_u64() > Some(0),
             "{} ran nothing: {runs}",
@@ -51,10 +50,10 @@
     }
 }
 
-// The users were promised that no process of ours uses io_uring, and the HTTP library links a crate
-// that can. A daemon that has served requests holds no such descriptor.
+// Guards against a daemon using io_uring, which the project rules out for its users. The HTTP
+// library links a crate that can open an io_uring descriptor.
 #[test]
-fn no_daemon_opens_an_io_uring() {
+fn daemon_opens_no_io_uring() {
     let fleet = FleetFixture::start(1);
     fleet.publish_sample();
     assert_eq!(fleet.call(0, &price_check()).status, 200);
--- a/tests/testsuite/fleet/faults.rs
+++ b/tests/testsuite/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Gray failures of backend servers, seen end to end.
+//! Gray failures of backend servers, tested end to end.
 
 use std::thread;
 
@@ -7,10 +7,10 @@
 use crate::support::fixture::{FleetFixture, price_check};
 use crate::support::wait_until;
 
-/// Share of its fair share that an upstream is offered by an observer; none when it is out of the
-/// observer's pool.
+/// Returns the weight that an observer gives an upstream, relative to its fair share, or 0 when the
+/// upstream is not in the observer's pool.
 fn weight_of(fleet: &FleetFixture, observer: usize, name: &str) -> f64 {
-    let service = fleet.instances[observer].ask("/v1/services/orders");
+    let service = fleet.instances[observer].get_json("/v1/services/orders");
     let upstreams = service["upstreams"].as_array().cloned().unwrap_or_default();
     let found = upstreams
         .iter()
@@ -20,11 +20,10 @@
         .unwrap_or(0.0)
 }
 
-// One backend server answers health checks and serves ten times slower.
-// Callers' own requests show it; its share goes to the others within seconds, and it is not asked
-// to leave by anything but those requests.
+// Guards against a slow backend server keeping its share of requests. The server still passes
+// health checks, so only the latency of callers' requests shows that it is ten times slower.
 #[test]
-fn a_slow_backend_server_loses_its_share() {
+fn slow_backend_server_loses_weight() {
     let fleet = FleetFixture::start(4);
     fleet.publish_sample();
     for _ in 0..60 {
@@ -39,10 +38,10 @@
     });
 }
 
-// Backend servers cut replies short, or answer with the reply to another request.
-// The caller never gets any of it: the reply is dropped, and the request is tried elsewhere.
+// Guards against forwarding a truncated reply or the reply to another request. The daemon must drop
+// such a reply and retry the request on another upstream.
 #[test]
-fn wrong_and_truncated_replies_never_reach_a_caller() {
+fn wrong_and_truncated_replies_are_not_forwarded() {
     let fleet = FleetFixture::start(3);
     fleet.publish_sample();
     fleet.instances[0].control_backend(&json!({ "fault": "truncate" }));
@@ -54,7 +53,7 @@
             assert_eq!(
                 body["request_id"],
                 reply.header("x-request-id"),
-                "somebody else's reply"
+                "the reply to another request"
             );
         } else {
             assert!(matches!(
@@ -65,10 +64,11 @@
     }
 }
 
-// A backend server is frozen. Its kernel still takes connections, so a connection check passes and
-// requests hang. Their age takes its weight, and its announcement lapses: the others get the work.
+// Guards against a suspended backend server keeping its share of requests. Its kernel still accepts
+// connections, so connection checks pass while requests hang. The age of those requests and the
+// expiry of its announcement must move requests to other servers.
 #[test]
-fn a_frozen_backend_server_loses_its_share() {
+fn suspended_backend_server_loses_weight() {
     let fleet = FleetFixture::start(4);
     fleet.publish_sample();
     for _ in 0..60 {
@@ -82,11 +82,10 @@
     fleet.instances[2].backend.signal("CONT");
 }
 
-// Five times as many requests come at once as the backend servers run.
-// Each caller is answered: served, or refused at once as not run and told when to come back. Nothing
-// waits for its deadline to hear that there was no room.
+// Guards against requests waiting for their deadline under overload. A burst of five times the
+// backend servers' capacity must be served or refused as not run with a `retry-after` header.
 #[test]
-fn a_burst_is_refused_at_once_beyond_capacity() {
+fn burst_beyond_capacity_is_refused_as_not_run() {
     let fleet = FleetFixture::start(2);
     fleet.publish_sample();
     for instance in &fleet.instances {
@@ -110,16 +109,16 @@
         .iter()
         .filter(|reply| matches!(reply.status, 429 | 503))
     {
-        assert_eq!(reply.run(), "not-run", "{:?}", reply.json());
+        assert_eq!(reply.run_state(), "not-run", "{:?}", reply.json());
         assert_ne!(reply.header("retry-after"), "", "{:?}", reply.json());
     }
 }
 
-// One request crashes every backend server that runs it, and its caller sends it again and again,
-// through every daemon. The third backend server never gets it; the caller is answered at once, and
-// other requests of the same shape are served.
+// Guards against one request crashing every backend server. The request crashes each server that
+// runs it and its caller resends it through every daemon; the third server must not get it, and
+// other requests for the same route are served.
 #[test]
-fn a_crash_request_never_reaches_a_third_backend_server() {
+fn crash_request_reaches_at_most_two_backend_servers() {
     let fleet = FleetFixture::start(4);
     fleet.publish_sample();
     let fault = json!({ "fault": "crash-on", "marker": "poison", "down_ms": 200 });
@@ -132,7 +131,7 @@
         assert_ne!(reply.status, 200);
     }
     let started = |instance: &crate::support::fixture::InstanceFixture| {
-        let total = instance.runs()["total"].clone();
+        let total = instance.run_counters()["total"].clone();
         total["started"].as_u64().unwrap_or_default()
             - total["finished"].as_u64().unwrap_or_default()
     };
--- a/tests/testsuite/fleet/mod.rs
+++ b/tests/testsuite/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Fleets of separate processes.
+//! Tests of fleets that run as separate processes.
 
 mod at_most_once;
 mod contracts;
+mod draining;
+mod end_to_end;
 mod faults;
-mod leaving;
-mod whole_path;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! End-to-end tests: the command line, and fleets of separate processes on loopback.
+//! End-to-end tests of the command line and of fleets that run as separate processes on loopback.
 
 mod bad_input;
 mod cli;
--- a/tests/testsuite/pages.rs
+++ b/tests/testsuite/pages.rs
@@ -1,11 +1,12 @@
-//! Pages agree with the code that they speak of.
+//! The documentation pages agree with the code.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Every file below a directory with one of the endings.
-fn files(directory: &Path, ending: &str) -> Vec<PathBuf> {
+/// Lists the files below a directory whose names have the suffix, except in `target` and hidden
+/// directories.
+fn files(directory: &Path, suffix: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     let entries = fs::read_dir(directory).expect("the directory is read");
     for entry in entries {
@@ -15,8 +16,8 @@
             .and_then(|name| name.to_str())
             .unwrap_or_default();
         if path.is_dir() && name != "target" && !name.starts_with('.') {
-            found.extend(files(&path, ending));
-        } else if name.ends_with(ending) {
+            found.extend(files(&path, suffix));
+        } else if name.ends_with(suffix) {
             found.push(path);
         }
     }
@@ -27,7 +28,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Names of all test functions of the repository.
+/// Collects the names of all private functions in the repository, test functions among them.
 fn test_names() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for file in files(root(), ".rs") {
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn the_promises_page_names_only_tests_that_exist() {
+fn promises_page_names_only_existing_tests() {
     let page = fs::read_to_string(root().join("docs/promises.md")).expect("the page is read");
     let known = test_names();
     let rows = page
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_resolve() {
     let mut broken = Vec::new();
     let mut pages = files(&root().join("docs"), ".md");
     pages.push(root().join("README.md"));
--- a/tests/testsuite/support/fixture.rs
+++ b/tests/testsuite/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A fleet of separate processes: the log, backend servers and the daemons beside them.
+//! A fleet of separate processes: the log, and a daemon and a backend server for each instance.
 
 use std::fs;
 
@@ -9,40 +9,41 @@
 use super::process::TestProcess;
 use super::wait_until;
 
-/// Token of the operator that every daemon knows.
+/// Token of the operator in every daemon's settings.
 pub const OPERATOR_TOKEN: &str = "operator-test-token";
-/// Token of the customer that tests use.
+/// Token of the customer in the sample contract.
 pub const CALLER_TOKEN: &str = "brannock-dealer-demo";
-/// Secret of the fleet.
+/// Secret that all daemons of the fleet share.
 pub const FLEET_SECRET: &str = "0123456789abcdef0123456789abcdef";
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_sycamorelinkd");
 const TOOL: &str = env!("CARGO_BIN_EXE_sycamorelink");
 
-/// One instance: a daemon and the backend server beside it.
+/// One instance: a daemon and its backend server.
 pub struct InstanceFixture {
-    /// Name of the instance.
+    /// Instance name in the daemon's settings, such as `instance-0`.
     pub name: String,
-    /// The daemon.
+    /// Process of the daemon.
     pub daemon: TestProcess,
-    /// The backend server.
+    /// Process of the stand-in backend server.
     pub backend: TestProcess,
 }
 
 impl InstanceFixture {
-    /// Address for callers.
-    pub fn callers(&self) -> String {
+    /// Returns the daemon's address for callers.
+    pub fn caller_address(&self) -> String {
         self.daemon.address("callers")
     }
 
-    /// Asks the operators' port.
-    pub fn ask(&self, path: &str) -> Value {
+    /// Sends a GET request to the operators' port. Returns the JSON body, or null when there is
+    /// none.
+    pub fn get_json(&self, path: &str) -> Value {
         let request = TestRequest::new("GET", path).token(OPERATOR_TOKEN);
         let reply = request.send(&self.daemon.address("operators"));
         reply.map(|reply| reply.json()).unwrap_or_default()
     }
 
-    /// Tells the backend server how to behave.
+    /// Sends a control command, such as a fault to simulate, to the backend server.
     pub fn control_backend(&self, command: &Value) {
         let request = TestRequest::new("POST", "/control").body(command.to_string().as_bytes());
         let reply = request
@@ -51,35 +52,35 @@
         assert_eq!(reply.status, 200, "{command}: {:?}", reply.json());
     }
 
-    /// Runs that the backend server counted.
-    pub fn runs(&self) -> Value {
+    /// Returns the backend server's run counters, in total and by key.
+    pub fn run_counters(&self) -> Value {
         let request = TestRequest::new("GET", "/control/runs");
         let address = self.backend.address("address");
-        let reply = super::wait_for("the backend server to tell its runs", || {
+        let reply = super::wait_for("the backend server to return its run counters", || {
             request.send(&address).ok()
         });
         reply.json()
     }
 }
 
-/// The log and some instances.
+/// A stand-in log and the instances of a fleet.
 pub struct FleetFixture {
     directory: TempDir,
-    /// The log.
+    /// Process of the stand-in log.
     pub log: TestProcess,
-    /// The instances.
+    /// Instances in the order in which they were added.
     pub instances: Vec<InstanceFixture>,
     service: String,
     settings: Value,
 }
 
 impl FleetFixture {
-    /// Starts a fleet of so many instances, all with a backend server of the service `orders`.
+    /// Starts a fleet of `count` instances whose backend servers all serve `orders`.
     pub fn start(count: usize) -> Self {
         Self::with_settings(count, &json!({}))
     }
 
-    /// The same with more daemon settings.
+    /// Starts a fleet and adds the given top-level members to every daemon's settings.
     pub fn with_settings(count: usize, settings: &Value) -> Self {
         let log = TestProcess::start(TOOL, &["stand-in", "log"]);
         let mut fleet = Self {
@@ -95,7 +96,7 @@
         fleet
     }
 
-    /// Starts one more instance, in one of three failure domains.
+    /// Starts another instance. Instances are spread over three failure domains in turn.
     pub fn add_instance(&mut self, name: &str) {
         let number = self.instances.len();
         let daemon = self.start_daemon(name, number % 3);
@@ -143,7 +144,7 @@
         TestProcess::start(TOOL, &args)
     }
 
-    /// Starts the backend server of an instance again.
+    /// Starts a new backend server for an instance and drops the process of the old one.
     pub fn restart_backend(&mut self, index: usize) {
         let operators = self.instances[index].daemon.address("operators");
         self.instances[index].backend = self.start_backend(&operators, index);
@@ -152,11 +153,11 @@
     fn seeds(&self) -> Vec<String> {
         self.instances
             .iter()
-            .filter_map(|instance| instance.daemon.address_if_told("gossip"))
+            .filter_map(|instance| instance.daemon.find_address("gossip"))
             .collect()
     }
 
-    /// Tells the log how to behave.
+    /// Sends a control command, such as an outage to simulate, to the log.
     pub fn control_log(&self, command: &Value) {
         let request = TestRequest::new("POST", "/control").body(command.to_string().as_bytes());
         let reply = request
@@ -165,7 +166,7 @@
         assert_eq!(reply.status, 200, "{command}: {:?}", reply.json());
     }
 
-    /// Publishes the sample contract and waits until every daemon serves by it and knows every
+    /// Publishes the sample contract and waits until every daemon is ready and lists every
     /// upstream.
     pub fn publish_sample(&self) {
         let contract = sycamorelink_contract::samples::brannock().to_json();
@@ -174,7 +175,8 @@
         self.wait_ready();
     }
 
-    /// Publishes a contract through one instance.
+    /// Publishes a contract through one instance. `base` is the version that it amends, 0 for a new
+    /// customer.
     pub fn publish(&self, index: usize, customer: &str, base: u64, contract: &str) -> TestReply {
         let request = TestRequest::new("PUT", &format!("/v1/contracts/{customer}"))
             .token(OPERATOR_TOKEN)
@@ -187,13 +189,14 @@
             .expect("the operators' port answers")
     }
 
-    /// Waits until every daemon is ready and sees all upstreams of all instances.
+    /// Waits until every daemon is ready, lists the upstreams of all instances and has no closed
+    /// range in its guard.
     pub fn wait_ready(&self) {
         let count = self.instances.len();
         for instance in &self.instances {
             wait_until("a daemon to see the whole fleet", || {
-                let status = instance.ask("/v1/status");
-                let service = instance.ask(&format!("/v1/services/{}", self.service));
+                let status = instance.get_json("/v1/status");
+                let service = instance.get_json(&format!("/v1/services/{}", self.service));
                 let upstreams = service["upstreams"].as_array().map_or(0, Vec::len);
                 status["state"] == "ready"
                     && upstreams == count
@@ -202,17 +205,17 @@
         }
     }
 
-    /// Sends a request to one instance.
+    /// Sends a request to the callers' port of one instance.
     pub fn call(&self, index: usize, request: &TestRequest) -> TestReply {
         request
-            .send(&self.instances[index].callers())
+            .send(&self.instances[index].caller_address())
             .expect("the callers' port answers")
     }
 
-    /// How often a key began to run, counted at all backend servers that still live.
-    pub fn runs_of_key(&self, key: &str) -> u64 {
+    /// Counts the runs that were started for a key, at all backend servers of the fleet.
+    pub fn count_runs(&self, key: &str) -> u64 {
         let count = |instance: &InstanceFixture| {
-            instance.runs()["by_key"][key]["started"]
+            instance.run_counters()["by_key"][key]["started"]
                 .as_u64()
                 .unwrap_or_default()
         };
@@ -225,17 +228,17 @@
     digest.to_string()
 }
 
-/// A fresh key with the time in it (`UUIDv7`).
+/// Returns a new idempotency key, a `UUIDv7`.
 pub fn fresh_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// A request for prices, which may be repeated.
+/// Builds an idempotent request, which daemons may retry.
 pub fn price_check() -> TestRequest {
     TestRequest::new("GET", "/prices/bulk").token(CALLER_TOKEN)
 }
 
-/// A booking, which must not be repeated.
+/// Builds a booking under an idempotency key, which must run at most once.
 pub fn booking(key: &str) -> TestRequest {
     TestRequest::new("POST", "/bookings")
         .token(CALLER_TOKEN)
--- a/tests/testsuite/support/http.rs
+++ b/tests/testsuite/support/http.rs
@@ -1,4 +1,5 @@
-//! A small HTTP/1.1 client on plain sockets, so that a test sees exactly what a caller sees.
+//! A minimal HTTP/1.1 client on plain sockets, which shows a test the exact response without
+//! retries or redirects.
 
 use std::fmt::Write as _;
 use std::io::{self, Read, Write};
@@ -7,10 +8,10 @@
 
 use serde_json::Value;
 
-/// Longest wait for a reply.
+/// Longest wait for more bytes of a reply.
 const READ_LIMIT: Duration = Duration::from_secs(20);
 
-/// One request.
+/// A request that a test builds and sends.
 #[derive(Clone, Debug)]
 pub struct TestRequest {
     method: String,
@@ -20,7 +21,7 @@
 }
 
 impl TestRequest {
-    /// A request without headers or body.
+    /// Creates a request without headers or body.
     pub fn new(method: &str, target: &str) -> Self {
         Self {
             method: method.to_owned(),
@@ -30,24 +31,24 @@
         }
     }
 
-    /// The same with a header.
+    /// Adds a header.
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The same with a token.
+    /// Adds a bearer token.
     pub fn token(self, token: &str) -> Self {
         self.header("authorization", &format!("Bearer {token}"))
     }
 
-    /// The same with a body.
+    /// Sets the body.
     pub fn body(mut self, body: &[u8]) -> Self {
         self.body = body.to_vec();
         self
     }
 
-    /// Sends the request on a connection of its own.
+    /// Sends the request on a new connection and returns the reply.
     pub fn send(&self, address: &str) -> io::Result<TestReply> {
         send_raw(address, &self.encode())
     }
@@ -68,18 +69,18 @@
     }
 }
 
-/// One reply.
+/// A complete reply.
 #[derive(Clone, Debug)]
 pub struct TestReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     headers: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// Body, with chunked encoding removed.
     pub body: Vec<u8>,
 }
 
 impl TestReply {
-    /// A header, or the empty text.
+    /// Returns a header's value, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         let found = self
             .headers
@@ -88,23 +89,23 @@
         found.map_or("", |(_, value)| value)
     }
 
-    /// The body as JSON, or null.
+    /// Parses the body as JSON, or returns null.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The stable code of a refusal, or the empty text.
+    /// Returns the error code of a refusal, or an empty string.
     pub fn code(&self) -> String {
         self.json()["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// What the answer says about the run.
-    pub fn run(&self) -> &str {
+    /// Returns the `sycamorelink-run` header: `ran`, `not-run` or `unknown`.
+    pub fn run_state(&self) -> &str {
         self.header("sycamorelink-run")
     }
 }
 
-/// Sends bytes as they are and reads the reply.
+/// Sends bytes unmodified and reads the reply until the connection closes.
 pub fn send_raw(address: &str, bytes: &[u8]) -> io::Result<TestReply> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(READ_LIMIT))?;
@@ -119,7 +120,7 @@
 }
 
 fn parse_reply(bytes: &[u8]) -> io::Result<TestReply> {
-    let broken = || io::Error::new(io::ErrorKind::UnexpectedEof, "no whole reply");
+    let broken = || io::Error::new(io::ErrorKind::UnexpectedEof, "incomplete reply");
     let split = bytes
         .windows(4)
         .position(|window| window == b"\r\n\r\n")
@@ -150,7 +151,7 @@
     Ok(reply)
 }
 
-/// Joins a chunked body; none when its last chunk is missing.
+/// Decodes a chunked body. Returns `None` when the last chunk is missing.
 fn join_chunks(mut bytes: &[u8]) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
--- a/tests/testsuite/support/mod.rs
+++ b/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! Processes, a small HTTP client and bounded waits.
+//! Test processes, an HTTP client and waits with a timeout.
 
 pub mod fixture;
 pub mod http;
@@ -6,27 +6,27 @@
 
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything; a test that needs it has failed.
+/// Timeout of `wait_for` and `wait_until`, after which the test fails.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const WAIT_STEP: Duration = Duration::from_millis(20);
+/// Interval between polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until the look gives something.
-pub fn wait_for<T, F>(what: &str, mut look: F) -> T
+/// Polls until the closure returns a value.
+pub fn wait_for<T, F>(what: &str, mut poll: F) -> T
 where
     F: FnMut() -> Option<T>,
 {
     let until = Instant::now() + WAIT_LIMIT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < until, "waited too long for {what}");
-        std::thread::sleep(WAIT_STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Waits until the condition holds.
+/// Polls until the condition holds.
 pub fn wait_until<F>(what: &str, mut holds: F)
 where
     F: FnMut() -> bool,
--- a/tests/testsuite/support/process.rs
+++ b/tests/testsuite/support/process.rs
@@ -1,4 +1,4 @@
-//! A process that a test started, ended with the test.
+//! A child process that is killed when the test ends.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -7,15 +7,15 @@
 
 use super::wait_for;
 
-/// A running process whose first line of output tells where it listens.
+/// A running process whose first line of output is a JSON object with its listen addresses.
 pub struct TestProcess {
     child: Child,
-    /// That first line.
+    /// The parsed first line of output.
     pub listening: Value,
 }
 
 impl TestProcess {
-    /// Starts a program and reads its first line of output.
+    /// Starts a program and waits for its first line of output.
     pub fn start(program: &str, args: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(args)
@@ -34,30 +34,30 @@
         Self { child, listening }
     }
 
-    /// An address from the first line.
+    /// Returns a listen address by its name, and panics when the process did not print it.
     pub fn address(&self, name: &str) -> String {
-        self.address_if_told(name).expect("the address is told")
+        self.find_address(name).expect("the address is listed")
     }
 
-    /// The same, where the first line has it.
-    pub fn address_if_told(&self, name: &str) -> Option<String> {
+    /// Returns a listen address by its name, or `None` when the process did not print it.
+    pub fn find_address(&self, name: &str) -> Option<String> {
         self.listening[name].as_str().map(str::to_owned)
     }
 
-    /// Sends a signal, such as `STOP`, `CONT` or `TERM`.
+    /// Sends a signal, such as `STOP`, `CONT` or `TERM`, to the process.
     pub fn signal(&self, name: &str) {
         let command = format!("kill -{name} {}", self.child.id());
         let sent = Command::new("sh").args(["-c", &command]).status();
         assert!(sent.expect("sh runs").success(), "signal {name} is sent");
     }
 
-    /// Ends the process at once, with nothing handed over.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// What the open descriptors of the process are, as the kernel names them.
+    /// Returns the targets of the process's open file descriptors, as listed in `/proc`.
     pub fn open_descriptors(&self) -> Vec<String> {
         let directory = format!("/proc/{}/fd", self.child.id());
         let entries = std::fs::read_dir(directory).expect("the descriptors are listed");
@@ -67,24 +67,25 @@
             .collect()
     }
 
-    /// Asks the process to leave and waits for its end.
+    /// Sends SIGTERM and waits for the process to exit.
     pub fn terminate(&mut self) -> ExitStatus {
         self.signal("TERM");
         self.wait()
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to exit.
     pub fn wait(&mut self) -> ExitStatus {
-        wait_for("a process to end", || self.try_end())
+        wait_for("a process to end", || self.try_wait())
     }
 
-    /// How the process ended, if it has.
-    pub fn try_end(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("its state is told")
+    /// Returns the exit status, or `None` while the process is running.
+    pub fn try_wait(&mut self) -> Option<ExitStatus> {
+        self.child.try_wait().expect("the child is polled")
     }
 }
 
-/// Logs go nowhere, or into the directory that `TEST_LOG_DIR` names, for whoever reads a failure.
+/// Opens the file for the process's stderr in the directory `TEST_LOG_DIR`; discards stderr when
+/// the variable is not set.
 fn log_file(args: &[&str]) -> Stdio {
     let Some(directory) = std::env::var_os("TEST_LOG_DIR") else {
         return Stdio::null();
