--- a/crates/lab/src/bin/lab-capacity.rs
+++ b/crates/lab/src/bin/lab-capacity.rs
@@ -1,4 +1,4 @@
-//! Prints the slopes of the capacity page: `lab-capacity [--quick] [--json]`.
+//! Prints how memory, time and traffic grow with fleet size: `lab-capacity [--quick] [--json]`.
 
 use anyhow::bail;
 use sycamorelink_lab::capacity::CapacityPlan;
--- a/crates/lab/src/bin/lab-shares.rs
+++ b/crates/lab/src/bin/lab-shares.rs
@@ -10,14 +10,16 @@
     let mut json = false;
     let mut arguments = std::env::args().skip(1);
     while let Some(argument) = arguments.next() {
-        let mut value = || arguments.next().context("a value is missing");
+        let mut value = || arguments.next().context("missing value for an option");
         match argument.as_str() {
             "--full" => options = ShareOptions::full(),
             "--json" => json = true,
             "--seed" => options.seed = value()?.parse()?,
             "--fleet" => {
                 let text = value()?;
-                let (count, rate) = text.split_once(',').context("as in 17,200")?;
+                let (count, rate) = text
+                    .split_once(',')
+                    .context("expected DAEMONS,RATE, as in 17,200")?;
                 fleets.push((count.parse()?, rate.parse()?));
             }
             other => bail!("unknown argument {other:?}"),
--- a/crates/lab/src/bin/lab-situations.rs
+++ b/crates/lab/src/bin/lab-situations.rs
@@ -1,8 +1,9 @@
-//! Prints the table of situations: `lab-situations [--full] [--json] [--runs N] [--service NAME]
-//! [--html FILE] [--situation NAME] [--chooser NAME] [--settings JSON] [--cost]`.
+//! Prints the table of situations: `lab-situations [--full] [--json] [--runs N] [--threads N]
+//! [--seed N] [--service NAME] [--html FILE] [--situation NAME] [--chooser NAME] [--settings JSON]
+//! [--cost]`.
 
 use anyhow::{Context, bail};
-use sycamorelink_lab::situations::{ContenderKind, TableOptions, measure_cost, run_table};
+use sycamorelink_lab::situations::{ChooserKind, TableOptions, measure_cost, run_table};
 
 fn main() -> anyhow::Result<()> {
     let mut options = TableOptions::quick();
@@ -10,7 +11,7 @@
     let mut page = None;
     let mut arguments = std::env::args().skip(1);
     while let Some(argument) = arguments.next() {
-        let mut value = || arguments.next().context("a value is missing");
+        let mut value = || arguments.next().context("missing value for an option");
         match argument.as_str() {
             "--full" => options = TableOptions::full(),
             "--json" => json = true,
@@ -26,8 +27,8 @@
             "--situation" => options.situations.push(value()?),
             "--chooser" => {
                 let name = value()?;
-                options.contenders = ContenderKind::ALL.to_vec();
-                options.contenders.retain(|kind| kind.name() == name);
+                options.choosers = ChooserKind::ALL.to_vec();
+                options.choosers.retain(|kind| kind.name() == name);
             }
             "--settings" => options.settings = serde_json::from_str(&value()?)?,
             "--cost" => {
--- a/crates/lab/src/capacity/churn.rs
+++ b/crates/lab/src/capacity/churn.rs
@@ -1,50 +1,51 @@
-//! The daily restarts, failures and contract changes, scaled to the number of nodes.
+//! Daily restarts, failures and contract changes, scaled to the number of nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sycamorelink_roster::topic::CONTRACT_HEAD;
 
-use super::fit::count_of;
+use super::fit::to_f64;
 use super::fleet::RosterFleet;
 
-/// Restarts a day of a fleet of [`FULL_NODES`] nodes.
+/// Restarts per day in a fleet of [`TARGET_NODES`] nodes.
 const RESTARTS: f64 = 7_700.0;
 
-/// Failures a day of a fleet of [`FULL_NODES`] nodes.
+/// Failures per day in a fleet of [`TARGET_NODES`] nodes.
 const FAILURES: f64 = 610.0;
 
-/// Contract changes a day of a fleet of [`FULL_NODES`] nodes.
+/// Contract changes per day in a fleet of [`TARGET_NODES`] nodes.
 const CHANGES: f64 = 26_000.0;
 
-/// Nodes at the two-year size.
-pub const FULL_NODES: f64 = 2_300.0;
+/// Number of nodes at the target scale, the fleet size expected in two years.
+pub const TARGET_NODES: f64 = 2_300.0;
 
 const DAY_SECONDS: f64 = 86_400.0;
 
-/// Time between two looks at what is due.
+/// Time between two checks for due events.
 pub const CHURN_STEP: Duration = Duration::from_millis(100);
 
-/// Time from a node's drain to its goodbye.
+/// Time from the start of a node's drain to its departure.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// Time from a node's goodbye to its next life.
+/// Time from a node's departure to its restart.
 const START_TIME: Duration = Duration::from_secs(2);
 
-/// Time from a start to the first upstream that has warmed up.
+/// Time from a node's start to its first warm upstream.
 const WARM_TIME: Duration = Duration::from_secs(2);
 
-/// Time between two upstreams of a node that have warmed up.
+/// Time between two upstreams of a node becoming warm.
 const WARM_STEP: Duration = Duration::from_millis(100);
 
-/// Time that a dead node stays away.
+/// Time from a node's death to its restart.
 pub const REPAIR_TIME: Duration = Duration::from_secs(20);
 
-/// Version of the first contract head, above those published before.
+/// Version of the first published contract head; higher than all versions published by earlier
+/// measurements of the same fleet.
 const FIRST_HEAD: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
-enum DueAction {
+enum ChurnAction {
     Drain(usize),
     Depart(usize),
     Start(usize),
@@ -53,85 +54,85 @@
     Publish,
 }
 
-/// What is still to happen, evenly spread over the time.
+/// Scheduled churn events, evenly spaced over a period of time.
 pub struct DailyChurn {
-    due: BTreeMap<(Duration, u64), DueAction>,
-    order: u64,
+    due: BTreeMap<(Duration, u64), ChurnAction>,
+    sequence: u64,
     head: u64,
-    /// Restarts so far.
+    /// Number of planned restarts so far.
     pub restarts: usize,
-    /// Deaths so far.
+    /// Number of killed nodes so far.
     pub kills: usize,
 }
 
 impl DailyChurn {
-    /// Plans the events of a stretch of time that begins now, as many as in a fleet of
-    /// `rate_nodes` nodes.
+    /// Schedules the events of a period that begins now, as many as in a fleet of `rate_nodes`
+    /// nodes.
     #[must_use]
     pub fn plan(fleet: &mut RosterFleet, time: Duration, rate_nodes: usize) -> Self {
         let mut churn = Self {
             due: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             head: FIRST_HEAD,
             restarts: 0,
             kills: 0,
         };
-        let share = count_of(rate_nodes) / FULL_NODES;
-        for at in moments(fleet.now(), time, RESTARTS * share) {
-            let index = fleet.draw();
-            churn.add(at, DueAction::Drain(index));
+        let share = to_f64(rate_nodes) / TARGET_NODES;
+        for at in evenly_spaced(fleet.now(), time, RESTARTS * share) {
+            let index = fleet.pick_running();
+            churn.add(at, ChurnAction::Drain(index));
         }
-        for at in moments(fleet.now(), time, FAILURES * share) {
-            let index = fleet.draw();
-            churn.add(at, DueAction::Kill(index));
+        for at in evenly_spaced(fleet.now(), time, FAILURES * share) {
+            let index = fleet.pick_running();
+            churn.add(at, ChurnAction::Kill(index));
         }
-        for at in moments(fleet.now(), time, CHANGES * share) {
-            churn.add(at, DueAction::Publish);
+        for at in evenly_spaced(fleet.now(), time, CHANGES * share) {
+            churn.add(at, ChurnAction::Publish);
         }
         churn
     }
 
-    /// Does what is due.
+    /// Executes all due events.
     pub fn step(&mut self, fleet: &mut RosterFleet) {
         while let Some(entry) = self.due.first_entry() {
             if entry.key().0 > fleet.now() {
                 return;
             }
             let action = entry.remove();
-            self.act(fleet, action);
+            self.perform(fleet, action);
         }
     }
 
-    fn act(&mut self, fleet: &mut RosterFleet, action: DueAction) {
+    fn perform(&mut self, fleet: &mut RosterFleet, action: ChurnAction) {
         let now = fleet.now();
         match action {
-            DueAction::Drain(index) if fleet.is_running(index) => {
+            ChurnAction::Drain(index) if fleet.is_running(index) => {
                 fleet.drain(index);
-                self.add(now + DRAIN_TIME, DueAction::Depart(index));
+                self.add(now + DRAIN_TIME, ChurnAction::Depart(index));
             }
-            DueAction::Depart(index) if fleet.is_running(index) => {
+            ChurnAction::Depart(index) if fleet.is_running(index) => {
                 fleet.depart(index);
-                self.add(now + START_TIME, DueAction::Start(index));
+                self.add(now + START_TIME, ChurnAction::Start(index));
                 self.restarts += 1;
             }
-            DueAction::Kill(index) if fleet.is_running(index) => {
+            ChurnAction::Kill(index) if fleet.is_running(index) => {
                 fleet.kill(index);
-                self.add(now + REPAIR_TIME, DueAction::Start(index));
+                self.add(now + REPAIR_TIME, ChurnAction::Start(index));
                 self.kills += 1;
             }
-            DueAction::Start(index) => self.start(fleet, index),
-            DueAction::WarmUp(index, slot) if fleet.is_running(index) => {
+            ChurnAction::Start(index) => self.start(fleet, index),
+            ChurnAction::WarmUp(index, slot) if fleet.is_running(index) => {
                 fleet.warm_up(index, slot);
             }
-            DueAction::Publish => {
-                let index = fleet.draw();
+            ChurnAction::Publish => {
+                let index = fleet.pick_running();
                 self.head += 1;
                 fleet.publish(index, CONTRACT_HEAD, self.head);
             }
-            DueAction::Drain(_)
-            | DueAction::Depart(_)
-            | DueAction::Kill(_)
-            | DueAction::WarmUp(..) => {}
+            ChurnAction::Drain(_)
+            | ChurnAction::Depart(_)
+            | ChurnAction::Kill(_)
+            | ChurnAction::WarmUp(..) => {}
         }
     }
 
@@ -139,25 +140,25 @@
         fleet.restart(index);
         let mut at = fleet.now() + WARM_TIME;
         for slot in 0..fleet.upstreams() {
-            self.add(at, DueAction::WarmUp(index, slot));
+            self.add(at, ChurnAction::WarmUp(index, slot));
             at += WARM_STEP;
         }
     }
 
-    fn add(&mut self, at: Duration, action: DueAction) {
-        self.order += 1;
-        self.due.insert((at, self.order), action);
+    fn add(&mut self, at: Duration, action: ChurnAction) {
+        self.sequence += 1;
+        self.due.insert((at, self.sequence), action);
     }
 }
 
-/// Moments of events that come evenly, this many a day.
-fn moments(start: Duration, time: Duration, a_day: f64) -> Vec<Duration> {
-    let mut moments = Vec::new();
-    let gap = Duration::from_secs_f64(DAY_SECONDS / a_day);
+/// Returns evenly spaced times for `per_day` events per day.
+fn evenly_spaced(start: Duration, time: Duration, per_day: f64) -> Vec<Duration> {
+    let mut times = Vec::new();
+    let gap = Duration::from_secs_f64(DAY_SECONDS / per_day);
     let mut at = start + gap / 2;
     while at < start + time {
-        moments.push(at);
+        times.push(at);
         at += gap;
     }
-    moments
+    times
 }
--- a/crates/lab/src/capacity/parts.rs
+++ b/crates/lab/src/capacity/components.rs
@@ -1,4 +1,4 @@
-//! Memory of the other parts' state: pools, guard seats, shares.
+//! Memory of the state of upstream pools, guard seats and shares.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,54 +17,55 @@
 };
 use sycamorelink_policy::{PoolSettings, SampleKind, ServicePool, UpstreamPhase, UpstreamSample};
 
-use super::fit::{MeasuredPoint, count_of};
-use super::memory::grown_by;
+use super::fit::{MeasuredPoint, to_f64};
+use super::memory::measure_growth;
 
-/// Upstreams of each service at the two-year size.
+/// Upstreams per service at the target scale.
 const SERVICE_UPSTREAMS: usize = 22;
 
-/// Samples that each upstream gets, so that its state is warm.
+/// Samples recorded for each upstream, so that its state is fully allocated.
 const SAMPLES: u32 = 8;
 
-/// Failure domains that the members of a ring are in.
+/// Number of failure domains of the members.
 const DOMAINS: usize = 7;
 
-/// Members of the ring of the measured shares.
+/// Number of members of the share ring.
 const RING_MEMBERS: u64 = 3;
 
-/// Guards of the measured keys.
+/// Number of guards; each remembers every key.
 const GUARDS: u64 = 3;
 
-/// Wall clock of the guards at their start, in seconds.
+/// Unix time of the guards at their start.
 const GUARD_EPOCH: Duration = Duration::from_secs(1_790_000_000);
 
-/// Longest time until the guards have founded their ranges.
+/// Virtual time for the guards to found their key ranges.
 const FOUNDING_LIMIT: Duration = Duration::from_secs(30);
 
-fn points_of<T, F>(counts: &[usize], mut build: F) -> Result<Vec<MeasuredPoint>>
+fn measure_points<T, F>(counts: &[usize], mut build: F) -> Result<Vec<MeasuredPoint>>
 where
     F: FnMut(usize) -> T,
 {
     let mut kept = Vec::new();
     let mut points = Vec::new();
     for count in counts {
-        let (state, bytes) = grown_by(|| build(*count))?;
+        let (state, bytes) = measure_growth(|| build(*count))?;
         kept.push(state);
         points.push(MeasuredPoint {
-            count: count_of(*count),
-            value: count_of(usize::try_from(bytes)?),
+            count: to_f64(*count),
+            value: to_f64(usize::try_from(bytes)?),
         });
     }
     Ok(points)
 }
 
-/// Memory of pools of 22 upstreams each, in bytes, against upstreams.
+/// Measures the memory of pools of 22 upstreams each, in bytes, against the total number of
+/// upstreams.
 ///
 /// # Errors
 ///
-/// When memory cannot be read.
+/// Returns an error when resident memory cannot be read.
 pub fn measure_pools(counts: &[usize]) -> Result<Vec<MeasuredPoint>> {
-    points_of(counts, |count| {
+    measure_points(counts, |count| {
         let pools = count.div_ceil(SERVICE_UPSTREAMS);
         (0..pools).map(warm_pool).collect::<Vec<_>>()
     })
@@ -93,13 +94,14 @@
     pool
 }
 
-/// Memory of one node's shares, in bytes, against customers that have used it.
+/// Measures the memory of one node's shares, in bytes, against the number of customers that have
+/// sent a request to the node.
 ///
 /// # Errors
 ///
-/// When memory cannot be read.
+/// Returns an error when resident memory cannot be read.
 pub fn measure_share_customers(counts: &[usize]) -> Result<Vec<MeasuredPoint>> {
-    points_of(counts, share_node)
+    measure_points(counts, share_node)
 }
 
 fn share_node(customers: usize) -> ShareNode {
@@ -133,41 +135,42 @@
     node
 }
 
-/// Memory of one guard seat, in bytes, against remembered keys: three guards are built for each
-/// point and the growth is divided among them.
+/// Measures the memory of one guard seat, in bytes, against the number of remembered keys. Three
+/// guards are built for each point, and the growth is divided by three.
 ///
 /// # Errors
 ///
-/// When memory cannot be read or the guards do not grant.
+/// Returns an error when resident memory cannot be read or the guards do not grant every key.
 pub fn measure_guard_keys(counts: &[usize]) -> Result<Vec<MeasuredPoint>> {
     let mut kept = Vec::new();
     let mut points = Vec::new();
     for count in counts {
-        let (trio, bytes) = grown_by(|| GuardTrio::with_keys(*count))?;
+        let (group, bytes) = measure_growth(|| GuardGroup::with_keys(*count))?;
         ensure!(
-            trio.granted == *count,
+            group.granted == *count,
             "{} of {count} keys granted",
-            trio.granted
+            group.granted
         );
-        kept.push(trio);
-        let seat = count_of(usize::try_from(bytes)?) / f64::from(u32::try_from(GUARDS)?);
+        kept.push(group);
+        let seat = to_f64(usize::try_from(bytes)?) / f64::from(u32::try_from(GUARDS)?);
         points.push(MeasuredPoint {
-            count: count_of(*count),
+            count: to_f64(*count),
             value: seat,
         });
     }
     Ok(points)
 }
 
-/// Three guards that answer each other at once, so that all of them have a seat of every range.
-struct GuardTrio {
+/// Three guards that deliver messages to each other immediately, so that all of them have a seat of
+/// every range.
+struct GuardGroup {
     now: Duration,
     nodes: Vec<GuardNode>,
     inbox: VecDeque<(usize, GuardEvent)>,
     granted: usize,
 }
 
-impl GuardTrio {
+impl GuardGroup {
     fn with_keys(count: usize) -> Self {
         let settings = GuardSettings {
             max_keys: usize::MAX,
@@ -183,20 +186,20 @@
                 GuardNode::new(identity, settings.clone(), number)
             })
             .collect();
-        let mut trio = Self {
+        let mut group = Self {
             now: Duration::ZERO,
             nodes,
             inbox: VecDeque::new(),
             granted: 0,
         };
-        trio.found();
+        group.found_ranges();
         for number in 0..count {
-            trio.remember(number);
+            group.add_key(number);
         }
-        trio
+        group
     }
 
-    fn found(&mut self) {
+    fn found_ranges(&mut self) {
         for node in 0..self.nodes.len() {
             for other in 0..GUARDS {
                 let event = GuardEvent::MemberUp {
@@ -225,8 +228,9 @@
         self.deliver();
     }
 
-    /// One request with its key: admitted, granted by all seats, run, settled.
-    fn remember(&mut self, number: usize) {
+    /// Admits one request with a new key and delivers all resulting messages, including the grant
+    /// and its settlement.
+    fn add_key(&mut self, number: usize) {
         let request = RequestId(number as u128 + 1);
         let wall = GUARD_EPOCH + self.now;
         let time = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX);
@@ -248,12 +252,12 @@
             let mut out = Vec::new();
             self.nodes[node].handle(self.now, event, &mut out);
             for command in out {
-                self.follow(node, command);
+                self.execute_command(node, command);
             }
         }
     }
 
-    fn follow(&mut self, node: usize, command: GuardCommand) {
+    fn execute_command(&mut self, node: usize, command: GuardCommand) {
         match command {
             GuardCommand::Send { to, message } => {
                 let target = usize::try_from(to.node.0).unwrap_or(usize::MAX);
--- a/crates/lab/src/capacity/contracts.rs
+++ b/crates/lab/src/capacity/contracts.rs
@@ -1,4 +1,4 @@
-//! Memory and time of the contract book with its route table.
+//! Memory and processing time of the contract book and its route table.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,41 +10,41 @@
 };
 use sycamorelink_core::{CustomerName, ServiceName};
 
-use super::fit::{MeasuredPoint, count_of};
-use super::memory::grown_by;
+use super::fit::{MeasuredPoint, to_f64};
+use super::memory::measure_growth;
 
-/// Routes of each customer when routes are counted.
+/// Routes per customer when the number of routes is varied.
 const CUSTOMER_ROUTES: usize = 40;
 
-/// Client accounts of each customer when accounts are counted.
+/// Client accounts per customer when the number of accounts is varied.
 const CUSTOMER_ACCOUNTS: usize = 50;
 
-/// Services of the fleet that contracts name.
+/// Number of distinct services that the contracts name.
 const SERVICES: usize = 5_000;
 
-/// Changes whose cost is averaged.
+/// Number of changes over which the time is averaged.
 const CHANGES: usize = 50;
 
 /// Team that owns the contracts.
 const TEAM: &str = "operators";
 
-/// What grows from point to point.
+/// Dimension that varies from point to point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContractDimension {
-    /// Routes, with one account a customer.
+    /// Number of routes, with one account per customer.
     Routes,
-    /// Client accounts, with one route a customer.
+    /// Number of client accounts, with one route per customer.
     Accounts,
 }
 
-/// What was measured at each count.
+/// Measured points of the contract book.
 #[derive(Clone, Debug, Default)]
 pub struct ContractPoints {
-    /// Memory of the book and its table, in bytes.
+    /// Memory of the book and its route table, in bytes.
     pub memory: Vec<MeasuredPoint>,
-    /// Time to read all contracts from the log and build the table, in seconds.
+    /// Time to apply all contracts from the log and build the route table, in seconds.
     pub build: Vec<MeasuredPoint>,
-    /// Time to apply one change while a reader holds the table, in microseconds.
+    /// Time to apply one change while a reader holds the previous route table, in microseconds.
     pub change: Vec<MeasuredPoint>,
 }
 
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// When memory cannot be read or a contract of this measurement is not taken.
+/// Returns an error when resident memory cannot be read or a contract is rejected.
 pub fn measure_contracts(dimension: ContractDimension, counts: &[usize]) -> Result<ContractPoints> {
     let mut kept = Vec::new();
     let mut points = ContractPoints::default();
@@ -61,27 +61,27 @@
             ContractDimension::Routes => count / CUSTOMER_ROUTES,
             ContractDimension::Accounts => count / CUSTOMER_ACCOUNTS,
         };
-        let mut taken = Duration::ZERO;
-        let (book, bytes) = grown_by(|| filled_book(dimension, customers, &mut taken))?;
+        let mut elapsed = Duration::ZERO;
+        let (book, bytes) = measure_growth(|| filled_book(dimension, customers, &mut elapsed))?;
         let mut book = book?;
-        let at = |value| MeasuredPoint {
-            count: count_of(*count),
+        let point = |value| MeasuredPoint {
+            count: to_f64(*count),
             value,
         };
-        points.memory.push(at(count_of(usize::try_from(bytes)?)));
-        points.build.push(at(taken.as_secs_f64()));
+        points.memory.push(point(to_f64(usize::try_from(bytes)?)));
+        points.build.push(point(elapsed.as_secs_f64()));
         let change = change_time(dimension, &mut book, customers)?;
-        points.change.push(at(change.as_secs_f64() * 1e6));
+        points.change.push(point(change.as_secs_f64() * 1e6));
         kept.push(book);
     }
     Ok(points)
 }
 
-/// A book that read one creation for each customer from the log. Only the reading is timed.
+/// Builds a book from one log record per customer. Only applying the records is timed.
 fn filled_book(
     dimension: ContractDimension,
     customers: usize,
-    taken: &mut Duration,
+    elapsed: &mut Duration,
 ) -> Result<ContractBook> {
     let mut book = ContractBook::new();
     for customer in 0..customers {
@@ -93,28 +93,29 @@
         let bytes = change.author("operator", TEAM).build().encode();
         let started = Instant::now();
         let outcome = book.apply(customer as u64, &bytes);
-        *taken += started.elapsed();
-        check(&outcome)?;
+        *elapsed += started.elapsed();
+        ensure_accepted(&outcome)?;
     }
     Ok(book)
 }
 
-fn check(outcome: &ApplyOutcome) -> Result<()> {
+fn ensure_accepted(outcome: &ApplyOutcome) -> Result<()> {
     let accepted = matches!(outcome, ApplyOutcome::Accepted { .. });
     ensure!(
         accepted,
-        "contract of the measurement not taken: {outcome:?}"
+        "contract of the measurement was rejected: {outcome:?}"
     );
     Ok(())
 }
 
-/// Mean time of a change to one customer's contract, with a reader that holds the table before it.
+/// Returns the mean time of a change to one customer's contract while a reader holds the previous
+/// route table.
 fn change_time(
     dimension: ContractDimension,
     book: &mut ContractBook,
     customers: usize,
 ) -> Result<Duration> {
-    let mut taken = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     for number in 0..CHANGES {
         let customer = number * customers / CHANGES;
         let name = customer_name(customer);
@@ -131,15 +132,15 @@
         let started = Instant::now();
         let outcome = book.apply(offset, &bytes);
         let table = book.table();
-        taken += started.elapsed();
-        check(&outcome)?;
+        elapsed += started.elapsed();
+        ensure_accepted(&outcome)?;
         drop(reader);
         let rule = table
             .customers()
             .find(|(_, rule)| rule.customer.as_str() == customer_name(customer).as_str());
         rule.context("the changed customer is not in the table")?;
     }
-    Ok(taken / u32::try_from(CHANGES)?)
+    Ok(elapsed / u32::try_from(CHANGES)?)
 }
 
 fn customer_name(customer: usize) -> CustomerName {
@@ -153,7 +154,8 @@
     }
 }
 
-/// A contract like the users', with as many routes or accounts as the dimension asks for.
+/// Returns a contract derived from the Brannock sample, with as many routes or accounts as the
+/// dimension requires.
 fn sample_contract(dimension: ContractDimension, customer: usize, round: u32) -> CustomerContract {
     let (routes, accounts) = match dimension {
         ContractDimension::Routes => (CUSTOMER_ROUTES, 1),
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,32 +1,32 @@
-//! Straight lines through measured points.
+//! Linear regression through measured points.
 
 use serde::Serialize;
 
 /// One measured point.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct MeasuredPoint {
-    /// Count it was measured at.
+    /// Count at which the value was measured.
     pub count: f64,
-    /// What was measured, in the row's unit.
+    /// Measured value, in the unit of the row.
     pub value: f64,
 }
 
 /// Least-squares line through measured points.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct FittedLine {
-    /// Growth for each further one of the count.
+    /// Growth of the value per unit of the count.
     pub slope: f64,
-    /// Value at a count of zero.
+    /// Value of the line at a count of zero.
     pub intercept: f64,
-    /// Share of the variance that the line explains.
+    /// Coefficient of determination: share of the variance that the line explains.
     pub r2: f64,
 }
 
 impl FittedLine {
-    /// Fits a line; with fewer than two points it is flat.
+    /// Fits a line; it is flat when all points have the same count.
     #[must_use]
     pub fn through(points: &[MeasuredPoint]) -> Self {
-        let size = count_of(points.len());
+        let size = to_f64(points.len());
         let mean_x = points.iter().map(|point| point.count).sum::<f64>() / size;
         let mean_y = points.iter().map(|point| point.value).sum::<f64>() / size;
         let spread: f64 = points
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Value of the line at a count.
+    /// Returns the value of the line at a count.
     #[must_use]
     pub fn at(&self, count: f64) -> f64 {
         self.intercept + self.slope * count
@@ -69,8 +69,9 @@
     }
 }
 
-/// A count as a floating-point number; counts here are far below where that loses digits.
+/// Converts a count to a floating-point number; counts above `u32::MAX` saturate, and none here
+/// comes near that.
 #[must_use]
-pub fn count_of(count: usize) -> f64 {
+pub fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -1,7 +1,7 @@
-//! Many rosters in one process and virtual time, for counting what they send and compute.
+//! Many rosters in one process and virtual time, to measure their traffic and processor time.
 //!
-//! No datagram is lost here and no fault is made beyond restarts and kills: failures are the
-//! matter of the roster's own tests. Delays are seeded, so byte counts are the same every time.
+//! No datagram is lost and no fault is injected except restarts and kills; the roster's own tests
+//! cover failures. Delays are seeded, so byte counts are reproducible.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,30 +16,31 @@
     encoded_size,
 };
 
-use super::names::{SLOTS, address, index_of, member_facts, service_name, upstream_facts};
+use super::node_facts::{SLOTS, address, index_of, member_facts, service_name, upstream_facts};
 
-/// Bytes of IP and UDP headers.
+/// Bytes of the IP and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// Incarnation of the first lives: a wall clock's milliseconds, for their length on the wire.
-const FIRST_LIFE: u64 = 1_790_000_000_000;
+/// Incarnation of the initial processes: a Unix time in milliseconds, so that its encoded length is
+/// realistic.
+const FIRST_INCARNATION: u64 = 1_790_000_000_000;
 
-/// One way between any two nodes: 1.5 ms, give or take a third.
+/// One-way network delay between any two nodes: 1.5 ms, plus or minus a third.
 const DELAY_MICROS: std::ops::Range<u64> = 1_000..2_000;
 
-/// What one node sent.
+/// Traffic sent by one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SentCount {
-    /// With headers of IP and UDP.
+    /// Bytes sent, including IP and UDP headers.
     pub bytes: usize,
-    /// Datagrams.
+    /// Number of datagrams sent.
     pub datagrams: usize,
 }
 
-/// What a node reported that a watch waits for.
+/// Update whose propagation an [`UpdateWatch`] measures.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WatchedNews {
-    /// A topic's version.
+pub enum WatchedUpdate {
+    /// A version of a topic, as topic number and version.
     Topic(u8, u64),
     /// An upstream of this node is leaving.
     Leaving(NodeId),
@@ -47,14 +48,14 @@
     Down(NodeId),
 }
 
-/// Waits until every node has reported something.
+/// Propagation of one update to all nodes.
 #[derive(Debug)]
-pub struct NewsWatch {
-    /// What it waits for.
-    pub news: WatchedNews,
+pub struct UpdateWatch {
+    /// Update that the nodes are expected to report.
+    pub update: WatchedUpdate,
     since: Duration,
     seen: Vec<bool>,
-    /// Time after which each node reported it.
+    /// Time from the update until each node reported it.
     pub times: Vec<Duration>,
 }
 
@@ -73,27 +74,28 @@
 }
 
 enum FleetEvent {
-    /// Only the latest one set for a node counts.
+    /// Timer of a node; only the timer with the latest number takes effect.
     Wake(usize, u64),
     Deliver(usize, SocketAddr, RosterMessage),
 }
 
-/// The rosters and the datagrams between them.
+/// Fleet of rosters and the datagrams in flight between them.
 pub struct RosterFleet {
     now: Duration,
     nodes: Vec<FleetNode>,
     upstreams: u16,
     queue: BTreeMap<(Duration, u64), FleetEvent>,
-    order: u64,
+    sequence: u64,
     rng: SmallRng,
     handle_time: Duration,
-    watches: Vec<NewsWatch>,
+    watches: Vec<UpdateWatch>,
     indices: BTreeMap<NodeId, usize>,
     false_removals: usize,
 }
 
 impl RosterFleet {
-    /// Starts a fleet that already knows itself, with this many upstreams a node.
+    /// Starts a fleet in which every node already knows all members, with this many upstreams per
+    /// node.
     #[must_use]
     pub fn start(count: usize, upstreams: u16, seed: u64) -> Self {
         let mut fleet = Self {
@@ -101,7 +103,7 @@
             nodes: Vec::new(),
             upstreams,
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             rng: SmallRng::seed_from_u64(seed),
             handle_time: Duration::ZERO,
             watches: Vec::new(),
@@ -109,73 +111,73 @@
             false_removals: 0,
         };
         for index in 0..count {
-            let facts = member_facts(index, FIRST_LIFE);
+            let facts = member_facts(index, FIRST_INCARNATION);
             fleet.indices.insert(facts.instance.node, index);
             let node = fleet.new_node(facts);
             fleet.nodes.push(node);
         }
-        let whole = fleet.whole_state();
+        let full_state = fleet.full_state();
         for index in 0..count {
             fleet.announce(index, UpstreamPhase::Ready);
             fleet.handle(index, RosterEvent::Seeds(Vec::new()));
             let event = RosterEvent::Datagram {
                 from: address(0),
-                message: whole.clone(),
+                message: full_state.clone(),
             };
             fleet.handle(index, event);
         }
         fleet
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes, running or not.
     #[must_use]
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there are no nodes.
+    /// Returns whether the fleet has no nodes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Virtual time since the start.
+    /// Returns the virtual time since the start.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Time spent in the rosters' decisions since the last reset.
+    /// Returns the real time spent in the rosters' event handlers since the last reset.
     #[must_use]
     pub fn handle_time(&self) -> Duration {
         self.handle_time
     }
 
-    /// What each node sent since the last reset.
+    /// Returns the traffic sent by each node since the last reset.
     pub fn sent(&self) -> impl Iterator<Item = SentCount> {
         self.nodes.iter().map(|node| node.sent)
     }
 
-    /// Nodes that run.
+    /// Returns the number of running nodes.
     #[must_use]
     pub fn running(&self) -> usize {
         self.nodes.iter().filter(|node| node.running).count()
     }
 
-    /// Nodes that run and have not reported what a watch waits for.
+    /// Returns the number of running nodes that have not reported the watched update.
     #[must_use]
-    pub fn unaware(&self, watch: &NewsWatch) -> usize {
+    pub fn unreported_nodes(&self, watch: &UpdateWatch) -> usize {
         let nodes = self.nodes.iter().zip(&watch.seen);
         nodes.filter(|(node, seen)| node.running && !**seen).count()
     }
 
-    /// Removals, by any roster, of a life that ran at that moment.
+    /// Returns how often any roster removed a node whose process was running.
     #[must_use]
     pub fn false_removals(&self) -> usize {
         self.false_removals
     }
 
-    /// Starts counting anew.
+    /// Resets the traffic and time counters.
     pub fn reset_counts(&mut self) {
         self.handle_time = Duration::ZERO;
         for node in &mut self.nodes {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Runs on for a while.
+    /// Advances the simulation by `time`.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(entry) = self.queue.first_entry() {
@@ -193,14 +195,14 @@
             }
             let event = entry.remove();
             self.now = at;
-            self.take(event);
+            self.process_event(event);
         }
         self.now = end;
     }
 
-    /// A node publishes a topic's version; every other node is watched for it.
+    /// Publishes a version of a topic at one node and watches its propagation to all others.
     pub fn publish(&mut self, index: usize, topic: u8, version: u64) {
-        self.watch(WatchedNews::Topic(topic, version), index);
+        self.watch(WatchedUpdate::Topic(topic, version), index);
         let event = RosterEvent::Publish {
             topic,
             key: 1,
@@ -210,36 +212,37 @@
         self.handle(index, event);
     }
 
-    /// A node's first upstream leaves; every other node is watched for it.
+    /// Marks a node's first upstream as leaving and watches the propagation to all others.
     pub fn leave_upstream(&mut self, index: usize) {
         let node = self.nodes[index].facts.instance.node;
-        self.watch(WatchedNews::Leaving(node), index);
+        self.watch(WatchedUpdate::Leaving(node), index);
         let facts = upstream_facts(index, UpstreamPhase::Leaving);
         self.handle(index, RosterEvent::UpstreamSet { slot: 0, facts });
     }
 
-    /// A node begins to drain.
+    /// Starts to drain a node.
     pub fn drain(&mut self, index: usize) {
         self.handle(index, RosterEvent::Leave);
     }
 
-    /// A drained node stops.
+    /// Stops a drained node.
     pub fn depart(&mut self, index: usize) {
         self.handle(index, RosterEvent::Depart);
         self.nodes[index].running = false;
     }
 
-    /// A node dies; every other node is watched for it.
+    /// Kills a node and watches the propagation of its death to all others.
     pub fn kill(&mut self, index: usize) {
         let node = self.nodes[index].facts.instance.node;
-        self.watch(WatchedNews::Down(node), index);
+        self.watch(WatchedUpdate::Down(node), index);
         self.nodes[index].running = false;
     }
 
-    /// A node starts again in a new life, its upstreams cold, knowing only two seeds.
+    /// Restarts a node with a new incarnation and cold upstreams; it initially knows two seed
+    /// addresses.
     pub fn restart(&mut self, index: usize) {
-        let life = self.nodes[index].facts.instance.incarnation.0;
-        let facts = member_facts(index, life + 60_000);
+        let incarnation = self.nodes[index].facts.instance.incarnation.0;
+        let facts = member_facts(index, incarnation + 60_000);
         let FleetNode { sent, wake, .. } = self.nodes[index];
         self.nodes[index] = self.new_node(facts);
         self.nodes[index].sent = sent;
@@ -251,26 +254,26 @@
         self.announce(index, UpstreamPhase::Starting);
     }
 
-    /// One upstream of a node has warmed up.
+    /// Marks one upstream of a node as ready.
     pub fn warm_up(&mut self, index: usize, slot: u16) {
         let facts = upstream_facts(index, UpstreamPhase::Ready);
         self.handle(index, RosterEvent::UpstreamSet { slot, facts });
     }
 
-    /// Upstreams of each node.
+    /// Returns the number of upstreams per node.
     #[must_use]
     pub fn upstreams(&self) -> u16 {
         self.upstreams
     }
 
-    /// Whether a node runs.
+    /// Returns whether a node is running.
     #[must_use]
     pub fn is_running(&self, index: usize) -> bool {
         self.nodes[index].running
     }
 
-    /// Draws a node that runs.
-    pub fn draw(&mut self) -> usize {
+    /// Returns a random running node.
+    pub fn pick_running(&mut self) -> usize {
         loop {
             let index = self.rng.random_range(0..self.nodes.len());
             if self.nodes[index].running {
@@ -279,12 +282,13 @@
         }
     }
 
-    /// Watches so far; each holds the times of the nodes that reported.
-    pub fn take_watches(&mut self) -> Vec<NewsWatch> {
+    /// Removes and returns all watches.
+    pub fn take_watches(&mut self) -> Vec<UpdateWatch> {
         std::mem::take(&mut self.watches)
     }
 
-    /// Nodes whose roster has another number of members than run.
+    /// Returns the number of running nodes whose member count differs from the number of running
+    /// nodes.
     #[must_use]
     pub fn wrong_rosters(&self) -> usize {
         let running = self.running();
@@ -295,11 +299,11 @@
             .count()
     }
 
-    fn watch(&mut self, news: WatchedNews, except: usize) {
+    fn watch(&mut self, update: WatchedUpdate, except: usize) {
         let mut seen = vec![false; self.nodes.len()];
         seen[except] = true;
-        self.watches.push(NewsWatch {
-            news,
+        self.watches.push(UpdateWatch {
+            update,
             since: self.now,
             seen,
             times: Vec::new(),
@@ -324,8 +328,8 @@
         }
     }
 
-    /// The state of all members, as one message larger than any datagram.
-    fn whole_state(&self) -> RosterMessage {
+    /// Returns the state of all members as one message, which is larger than any datagram.
+    fn full_state(&self) -> RosterMessage {
         let mut rumours = Vec::new();
         for (index, node) in self.nodes.iter().enumerate() {
             rumours.push(MemberRumour::Member {
@@ -365,25 +369,25 @@
                 other => self.check_watches(index, &other),
             }
         }
-        self.wake(index);
+        self.schedule_tick(index);
     }
 
     fn check_watches(&mut self, index: usize, command: &RosterCommand) {
-        let news = match command {
-            RosterCommand::Rumour { topic, version, .. } => WatchedNews::Topic(*topic, *version),
+        let update = match command {
+            RosterCommand::Rumour { topic, version, .. } => WatchedUpdate::Topic(*topic, *version),
             RosterCommand::UpstreamChanged { id, facts }
                 if facts.phase == UpstreamPhase::Leaving =>
             {
-                WatchedNews::Leaving(id.node)
+                WatchedUpdate::Leaving(id.node)
             }
             RosterCommand::MemberDown { instance, cause } => {
                 self.check_removal(*instance, *cause);
-                WatchedNews::Down(instance.node)
+                WatchedUpdate::Down(instance.node)
             }
             _ => return,
         };
         for watch in &mut self.watches {
-            if watch.news == news && !watch.seen[index] {
+            if watch.update == update && !watch.seen[index] {
                 watch.seen[index] = true;
                 watch.times.push(self.now.saturating_sub(watch.since));
             }
@@ -395,8 +399,8 @@
             return;
         };
         let node = &self.nodes[*index];
-        let lives = node.running && node.facts.instance == instance;
-        if lives && cause == DownCause::Dead {
+        let was_running = node.running && node.facts.instance == instance;
+        if was_running && cause == DownCause::Dead {
             self.false_removals += 1;
         }
     }
@@ -413,7 +417,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    fn take(&mut self, event: FleetEvent) {
+    fn process_event(&mut self, event: FleetEvent) {
         match event {
             FleetEvent::Wake(index, number) => {
                 let node = &self.nodes[index];
@@ -429,13 +433,13 @@
         }
     }
 
-    /// Sets the node's timer when it is due earlier than it is set for.
-    fn wake(&mut self, index: usize) {
+    /// Schedules the node's next tick unless an earlier one is already scheduled.
+    fn schedule_tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let soonest = self.now + Duration::from_millis(1);
-        let at = node.roster.next_wake().max(soonest);
-        let waits = node.wake.at > self.now;
-        if waits && node.wake.at <= at {
+        let earliest = self.now + Duration::from_millis(1);
+        let at = node.roster.next_wake().max(earliest);
+        let is_scheduled = node.wake.at > self.now;
+        if is_scheduled && node.wake.at <= at {
             return;
         }
         node.wake.at = at;
@@ -445,7 +449,7 @@
     }
 
     fn schedule(&mut self, at: Duration, event: FleetEvent) {
-        self.order += 1;
-        self.queue.insert((at, self.order), event);
+        self.sequence += 1;
+        self.queue.insert((at, self.sequence), event);
     }
 }
--- a/crates/lab/src/capacity/gossip.rs
+++ b/crates/lab/src/capacity/gossip.rs
@@ -1,4 +1,4 @@
-//! What gossip costs each node, and how long news takes, against the number of nodes.
+//! Cost of gossip per node and propagation time of updates as functions of the number of nodes.
 
 use std::time::Duration;
 
@@ -8,104 +8,105 @@
 use sycamorelink_roster::topic::CONTRACT_HEAD;
 
 use super::churn::{CHURN_STEP, DailyChurn, REPAIR_TIME};
-use super::fit::count_of;
-use super::fleet::{NewsWatch, RosterFleet};
+use super::fit::to_f64;
+use super::fleet::{RosterFleet, UpdateWatch};
 
-/// Time that a started fleet gets before anything is counted.
+/// Time for a started fleet to settle before anything is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(15);
 
-/// Time from a node's death to its next life.
-const DEATH_GAP: Duration = Duration::from_secs(15);
+/// Time from a node's death to its restart.
+const RESTART_DELAY: Duration = Duration::from_secs(15);
 
-/// Time between the news whose spreading is measured.
-const NEWS_GAP: Duration = Duration::from_secs(4);
+/// Time between two updates whose propagation is measured.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// How long each part of the measurement runs, in virtual time.
+/// Size and duration of one gossip measurement, in virtual time.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipPlan {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams of each node.
+    /// Upstreams per node.
     pub upstreams: u16,
-    /// Size of the fleet whose number of restarts, failures and contract changes happens.
+    /// Fleet size whose rate of restarts, failures and contract changes is applied.
     pub rate_nodes: usize,
-    /// Time without any change.
+    /// Duration of the measurement without changes.
     pub idle: Duration,
-    /// Time with the daily churn.
+    /// Duration of the measurement with the daily churn.
     pub churn: Duration,
-    /// Contract heads, leaving upstreams and deaths, of each, whose spreading is measured.
-    pub news: usize,
+    /// Number of updates of each kind (contract heads, leaving upstreams, deaths) whose propagation
+    /// is measured.
+    pub updates: usize,
 }
 
-/// What was measured at one size.
+/// Results at one fleet size.
 #[derive(Clone, Debug, Serialize)]
 pub struct GossipRow {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams of each node.
+    /// Upstreams per node.
     pub upstreams: u16,
-    /// Size of the fleet whose number of events happened.
+    /// Fleet size whose rate of events was applied.
     pub rate_nodes: usize,
-    /// With nothing happening.
+    /// Cost without changes.
     pub idle: TrafficCost,
-    /// With the daily restarts, failures and contract changes.
+    /// Cost with the daily restarts, failures and contract changes.
     pub churn: TrafficCost,
-    /// Restarts in the time with churn.
+    /// Restarts during the churn measurement.
     pub restarts: usize,
-    /// Deaths in the time with churn.
+    /// Deaths during the churn measurement.
     pub deaths: usize,
-    /// Contract heads to every node.
+    /// Propagation of contract heads.
     pub head: SpreadTimes,
-    /// Leaving upstreams to every node.
+    /// Propagation of leaving upstreams.
     pub leave: SpreadTimes,
-    /// Deaths to every node, detection included.
+    /// Propagation of deaths, including their detection.
     pub death: SpreadTimes,
-    /// Removals of a life that ran.
+    /// Removals of nodes whose process was running.
     pub false_removals: usize,
-    /// Rosters with a wrong number of members at the end.
+    /// Rosters whose member count was wrong at the end.
     pub wrong_rosters: usize,
 }
 
-/// Cost of each node.
+/// Cost of gossip per node.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TrafficCost {
-    /// Bytes sent a second with headers of IP and UDP, mean over the nodes.
+    /// Bytes sent per second, including IP and UDP headers, mean over the nodes.
     pub bytes_mean: f64,
-    /// The same of the node that sent most.
+    /// Bytes sent per second by the node that sent the most.
     pub bytes_max: f64,
-    /// Datagrams sent a second, mean over the nodes.
+    /// Datagrams sent per second, mean over the nodes.
     pub datagrams: f64,
-    /// Processor time of the decisions, in percent of a core, mean over the nodes.
+    /// Real time spent in the roster's event handlers, in percent of a core, mean over the nodes.
     pub core_percent: f64,
 }
 
-/// Times until nodes know, over all nodes and all news.
+/// Propagation times over all nodes and all updates of one kind.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct SpreadTimes {
-    /// Half of the nodes, in milliseconds.
+    /// Time until half of the nodes had the update, in milliseconds.
     pub p50: f64,
-    /// 99 of 100 nodes, in milliseconds.
+    /// Time until 99% of the nodes had the update, in milliseconds.
     pub p99: f64,
-    /// The last node, in milliseconds.
+    /// Time until the last node had the update, in milliseconds.
     pub last: f64,
-    /// News measured.
+    /// Number of updates measured.
     pub news: usize,
-    /// Nodes that never came to know.
+    /// Number of times a running node did not receive an update.
     pub missed: usize,
 }
 
-/// Measures one size.
+/// Measures gossip at one fleet size.
 ///
 /// # Errors
 ///
-/// When the histogram cannot be made.
+/// Returns an error when a histogram cannot be created or a time does not fit into it.
 pub fn measure_gossip(plan: GossipPlan) -> Result<GossipRow> {
     let mut fleet = RosterFleet::start(plan.nodes, plan.upstreams, plan.nodes as u64);
     fleet.run_for(SETTLE_TIME);
     let idle = measure(&mut fleet, plan.idle, |_| {});
-    let head = measure_heads(&mut fleet, plan.news)?;
-    let leave = measure_leaves(&mut fleet, plan.news)?;
-    let death = measure_deaths(&mut fleet, plan.news)?;
+    let head = measure_heads(&mut fleet, plan.updates)?;
+    let leave = measure_leaves(&mut fleet, plan.updates)?;
+    let death = measure_deaths(&mut fleet, plan.updates)?;
     let mut churn = DailyChurn::plan(&mut fleet, plan.churn, plan.rate_nodes);
     let cost = measure(&mut fleet, plan.churn, |fleet| churn.step(fleet));
     fleet.run_for(REPAIR_TIME);
@@ -128,7 +129,7 @@
     })
 }
 
-/// Runs the fleet and divides what it did by nodes and time.
+/// Runs the fleet for `time`, calls `step` regularly and returns the mean cost per node.
 fn measure<F>(fleet: &mut RosterFleet, time: Duration, mut step: F) -> TrafficCost
 where
     F: FnMut(&mut RosterFleet),
@@ -139,10 +140,10 @@
         step(fleet);
         fleet.run_for(CHURN_STEP);
     }
-    let nodes = count_of(fleet.len());
+    let nodes = to_f64(fleet.len());
     let seconds = time.as_secs_f64();
-    let bytes: Vec<f64> = fleet.sent().map(|sent| count_of(sent.bytes)).collect();
-    let datagrams: f64 = fleet.sent().map(|sent| count_of(sent.datagrams)).sum();
+    let bytes: Vec<f64> = fleet.sent().map(|sent| to_f64(sent.bytes)).collect();
+    let datagrams: f64 = fleet.sent().map(|sent| to_f64(sent.datagrams)).sum();
     TrafficCost {
         bytes_mean: bytes.iter().sum::<f64>() / nodes / seconds,
         bytes_max: bytes.iter().copied().fold(0.0, f64::max) / seconds,
@@ -151,51 +152,51 @@
     }
 }
 
-fn measure_heads(fleet: &mut RosterFleet, news: usize) -> Result<SpreadTimes> {
-    for version in 1..=news {
-        let index = fleet.draw();
+fn measure_heads(fleet: &mut RosterFleet, updates: usize) -> Result<SpreadTimes> {
+    for version in 1..=updates {
+        let index = fleet.pick_running();
         fleet.publish(index, CONTRACT_HEAD, version as u64);
-        fleet.run_for(NEWS_GAP);
+        fleet.run_for(UPDATE_INTERVAL);
     }
     let watches = fleet.take_watches();
-    times_of(fleet, &watches)
+    spread_times(fleet, &watches)
 }
 
-fn measure_leaves(fleet: &mut RosterFleet, news: usize) -> Result<SpreadTimes> {
+fn measure_leaves(fleet: &mut RosterFleet, updates: usize) -> Result<SpreadTimes> {
     let mut left = Vec::new();
-    for _ in 0..news {
-        let index = fleet.draw();
+    for _ in 0..updates {
+        let index = fleet.pick_running();
         if !left.contains(&index) {
             fleet.leave_upstream(index);
             left.push(index);
         }
-        fleet.run_for(NEWS_GAP);
+        fleet.run_for(UPDATE_INTERVAL);
     }
     let watches = fleet.take_watches();
     for index in left {
         fleet.warm_up(index, 0);
     }
     fleet.run_for(SETTLE_TIME);
-    times_of(fleet, &watches)
+    spread_times(fleet, &watches)
 }
 
-fn measure_deaths(fleet: &mut RosterFleet, news: usize) -> Result<SpreadTimes> {
-    for _ in 0..news {
-        let index = fleet.draw();
+fn measure_deaths(fleet: &mut RosterFleet, updates: usize) -> Result<SpreadTimes> {
+    for _ in 0..updates {
+        let index = fleet.pick_running();
         fleet.kill(index);
-        fleet.run_for(DEATH_GAP);
+        fleet.run_for(RESTART_DELAY);
         fleet.restart(index);
         fleet.run_for(SETTLE_TIME);
     }
     let watches = fleet.take_watches();
-    times_of(fleet, &watches)
+    spread_times(fleet, &watches)
 }
 
-pub(super) fn times_of(fleet: &RosterFleet, watches: &[NewsWatch]) -> Result<SpreadTimes> {
+pub(super) fn spread_times(fleet: &RosterFleet, watches: &[UpdateWatch]) -> Result<SpreadTimes> {
     let mut histogram = Histogram::<u64>::new(3)?;
     let mut missed = 0;
     for watch in watches {
-        missed += fleet.unaware(watch);
+        missed += fleet.unreported_nodes(watch);
         for time in &watch.times {
             histogram.record(u64::try_from(time.as_micros())?)?;
         }
--- a/crates/lab/src/capacity/memory.rs
+++ b/crates/lab/src/capacity/memory.rs
@@ -1,4 +1,4 @@
-//! Resident memory and processor time of this process, as the kernel counts them.
+//! Resident memory and processor time of this process, as reported by the kernel.
 
 use std::fs;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 /// Bytes of one kibibyte.
 const KIB: u64 = 1_024;
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes.
 ///
 /// # Errors
 ///
-/// When the kernel's status file cannot be read.
+/// Returns an error when the kernel's status file cannot be read.
 pub fn resident_bytes() -> Result<u64> {
     let status = fs::read_to_string("/proc/self/status").context("reading memory status")?;
     let kib = status
@@ -24,11 +24,11 @@
     Ok(kib * KIB)
 }
 
-/// Processor time that this thread has used.
+/// Returns the processor time that this thread has used.
 ///
 /// # Errors
 ///
-/// When the kernel's scheduling statistics cannot be read.
+/// Returns an error when the kernel's scheduling statistics cannot be read.
 pub fn thread_time() -> Result<Duration> {
     let text = fs::read_to_string("/proc/thread-self/schedstat").context("reading schedstat")?;
     let nanos = text
@@ -39,22 +39,23 @@
     Ok(Duration::from_nanos(nanos))
 }
 
-/// Sizes of the blocks that fill freed memory, in bytes, greatest first.
+/// Sizes of the blocks that fill freed memory, in bytes, largest first.
 const FILL_SIZES: [usize; 4] = [4_096, 512, 96, 24];
 
-/// Growth of resident memory that shows that blocks of a size come from fresh memory, in bytes.
+/// Growth of resident memory, in bytes, which indicates that the allocator serves blocks of a size
+/// from fresh memory.
 const FILL_GROWTH: u64 = 512 * KIB;
 
-/// Blocks taken between two looks at resident memory.
+/// Blocks allocated between two readings of resident memory.
 const FILL_BLOCKS: usize = 64;
 
-/// Takes up the memory that earlier work freed, so that what is built next grows the process.
-/// What it returns must be kept until that is built.
+/// Allocates blocks until previously freed memory is used up, so that later allocations grow the
+/// process. The caller keeps the returned blocks until those allocations are done.
 ///
 /// # Errors
 ///
-/// As of [`resident_bytes`].
-fn fill_freed() -> Result<Vec<Vec<u8>>> {
+/// Returns the errors of [`resident_bytes`].
+fn fill_freed_memory() -> Result<Vec<Vec<u8>>> {
     let mut blocks = Vec::new();
     for size in FILL_SIZES {
         let start = resident_bytes()?;
@@ -65,22 +66,22 @@
     Ok(blocks)
 }
 
-/// Builds something and says by how many bytes resident memory grew.
+/// Calls `build` and returns its result with the growth of resident memory in bytes.
 ///
-/// Memory that earlier work freed is taken up first, and the caller keeps what was built until all
-/// points are measured. What the building itself frees counts, so the figure is an upper bound.
+/// Previously freed memory is filled first, and the caller keeps the result until all points are
+/// measured. Memory that `build` itself frees is included, so the figure is an upper bound.
 ///
 /// # Errors
 ///
-/// As of [`resident_bytes`].
-pub fn grown_by<T, F>(build: F) -> Result<(T, u64)>
+/// Returns the errors of [`resident_bytes`].
+pub fn measure_growth<T, F>(build: F) -> Result<(T, u64)>
 where
     F: FnOnce() -> T,
 {
-    let filling = fill_freed()?;
+    let filler = fill_freed_memory()?;
     let before = resident_bytes()?;
     let state = build();
     let after = resident_bytes()?;
-    drop(filling);
+    drop(filler);
     Ok((state, after.saturating_sub(before)))
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,20 +1,20 @@
-//! Slopes for the capacity page: state, messages and time against counts.
+//! Capacity measurements: memory, traffic and processor time of a node as functions of fleet size.
 //!
 //! ```text
-//! CapacityPlan -> roster, contracts, parts: memory of one node's state, one point after another
-//!              -> gossip over fleet, with churn: many rosters in virtual time
-//!              -> CapacityReport: fitted lines, values at the two-year size, budgets
+//! CapacityPlan -> roster, contracts, components: memory of one node's state, point by point
+//!              -> gossip and mass_events over fleet, with churn: many rosters in virtual time
+//!              -> CapacityReport: fitted lines, values at the target scale, budgets
 //! ```
 
 pub mod churn;
+pub mod components;
 pub mod contracts;
 pub mod fit;
 pub mod fleet;
 pub mod gossip;
-pub mod mass;
+pub mod mass_events;
 pub mod memory;
-pub mod names;
-pub mod parts;
+pub mod node_facts;
 pub mod plan;
 pub mod report;
 pub mod roster;
--- a/crates/lab/src/capacity/names.rs
+++ b/crates/lab/src/capacity/node_facts.rs
@@ -1,17 +1,17 @@
-//! Names, addresses and upstreams of the lab's nodes, as in practice.
+//! Realistic names, addresses and upstreams of the simulated nodes.
 
 use std::net::SocketAddr;
 
 use sycamorelink_core::{DomainName, InstanceId, NodeId, NodeIncarnation, ServiceName};
 use sycamorelink_roster::{MemberFacts, UpstreamFacts, UpstreamPhase};
 
-/// Failure domains of the fleet.
+/// Number of failure domains of the fleet.
 pub const DOMAINS: usize = 7;
 
-/// Services of the fleet's upstreams; each node fronts one of them.
+/// Number of services in the fleet; each node serves one of them.
 const SERVICES: usize = 200;
 
-/// Requests that each upstream runs at the same time.
+/// Requests that each upstream runs concurrently.
 pub(super) const SLOTS: u16 = 5;
 
 pub(super) fn address(index: usize) -> SocketAddr {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Facts of a node as instances are named in practice.
+/// Returns the facts of a node, with names as long as those of real instances.
 pub(super) fn member_facts(index: usize, incarnation: u64) -> MemberFacts {
     let name = format!("instance-{index:06}");
     MemberFacts {
--- a/crates/lab/src/capacity/plan.rs
+++ b/crates/lab/src/capacity/plan.rs
@@ -1,72 +1,73 @@
-//! Which counts are measured, and the measurement in its order.
+//! Counts to measure, and the order of the measurements.
 
 use std::time::Duration;
 
 use anyhow::Result;
 
+use super::components::{measure_guard_keys, measure_pools, measure_share_customers};
 use super::contracts::{ContractDimension, ContractPoints, measure_contracts};
 use super::gossip::{GossipPlan, measure_gossip};
-use super::mass::measure_mass;
-use super::parts::{measure_guard_keys, measure_pools, measure_share_customers};
+use super::mass_events::measure_mass;
 use super::report::{CapacityReport, CapacityRow, MEGABYTE, MEMORY_BUDGET, RowName};
 use super::roster::measure_roster_memory;
 
-/// Upstreams at the two-year size.
-const FULL_UPSTREAMS: f64 = 110_000.0;
+/// Number of upstreams at the target scale.
+const TARGET_UPSTREAMS: f64 = 110_000.0;
 
-/// Routes at the two-year size.
-const FULL_ROUTES: f64 = 200_000.0;
+/// Number of routes at the target scale.
+const TARGET_ROUTES: f64 = 200_000.0;
 
-/// Client accounts at the two-year size.
-const FULL_ACCOUNTS: f64 = 250_000.0;
+/// Number of client accounts at the target scale.
+const TARGET_ACCOUNTS: f64 = 250_000.0;
 
-/// Keys that a guard remembers at most by its default settings.
-const FULL_KEYS: f64 = 60_000.0;
+/// Maximum number of keys that a guard remembers with its default settings.
+const TARGET_KEYS: f64 = 60_000.0;
 
-/// Customers with requests at one node, of 5,000 with 40 routes each.
-const NODE_CUSTOMERS: f64 = 5_000.0;
+/// Customers with requests at one node at the target scale: all 5,000, with 40 routes each.
+const TARGET_CUSTOMERS: f64 = 5_000.0;
 
-/// Nodes at the two-year size.
-const FULL_NODES: usize = 2_300;
+/// Number of nodes at the target scale.
+const TARGET_NODES: usize = 2_300;
 
-/// Upstreams of each node while nodes are counted: with all 48 the rosters of 2,300 nodes would
-/// not fit the memory of one machine.
+/// Upstreams per node while the number of nodes is varied. With all 48, the rosters of 2,300 nodes
+/// would not fit into the memory of one machine.
 const SWEEP_UPSTREAMS: u16 = 8;
 
-/// Nodes while upstreams of each are counted.
+/// Number of nodes while the number of upstreams per node is varied.
 const UPSTREAM_SWEEP_NODES: usize = 300;
 
-/// Counts and times of one measurement.
+/// Counts and durations of one complete measurement.
 #[derive(Clone, Debug)]
 pub struct CapacityPlan {
-    /// Upstreams of one roster.
+    /// Numbers of upstreams in one roster.
     pub upstreams: Vec<usize>,
-    /// Routes of one book.
+    /// Numbers of routes in one contract book.
     pub routes: Vec<usize>,
-    /// Client accounts of one book.
+    /// Numbers of client accounts in one contract book.
     pub accounts: Vec<usize>,
-    /// Upstreams in one node's pools.
+    /// Numbers of upstreams in the pools of one node.
     pub pools: Vec<usize>,
-    /// Customers with requests at one node.
+    /// Numbers of customers with requests at one node.
     pub customers: Vec<usize>,
-    /// Keys of one guard.
+    /// Numbers of keys that one guard remembers.
     pub keys: Vec<usize>,
-    /// Nodes of the gossiping fleet.
+    /// Numbers of nodes in the gossip fleet.
     pub nodes: Vec<usize>,
-    /// Upstreams of each node of the gossiping fleet.
+    /// Numbers of upstreams per node in the gossip fleet.
     pub node_upstreams: Vec<u16>,
-    /// Nodes of the fleets that lose or restart many at once.
+    /// Numbers of nodes in the fleets that lose or restart many nodes at once.
     pub mass_nodes: Vec<usize>,
-    /// Virtual time without change.
+    /// Virtual time of the gossip measurement without changes.
     pub idle: Duration,
-    /// Virtual time with the daily churn.
+    /// Virtual time of the gossip measurement with the daily churn.
     pub churn: Duration,
-    /// News of each kind.
-    pub news: usize,
+    /// Number of updates of each kind whose propagation is measured.
+    pub updates: usize,
 }
 
 impl CapacityPlan {
-    /// Up to the two-year size; some minutes, and some gigabytes for 2,300 rosters.
+    /// Returns the plan up to the target scale. It takes some minutes, and some gigabytes for 2,300
+    /// rosters.
     #[must_use]
     pub fn full() -> Self {
         Self {
@@ -81,11 +82,11 @@
             mass_nodes: vec![30, 100, 300],
             idle: Duration::from_secs(30),
             churn: Duration::from_mins(2),
-            news: 5,
+            updates: 5,
         }
     }
 
-    /// Small counts, for a look in seconds.
+    /// Returns a plan with small counts that takes seconds.
     #[must_use]
     pub fn quick() -> Self {
         Self {
@@ -100,15 +101,15 @@
             mass_nodes: vec![100],
             idle: Duration::from_secs(10),
             churn: Duration::from_secs(20),
-            news: 2,
+            updates: 2,
         }
     }
 
-    /// Measures everything.
+    /// Runs all measurements.
     ///
     /// # Errors
     ///
-    /// When memory cannot be read or a part does not take what it is given.
+    /// Returns an error when resident memory cannot be read or a component rejects its input.
     pub fn run(&self) -> Result<CapacityReport> {
         let mut report = CapacityReport {
             rows: Vec::new(),
@@ -123,7 +124,7 @@
         }
         let sweep = UPSTREAM_SWEEP_NODES.min(self.nodes.last().copied().unwrap_or_default());
         for upstreams in &self.node_upstreams {
-            let plan = self.gossip_plan(sweep, *upstreams, FULL_NODES);
+            let plan = self.gossip_plan(sweep, *upstreams, TARGET_NODES);
             report.upstreams.push(measure_gossip(plan)?);
         }
         for nodes in &self.mass_nodes {
@@ -140,32 +141,32 @@
             rate_nodes,
             idle: self.idle,
             churn: self.churn,
-            news: self.news,
+            updates: self.updates,
         }
     }
 
     fn measure_memory(&self, report: &mut CapacityReport) -> Result<()> {
         let points = measure_roster_memory(&self.upstreams)?;
-        let name = memory("roster memory", "upstreams");
-        push_memory(report, CapacityRow::new(name, points, FULL_UPSTREAMS));
+        let name = memory_row_name("roster memory", "upstreams");
+        push_memory(report, CapacityRow::new(name, points, TARGET_UPSTREAMS));
         let points = measure_contracts(ContractDimension::Routes, &self.routes)?;
-        push_contracts(report, &ROUTE_ROWS, points, FULL_ROUTES);
+        push_contracts(report, &ROUTE_ROW_NAMES, points, TARGET_ROUTES);
         let points = measure_contracts(ContractDimension::Accounts, &self.accounts)?;
-        push_contracts(report, &ACCOUNT_ROWS, points, FULL_ACCOUNTS);
+        push_contracts(report, &ACCOUNT_ROW_NAMES, points, TARGET_ACCOUNTS);
         let points = measure_pools(&self.pools)?;
-        let name = memory("pools memory, all services", "upstreams");
-        push_memory(report, CapacityRow::new(name, points, FULL_UPSTREAMS));
+        let name = memory_row_name("pools memory, all services", "upstreams");
+        push_memory(report, CapacityRow::new(name, points, TARGET_UPSTREAMS));
         let points = measure_share_customers(&self.customers)?;
-        let name = memory("shares memory, used customers", "customers");
-        push_memory(report, CapacityRow::new(name, points, NODE_CUSTOMERS));
+        let name = memory_row_name("shares memory, used customers", "customers");
+        push_memory(report, CapacityRow::new(name, points, TARGET_CUSTOMERS));
         let points = measure_guard_keys(&self.keys)?;
-        let name = memory("guard memory, no replies kept", "keys");
-        push_memory(report, CapacityRow::new(name, points, FULL_KEYS));
+        let name = memory_row_name("guard memory, no replies kept", "keys");
+        push_memory(report, CapacityRow::new(name, points, TARGET_KEYS));
         Ok(())
     }
 }
 
-const fn memory(what: &'static str, counted: &'static str) -> RowName {
+const fn memory_row_name(what: &'static str, counted: &'static str) -> RowName {
     RowName {
         what,
         unit: "MB",
@@ -178,28 +179,28 @@
     report.rows.push(row);
 }
 
-const ROUTE_ROWS: [RowName; 3] = contract_rows(
+const ROUTE_ROW_NAMES: [RowName; 3] = contract_row_names(
     "book memory, routes",
     "book build, routes",
     "change, routes",
     "routes",
 );
 
-const ACCOUNT_ROWS: [RowName; 3] = contract_rows(
+const ACCOUNT_ROW_NAMES: [RowName; 3] = contract_row_names(
     "book memory, accounts",
     "book build, accounts",
     "change, accounts",
     "accounts",
 );
 
-const fn contract_rows(
+const fn contract_row_names(
     memory_name: &'static str,
     build: &'static str,
     change: &'static str,
     counted: &'static str,
 ) -> [RowName; 3] {
     [
-        memory(memory_name, counted),
+        memory_row_name(memory_name, counted),
         RowName {
             what: build,
             unit: "s",
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,54 +1,55 @@
-//! The whole measurement: rows with fitted lines against the budgets of the two-year size.
+//! Report of all measurements: rows with fitted lines, compared with the budgets at the target
+//! scale.
 
 use std::fmt;
 
 use serde::Serialize;
 
-use super::fit::{FittedLine, MeasuredPoint, count_of};
+use super::fit::{FittedLine, MeasuredPoint, to_f64};
 use super::gossip::{GossipRow, SpreadTimes, TrafficCost};
-use super::mass::MassRow;
+use super::mass_events::MassRow;
 
-/// Bytes of one megabyte.
+/// Bytes in one megabyte.
 pub const MEGABYTE: f64 = 1e6;
 
-/// Memory of one node at the two-year size, in megabytes.
+/// Memory budget of one node at the target scale, in megabytes.
 pub const MEMORY_BUDGET: f64 = 64.0;
 
-/// Traffic of one node, in bytes a second.
+/// Gossip traffic budget of one node, in bytes per second.
 pub const TRAFFIC_BUDGET: f64 = 7_000.0;
 
-/// Processor time of one node, in percent of a core.
+/// Processor time budget of one node, in percent of a core.
 pub const CORE_BUDGET: f64 = 3.4;
 
-/// Nodes at the two-year size.
-const FULL_NODES: f64 = 2_300.0;
+/// Number of nodes at the target scale.
+const TARGET_NODES: f64 = 2_300.0;
 
-/// Name of a quantity of the gossip and where it is in a row.
+/// Name of a gossip quantity and the function that reads it from a row.
 type NodeQuantity = (&'static str, fn(&GossipRow) -> f64);
 
-/// One quantity against one count.
+/// One measured quantity as a function of one count.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityRow {
-    /// What.
+    /// Name of the measured quantity.
     pub name: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
-    /// What is counted.
+    /// Name of the count, such as `nodes`.
     pub counted: &'static str,
     /// Measured points.
     pub points: Vec<MeasuredPoint>,
-    /// Line through them.
+    /// Line fitted through the points.
     pub line: FittedLine,
-    /// Count at the two-year size.
+    /// Count at the target scale.
     pub target: f64,
-    /// Value of the line there.
+    /// Value of the line at `target`.
     pub at_target: f64,
-    /// Budget, where the quantity has one of its own.
+    /// Budget of the quantity; `None` when it has none of its own.
     pub budget: Option<f64>,
 }
 
 impl CapacityRow {
-    /// Fits the line of a row.
+    /// Creates a row and fits its line.
     #[must_use]
     pub fn new(name: RowName, points: Vec<MeasuredPoint>, target: f64) -> Self {
         let line = FittedLine::through(&points);
@@ -64,14 +65,14 @@
         }
     }
 
-    /// The same with a budget.
+    /// Sets the budget of the row.
     #[must_use]
     pub const fn budget(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// The same with every value divided, as for megabytes from bytes.
+    /// Divides every value and fits the line again, as for megabytes from bytes.
     #[must_use]
     pub fn divided(mut self, by: f64) -> Self {
         for point in &mut self.points {
@@ -83,32 +84,32 @@
     }
 }
 
-/// Names of a row.
+/// Name, unit and count of a row.
 #[derive(Clone, Copy, Debug)]
 pub struct RowName {
-    /// What.
+    /// Name of the measured quantity.
     pub what: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
-    /// What is counted.
+    /// Name of the count, such as `nodes`.
     pub counted: &'static str,
 }
 
-/// Everything measured.
+/// Results of all measurements.
 #[derive(Clone, Debug, Serialize)]
 pub struct CapacityReport {
-    /// Quantities against counts.
+    /// Quantities as functions of counts.
     pub rows: Vec<CapacityRow>,
-    /// Gossip against nodes, with churn in proportion.
+    /// Gossip as a function of the number of nodes, with proportional churn.
     pub gossip: Vec<GossipRow>,
-    /// Gossip against upstreams of each node, with the churn of the whole fleet.
+    /// Gossip as a function of the upstreams per node, with the churn of the whole fleet.
     pub upstreams: Vec<GossipRow>,
-    /// Many nodes at once.
+    /// Events that affect many nodes at once.
     pub mass: Vec<MassRow>,
 }
 
 impl CapacityReport {
-    /// Adds the rows that follow from the gossip against nodes.
+    /// Adds the rows derived from gossip as a function of the number of nodes.
     pub fn add_gossip_rows(&mut self) {
         let traffic: [NodeQuantity; 2] = [
             ("gossip sent, idle", |row| row.idle.bytes_mean),
@@ -134,7 +135,7 @@
             ("death to 99%", |row| row.death.p99),
         ];
         for (what, value) in spread {
-            self.rows.push(self.doubling_row(what, value));
+            self.rows.push(self.log_nodes_row(what, value));
         }
     }
 
@@ -146,7 +147,7 @@
             .gossip
             .iter()
             .map(|row| MeasuredPoint {
-                count: count_of(row.nodes),
+                count: to_f64(row.nodes),
                 value: value(row),
             })
             .collect();
@@ -155,11 +156,12 @@
             unit,
             counted: "nodes",
         };
-        CapacityRow::new(name, points, FULL_NODES)
+        CapacityRow::new(name, points, TARGET_NODES)
     }
 
-    /// Spreading grows with the logarithm of the nodes, so it is fitted against that.
-    fn doubling_row<F>(&self, what: &'static str, value: F) -> CapacityRow
+    /// Fits a quantity against the logarithm of the number of nodes, as propagation time grows with
+    /// it.
+    fn log_nodes_row<F>(&self, what: &'static str, value: F) -> CapacityRow
     where
         F: Fn(&GossipRow) -> f64,
     {
@@ -167,7 +169,7 @@
             .gossip
             .iter()
             .map(|row| MeasuredPoint {
-                count: count_of(row.nodes).log2(),
+                count: to_f64(row.nodes).log2(),
                 value: value(row),
             })
             .collect();
@@ -176,7 +178,7 @@
             unit: "ms",
             counted: "log2(nodes)",
         };
-        CapacityRow::new(name, points, FULL_NODES.log2())
+        CapacityRow::new(name, points, TARGET_NODES.log2())
     }
 }
 
--- a/crates/lab/src/capacity/roster.rs
+++ b/crates/lab/src/capacity/roster.rs
@@ -1,4 +1,4 @@
-//! Memory of one roster against the number of upstreams.
+//! Memory of one roster as a function of the number of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,37 +10,37 @@
     RosterMessage, RosterSettings, SlotRun, UpstreamPhase,
 };
 
-use super::fit::{MeasuredPoint, count_of};
-use super::memory::grown_by;
-use super::names::member_facts;
+use super::fit::{MeasuredPoint, to_f64};
+use super::memory::measure_growth;
+use super::node_facts::member_facts;
 
-/// Upstreams of each node at the two-year size: 110,000 on 2,300 nodes.
+/// Upstreams per node at the target scale: 110,000 on 2,300 nodes.
 const NODE_UPSTREAMS: u16 = 48;
 
-/// Upstreams of each service at the two-year size: 110,000 of 5,000 services.
+/// Upstreams per service at the target scale: 110,000 of 5,000 services.
 const SERVICE_UPSTREAMS: usize = 22;
 
-/// Builds one roster for each count and says by how much memory grew.
+/// Builds one roster per count and measures the growth of memory in bytes.
 ///
 /// # Errors
 ///
-/// When memory cannot be read.
+/// Returns an error when resident memory cannot be read.
 pub fn measure_roster_memory(counts: &[usize]) -> Result<Vec<MeasuredPoint>> {
     let mut kept = Vec::new();
     let mut points = Vec::new();
     for count in counts {
-        let (roster, bytes) = grown_by(|| filled_roster(*count))?;
+        let (roster, bytes) = measure_growth(|| filled_roster(*count))?;
         kept.push(roster);
         points.push(MeasuredPoint {
-            count: count_of(*count),
-            value: count_of(usize::try_from(bytes)?),
+            count: to_f64(*count),
+            value: to_f64(usize::try_from(bytes)?),
         });
     }
     Ok(points)
 }
 
-/// A roster that knows this many upstreams. Each member and each service comes in a message of
-/// its own, with names of its own, as from the wire.
+/// Builds a roster that knows this many upstreams. Each member and each service arrives with its
+/// own copy of its names, as it would from the network.
 fn filled_roster(upstreams: usize) -> NodeRoster {
     let own = member_facts(usize::from(u16::MAX), 1);
     let mut roster = NodeRoster::new(RosterSettings::default(), own, 1);
@@ -61,8 +61,8 @@
     commands.clear();
 }
 
-/// A member with all its upstreams, two services a node, half of the slots with changes of their
-/// own.
+/// Returns the state of a member with all its upstreams: two services per node, and a change of its
+/// own for every second slot.
 fn member_state(member: usize, services: usize) -> RosterMessage {
     let facts = member_facts(member, 1);
     let instance = facts.instance;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! Measuring programs for the decision logic.
+//! Simulations and measurements of the decision logic.
 //!
-//! Each module drives one part of the decision logic with seeded streams of the same typed events
-//! that the daemon feeds it, and prints a table that is the same every time for the same seed.
-//! There is no network here and no model of a whole fleet.
+//! Each module feeds one part of the decision logic with seeded streams of the same typed events
+//! that the daemon produces, and prints a table that is identical for identical seeds, apart from
+//! measured times and memory. No module uses a real network or models a whole
+//! fleet with all its parts.
 
 pub mod capacity;
 pub mod shares;
--- a/crates/lab/src/shares/demand.rs
+++ b/crates/lab/src/shares/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of one customer over the daemons.
+//! Simulated demand of one customer, distributed over the daemons.
 
 use std::time::Duration;
 
@@ -7,24 +7,25 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Poisson};
 
-/// How long the same daemons are the busy ones.
-const SHIFT_EVERY: Duration = Duration::from_secs(10);
+/// Time between two reshuffles of the busiest daemons.
+const SHIFT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Arrivals by daemon: a Zipf law whose order is drawn once, or anew every ten seconds.
+/// Poisson arrivals, distributed over the daemons by a Zipf law whose ranking is drawn once, or
+/// again every ten seconds.
 pub struct ZipfDemand {
     rng: SmallRng,
-    /// Part of all arrivals up to and with each rank.
+    /// Cumulative share of all arrivals up to and including each rank.
     cumulative: Vec<f64>,
     /// Daemon of each rank.
     order: Vec<usize>,
-    shifted: u64,
+    shift_period: u64,
     shifts: bool,
     arrivals: Poisson<f64>,
 }
 
 impl ZipfDemand {
-    /// Arrivals at `count` daemons, `per_step` in all on average. `shifts` tells whether the busy
-    /// daemons change.
+    /// Creates demand for `count` daemons, with a mean of `per_step` arrivals in total. `shifts`
+    /// selects whether the busiest daemons change.
     pub fn new(seed: u64, count: usize, per_step: f64, shifts: bool) -> Self {
         let weights: Vec<f64> = (1..=u32::try_from(count).unwrap_or(u32::MAX))
             .map(|rank| 1.0 / f64::from(rank))
@@ -41,19 +42,19 @@
             rng: SmallRng::seed_from_u64(seed),
             cumulative,
             order: (0..count).collect(),
-            shifted: 0,
+            shift_period: 0,
             shifts,
-            arrivals: Poisson::new(per_step).expect("a positive rate"),
+            arrivals: Poisson::new(per_step).expect("the rate is positive"),
         };
         demand.order.shuffle(&mut demand.rng);
         demand
     }
 
-    /// The daemons that get a request in this step, one entry for each request.
+    /// Appends the daemons that receive a request in this step to `out`, one entry per request.
     pub fn step(&mut self, now: Duration, out: &mut Vec<usize>) {
-        let period = now.as_secs() / SHIFT_EVERY.as_secs();
-        if self.shifts && period > self.shifted {
-            self.shifted = period;
+        let period = now.as_secs() / SHIFT_INTERVAL.as_secs();
+        if self.shifts && period > self.shift_period {
+            self.shift_period = period;
             self.order.shuffle(&mut self.rng);
         }
         let drawn: f64 = self.arrivals.sample(&mut self.rng);
--- a/crates/lab/src/shares/flood.rs
+++ b/crates/lab/src/shares/flood.rs
@@ -1,61 +1,63 @@
-//! One customer's flood, and more load than there is capacity.
+//! Simulations of one customer flooding a backend server and of load above its capacity.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use super::gate_world::{
-    CallerPlan, GateKind, GateWorld, LoadPhase, MEAN_SERVICE, SLOTS, SecondCount, WorldFigures,
-    WorldPlan, quantile,
+use super::gate_simulation::{
+    CallerPlan, GateKind, GateSimulation, LoadPhase, MEAN_SERVICE, SLOTS, SecondCount,
+    SimulationFigures, SimulationPlan, quantile,
 };
 use super::trial::{percent, ratio};
 
-/// Other customers beside the flood.
-const OTHERS: usize = 4;
-/// Customers of equal demand.
-const EQUALS: usize = 10;
-/// Patience of a caller.
+/// Number of other customers during the flood.
+const OTHER_CUSTOMERS: usize = 4;
+/// Number of customers with equal demand.
+const EQUAL_CUSTOMERS: usize = 10;
+/// Longest time that a caller waits for a reply.
 const DEADLINE: Duration = Duration::from_secs(1);
-/// When the overload begins and ends.
-const OVERLOAD: (usize, usize) = (10, 40);
+/// Seconds at which the overload begins and ends.
+const OVERLOAD_SECONDS: (usize, usize) = (10, 40);
 /// End of the overload run.
 const OVERLOAD_END: Duration = Duration::from_mins(1);
-/// Part served of a second from which on callers count as well, in percent.
-const WELL_PERCENT: u64 = 99;
+/// Minimum percentage of served requests in a second that counts as recovered.
+const RECOVERED_PERCENT: u64 = 99;
 
-/// What a flood does to others.
+/// Effect of one customer's flood on the other customers.
 #[derive(Clone, Debug, Serialize)]
 pub struct FloodRow {
-    /// Admission.
+    /// Admission control in front of the backend server.
     pub gate: GateKind,
-    /// The others' 99th percentile without the flood, in milliseconds.
+    /// 99th percentile latency of the other customers without the flood, in milliseconds.
     pub calm_p99_ms: f64,
-    /// The same while one customer sends three times what the backend server can do.
+    /// 99th percentile latency of the other customers while one customer sends three times the
+    /// capacity, in milliseconds.
     pub flood_p99_ms: f64,
-    /// Growth of it in percent.
+    /// Growth of the 99th percentile caused by the flood, in percent.
     pub growth_percent: f64,
-    /// The others' requests not served, without and with the flood, in percent.
+    /// Unserved requests of the other customers without the flood, in percent.
     pub calm_failed_percent: f64,
-    /// The same with the flood.
+    /// Unserved requests of the other customers with the flood, in percent.
     pub flood_failed_percent: f64,
-    /// Least over most served among ten customers who all want four times their part.
+    /// Fewest over most requests served among ten customers that each request four times their fair
+    /// share.
     pub min_max_share: f64,
 }
 
-/// What more load than capacity does.
+/// Behaviour under load above the capacity.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverloadRow {
-    /// Admission.
+    /// Admission control in front of the backend server.
     pub gate: GateKind,
-    /// Served in time during three times the capacity, in percent of the capacity.
+    /// Requests served in time at three times the capacity, in percent of the capacity.
     pub goodput_percent: f64,
-    /// 99th percentile of what was served during the overload, in milliseconds.
+    /// 99th percentile latency of all requests served in the run, in milliseconds.
     pub p99_ms: f64,
-    /// Seconds after its end until 99% are served in every later second.
+    /// Seconds after the end of the overload until 99% are served in every later second.
     pub recovery_seconds: u32,
 }
 
-/// Requests a second that one backend server can do.
+/// Returns the requests per second that one backend server can serve.
 pub fn capacity() -> f64 {
     f64::from(SLOTS) / MEAN_SERVICE
 }
@@ -63,13 +65,18 @@
 fn steady(length: Duration) -> Vec<LoadPhase> {
     vec![LoadPhase {
         until: length,
-        load: 1.0,
-        slow: 1.0,
+        load_factor: 1.0,
+        service_factor: 1.0,
     }]
 }
 
-fn plan(gate: GateKind, callers: Vec<CallerPlan>, phases: Vec<LoadPhase>, seed: u64) -> WorldPlan {
-    WorldPlan {
+fn plan(
+    gate: GateKind,
+    callers: Vec<CallerPlan>,
+    phases: Vec<LoadPhase>,
+    seed: u64,
+) -> SimulationPlan {
+    SimulationPlan {
         gate,
         servers: 1,
         callers,
@@ -89,26 +96,26 @@
     }
 }
 
-/// Latencies and failures of the others.
-fn others(figures: &WorldFigures) -> (Vec<u64>, f64) {
-    let latencies = figures.latencies[..OTHERS].concat();
-    let failed: u64 = figures.failed[..OTHERS].iter().sum();
+/// Returns the latencies and the percentage of failed requests of the other customers.
+fn other_customers(figures: &SimulationFigures) -> (Vec<u64>, f64) {
+    let latencies = figures.latencies[..OTHER_CUSTOMERS].concat();
+    let failed: u64 = figures.failed[..OTHER_CUSTOMERS].iter().sum();
     let offered = failed + latencies.len() as u64;
     (latencies, percent(failed, offered))
 }
 
-/// Runs the flood.
+/// Runs the flood simulation.
 pub fn flood_row(gate: GateKind, length: Duration, seed: u64) -> FloodRow {
-    let small = capacity() * 0.05;
-    let calm: Vec<CallerPlan> = (0..OTHERS)
-        .map(|number| caller("other", number, small))
+    let small_rate = capacity() * 0.05;
+    let calm: Vec<CallerPlan> = (0..OTHER_CUSTOMERS)
+        .map(|number| caller("other", number, small_rate))
         .collect();
     let mut flooded = calm.clone();
     flooded.push(caller("flood", 0, capacity() * 3.0));
-    let equals = (0..EQUALS).map(|number| caller("equal", number, capacity() * 0.4));
-    let run = |callers| GateWorld::new(plan(gate, callers, steady(length), seed)).run();
-    let (mut calm_times, calm_failed) = others(&run(calm));
-    let (mut flood_times, flood_failed) = others(&run(flooded));
+    let equals = (0..EQUAL_CUSTOMERS).map(|number| caller("equal", number, capacity() * 0.4));
+    let run = |callers| GateSimulation::new(plan(gate, callers, steady(length), seed)).run();
+    let (mut calm_times, calm_failed) = other_customers(&run(calm));
+    let (mut flood_times, flood_failed) = other_customers(&run(flooded));
     let calm_p99 = quantile(&mut calm_times, 99);
     let flood_p99 = quantile(&mut flood_times, 99);
     let served: Vec<u64> = run(equals.collect())
@@ -129,21 +136,21 @@
     }
 }
 
-/// Runs the overload.
+/// Runs the overload simulation.
 pub fn overload_row(gate: GateKind, seed: u64) -> OverloadRow {
-    let callers = (0..EQUALS).map(|number| caller("equal", number, capacity() * 0.1));
-    let phase = |until, load| LoadPhase {
+    let callers = (0..EQUAL_CUSTOMERS).map(|number| caller("equal", number, capacity() * 0.1));
+    let phase = |until, load_factor| LoadPhase {
         until: Duration::from_secs(until),
-        load,
-        slow: 1.0,
+        load_factor,
+        service_factor: 1.0,
     };
-    let (begin, end) = OVERLOAD;
+    let (begin, end) = OVERLOAD_SECONDS;
     let phases = vec![
         phase(begin as u64, 0.7),
         phase(end as u64, 3.0),
         phase(OVERLOAD_END.as_secs(), 0.7),
     ];
-    let figures = GateWorld::new(plan(gate, callers.collect(), phases, seed)).run();
+    let figures = GateSimulation::new(plan(gate, callers.collect(), phases, seed)).run();
     let during = &figures.seconds[begin + 5..end];
     let completed: u64 = during.iter().map(|second| second.completed).sum();
     let goodput = ratio(completed, during.len() as u64) / capacity() * 100.0;
@@ -156,11 +163,12 @@
     }
 }
 
-/// Seconds after `end` until every later second is well.
+/// Returns the seconds after `end` until every later second serves at least [`RECOVERED_PERCENT`].
 pub fn recovery(seconds: &[SecondCount], end: usize) -> u32 {
     let last = usize::try_from(OVERLOAD_END.as_secs()).unwrap_or(0);
     let later = &seconds[end..seconds.len().min(last)];
-    let unwell = |second: &SecondCount| second.served * 100 < second.offered * WELL_PERCENT;
-    let worst = later.iter().rposition(unwell);
-    worst.map_or(0, |place| u32::try_from(place + 1).unwrap_or(u32::MAX))
+    let below_target =
+        |second: &SecondCount| second.served * 100 < second.offered * RECOVERED_PERCENT;
+    let last_below = later.iter().rposition(below_target);
+    last_below.map_or(0, |index| u32::try_from(index + 1).unwrap_or(u32::MAX))
 }
--- a/crates/lab/src/shares/gate_world.rs
+++ b/crates/lab/src/shares/gate_simulation.rs
@@ -1,4 +1,5 @@
-//! Backend servers behind admission, callers with deadlines and retries, in virtual time.
+//! Event-driven simulation in virtual time of backend servers behind admission control, with
+//! callers that have deadlines and retry.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -14,29 +15,29 @@
     WorkId,
 };
 
-/// Slots of each backend server.
+/// Requests that each backend server runs concurrently.
 pub const SLOTS: u32 = 5;
 /// Mean service time in seconds.
 pub const MEAN_SERVICE: f64 = 0.05;
-/// Spread of the service time: standard deviation of its logarithm.
-const SERVICE_SPREAD: f64 = 0.5;
-/// Queue of the baseline.
+/// Sigma of the lognormal service time.
+const SERVICE_SIGMA: f64 = 0.5;
+/// Queue length of the FIFO baseline.
 const FIFO_QUEUE: usize = 500;
-/// Time between two ticks.
+/// Time between two ticks of the gates.
 const TICK: Duration = Duration::from_millis(5);
 
-/// Admission beside a backend server.
+/// Admission control in front of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GateKind {
-    /// This project's gate.
+    /// [`SlotGate`], with fair queueing and deadlines.
     Gate,
-    /// First come, first served, with a long queue and without deadlines.
+    /// First in, first out, with a long queue and without deadlines.
     Fifo,
 }
 
 impl GateKind {
-    /// The name in the table.
+    /// Returns the name printed in the table.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -46,75 +47,75 @@
     }
 }
 
-/// A customer's callers.
+/// Callers of one customer.
 #[derive(Clone, Debug)]
 pub struct CallerPlan {
-    /// The customer.
+    /// Name of the customer.
     pub name: String,
-    /// Requests a second on average.
+    /// Mean requests per second.
     pub rate: f64,
 }
 
-/// Load and speed until a time.
+/// Load and service speed up to a point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPhase {
     /// End of the phase.
     pub until: Duration,
-    /// Factor on the rate of every caller.
-    pub load: f64,
+    /// Factor on the request rate of every caller.
+    pub load_factor: f64,
     /// Factor on every service time.
-    pub slow: f64,
+    pub service_factor: f64,
 }
 
-/// What to run.
+/// Parameters of one simulation.
 #[derive(Clone, Debug)]
-pub struct WorldPlan {
-    /// Admission.
+pub struct SimulationPlan {
+    /// Kind of admission control.
     pub gate: GateKind,
-    /// Backend servers; each request goes to a random one.
+    /// Number of backend servers; each request goes to a random one.
     pub servers: usize,
-    /// Callers.
+    /// Callers, one entry per customer.
     pub callers: Vec<CallerPlan>,
-    /// Patience of a caller.
+    /// Longest time that a caller waits for its request, retries included.
     pub deadline: Duration,
-    /// Patience of one attempt.
+    /// Longest duration of one attempt.
     pub attempt: Duration,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub tries: u32,
-    /// Budget of the retries, if any.
+    /// Retry budget shared by all callers; `None` for unlimited retries.
     pub budget: Option<BudgetSettings>,
-    /// Load by time, in order.
+    /// Load phases, in order of time.
     pub phases: Vec<LoadPhase>,
-    /// Seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// Counts of one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondCount {
-    /// Requests.
+    /// Requests received.
     pub offered: u64,
-    /// Attempts.
+    /// Attempts sent, retries included.
     pub attempts: u64,
-    /// Requests of this second that were served in time.
+    /// Requests received in this second that were served in time.
     pub served: u64,
-    /// Requests served in time within this second.
+    /// Requests that were served in time and completed in this second.
     pub completed: u64,
 }
 
-/// What came of it.
+/// Results of one simulation.
 #[derive(Debug, Default)]
-pub struct WorldFigures {
-    /// By second of the request's arrival.
+pub struct SimulationFigures {
+    /// Counts by second of the run.
     pub seconds: Vec<SecondCount>,
     /// Latencies of served requests by caller, in microseconds.
     pub latencies: Vec<Vec<u64>>,
-    /// Refusals by caller.
+    /// Requests that were not served, by caller.
     pub failed: Vec<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum WorldEvent {
+enum SimulationEvent {
     Arrive { caller: usize },
     End { server: usize, work: u64 },
     Timeout { work: u64 },
@@ -124,14 +125,14 @@
 #[derive(Clone, Copy, Debug)]
 struct OpenAttempt {
     caller: usize,
-    born: Duration,
+    arrived_at: Duration,
     tries_left: u32,
     server: usize,
     /// Service time at normal speed, in seconds.
     service: f64,
 }
 
-/// First come, first served.
+/// FIFO admission with a bounded queue.
 #[derive(Debug, Default)]
 struct FifoGate {
     running: u32,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Whether the work runs, or nothing when it is refused.
+    /// Returns whether the work starts immediately or waits, or `None` when it is refused.
     fn offer(&mut self, now: Duration, work: WorkId, class: WorkClass) -> Option<bool> {
         match self {
             Self::Slot(gate) => match gate.offer(now, work, class) {
@@ -203,13 +204,13 @@
     }
 }
 
-/// A run in progress.
-pub struct GateWorld {
-    plan: WorldPlan,
-    /// One for each caller, so that a caller's requests are the same beside any others.
+/// Simulation state.
+pub struct GateSimulation {
+    plan: SimulationPlan,
+    /// One generator per caller, so that a caller's requests do not depend on the other callers.
     rngs: Vec<SmallRng>,
     now: Duration,
-    events: BinaryHeap<Reverse<(Duration, u64, WorldEvent)>>,
+    events: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
     sequence: u64,
     gates: Vec<AnyGate>,
     names: Vec<CustomerName>,
@@ -217,15 +218,15 @@
     work: u64,
     budget: Option<RetryBudget>,
     service: LogNormal<f64>,
-    figures: WorldFigures,
+    figures: SimulationFigures,
 }
 
-impl GateWorld {
-    /// Sets a run up.
-    pub fn new(plan: WorldPlan) -> Self {
-        let mean = MEAN_SERVICE.ln() - SERVICE_SPREAD * SERVICE_SPREAD / 2.0;
+impl GateSimulation {
+    /// Creates a simulation.
+    pub fn new(plan: SimulationPlan) -> Self {
+        let mean = MEAN_SERVICE.ln() - SERVICE_SIGMA * SERVICE_SIGMA / 2.0;
         let callers = plan.callers.len();
-        let mut world = Self {
+        let mut simulation = Self {
             rngs: (0..callers as u64)
                 .map(|caller| SmallRng::seed_from_u64(plan.seed.wrapping_add(caller)))
                 .collect(),
@@ -241,8 +242,8 @@
             open: BTreeMap::new(),
             work: 0,
             budget: plan.budget.as_ref().map(RetryBudget::new),
-            service: LogNormal::new(mean, SERVICE_SPREAD).expect("a positive spread"),
-            figures: WorldFigures {
+            service: LogNormal::new(mean, SERVICE_SIGMA).expect("sigma is positive"),
+            figures: SimulationFigures {
                 seconds: Vec::new(),
                 latencies: vec![Vec::new(); callers],
                 failed: vec![0; callers],
@@ -250,14 +251,14 @@
             plan,
         };
         for caller in 0..callers {
-            world.arrive_later(caller);
+            simulation.schedule_arrival(caller);
         }
-        world.after(TICK, WorldEvent::Tick);
-        world
+        simulation.schedule(TICK, SimulationEvent::Tick);
+        simulation
     }
 
-    /// Runs to the end of the last phase, and lets what runs end.
-    pub fn run(mut self) -> WorldFigures {
+    /// Runs to the end of the last phase and then drains the work in progress.
+    pub fn run(mut self) -> SimulationFigures {
         let end = self
             .plan
             .phases
@@ -270,17 +271,17 @@
             }
             self.now = at;
             match event {
-                WorldEvent::Arrive { caller } if at < end => self.arrive(caller),
-                WorldEvent::Arrive { .. } => {}
-                WorldEvent::End { server, work } => self.end(server, work),
-                WorldEvent::Timeout { work } => self.timeout(work),
-                WorldEvent::Tick => self.tick(),
+                SimulationEvent::Arrive { caller } if at < end => self.on_arrival(caller),
+                SimulationEvent::Arrive { .. } => {}
+                SimulationEvent::End { server, work } => self.on_end(server, work),
+                SimulationEvent::Timeout { work } => self.on_timeout(work),
+                SimulationEvent::Tick => self.on_tick(),
             }
         }
         self.figures
     }
 
-    fn after(&mut self, wait: Duration, event: WorldEvent) {
+    fn schedule(&mut self, wait: Duration, event: SimulationEvent) {
         self.sequence += 1;
         self.events
             .push(Reverse((self.now + wait, self.sequence, event)));
@@ -291,18 +292,21 @@
         let phase = phases.find(|phase| self.now < phase.until).copied();
         phase.unwrap_or(LoadPhase {
             until: Duration::MAX,
-            load: 1.0,
-            slow: 1.0,
+            load_factor: 1.0,
+            service_factor: 1.0,
         })
     }
 
-    fn arrive_later(&mut self, caller: usize) {
-        let rate = self.plan.callers[caller].rate * self.phase().load;
-        let wait = Exp::new(rate).map_or(1.0, |law| law.sample(&mut self.rngs[caller]));
-        self.after(Duration::from_secs_f64(wait), WorldEvent::Arrive { caller });
+    fn schedule_arrival(&mut self, caller: usize) {
+        let rate = self.plan.callers[caller].rate * self.phase().load_factor;
+        let wait = Exp::new(rate).map_or(1.0, |exp| exp.sample(&mut self.rngs[caller]));
+        self.schedule(
+            Duration::from_secs_f64(wait),
+            SimulationEvent::Arrive { caller },
+        );
     }
 
-    fn second_of(&mut self, at: Duration) -> &mut SecondCount {
+    fn second_at(&mut self, at: Duration) -> &mut SecondCount {
         let second = usize::try_from(at.as_secs()).unwrap_or(0);
         if self.figures.seconds.len() <= second {
             self.figures
@@ -312,10 +316,10 @@
         &mut self.figures.seconds[second]
     }
 
-    fn arrive(&mut self, caller: usize) {
-        self.arrive_later(caller);
+    fn on_arrival(&mut self, caller: usize) {
+        self.schedule_arrival(caller);
         let now = self.now;
-        self.second_of(now).offered += 1;
+        self.second_at(now).offered += 1;
         if let Some(budget) = self.budget.as_mut() {
             budget.deposit(now);
         }
@@ -323,20 +327,20 @@
         self.send(caller, now, self.plan.tries, service);
     }
 
-    fn send(&mut self, caller: usize, born: Duration, tries: u32, service: f64) {
+    fn send(&mut self, caller: usize, arrived_at: Duration, tries: u32, service: f64) {
         let now = self.now;
-        self.second_of(now).attempts += 1;
+        self.second_at(now).attempts += 1;
         self.work += 1;
         let work = self.work;
         let server = self.rngs[caller].random_range(0..self.gates.len());
         let attempt = OpenAttempt {
             caller,
-            born,
+            arrived_at,
             tries_left: tries - 1,
             server,
             service,
         };
-        let deadline = (born + self.plan.deadline).min(now + self.plan.attempt);
+        let deadline = (arrived_at + self.plan.deadline).min(now + self.plan.attempt);
         let class = WorkClass {
             customer: self.names[caller].clone(),
             priority: 0,
@@ -346,7 +350,10 @@
         match self.gates[server].offer(now, WorkId(work), class) {
             Some(runs) => {
                 self.open.insert(work, attempt);
-                self.after(deadline.saturating_sub(now), WorldEvent::Timeout { work });
+                self.schedule(
+                    deadline.saturating_sub(now),
+                    SimulationEvent::Timeout { work },
+                );
                 if runs {
                     self.start(server, work);
                 }
@@ -356,16 +363,16 @@
     }
 
     fn start(&mut self, server: usize, work: u64) {
-        // Work whose caller gave up while it waited runs all the same, for the mean time.
+        // Work whose caller timed out while it was queued still runs, for the mean service time.
         let open = self.open.get(&work);
         let service = open.map_or(MEAN_SERVICE, |attempt| attempt.service);
-        let length = Duration::from_secs_f64(service * self.phase().slow);
-        self.after(length, WorldEvent::End { server, work });
+        let length = Duration::from_secs_f64(service * self.phase().service_factor);
+        self.schedule(length, SimulationEvent::End { server, work });
     }
 
     fn retry(&mut self, attempt: OpenAttempt) {
         let now = self.now;
-        let late = now >= attempt.born + self.plan.deadline;
+        let late = now >= attempt.arrived_at + self.plan.deadline;
         let allowed = attempt.tries_left > 0
             && !late
             && self
@@ -375,7 +382,7 @@
         if allowed {
             self.send(
                 attempt.caller,
-                attempt.born,
+                attempt.arrived_at,
                 attempt.tries_left,
                 attempt.service,
             );
@@ -384,37 +391,37 @@
         }
     }
 
-    fn end(&mut self, server: usize, work: u64) {
+    fn on_end(&mut self, server: usize, work: u64) {
         if let Some(attempt) = self.open.remove(&work) {
-            let took = self.now.saturating_sub(attempt.born);
-            let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+            let latency = self.now.saturating_sub(attempt.arrived_at);
+            let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
             self.figures.latencies[attempt.caller].push(micros);
-            self.second_of(attempt.born).served += 1;
+            self.second_at(attempt.arrived_at).served += 1;
             let now = self.now;
-            self.second_of(now).completed += 1;
+            self.second_at(now).completed += 1;
         }
         let mut out = Vec::new();
         self.gates[server].finished(self.now, WorkId(work), &mut out);
-        self.follow(server, out);
+        self.execute_commands(server, out);
     }
 
-    fn timeout(&mut self, work: u64) {
+    fn on_timeout(&mut self, work: u64) {
         if let Some(attempt) = self.open.remove(&work) {
             self.gates[attempt.server].cancel(self.now, WorkId(work));
             self.retry(attempt);
         }
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         for server in 0..self.gates.len() {
             let mut out = Vec::new();
             self.gates[server].tick(self.now, &mut out);
-            self.follow(server, out);
+            self.execute_commands(server, out);
         }
-        self.after(TICK, WorldEvent::Tick);
+        self.schedule(TICK, SimulationEvent::Tick);
     }
 
-    fn follow(&mut self, server: usize, out: Vec<GateCommand>) {
+    fn execute_commands(&mut self, server: usize, out: Vec<GateCommand>) {
         for command in out {
             match command {
                 GateCommand::Start { work } => self.start(server, work.0),
@@ -428,7 +435,7 @@
     }
 }
 
-/// The latency that `percent` of a hundred are below, in milliseconds.
+/// Returns the given percentile of the latencies, in milliseconds.
 pub fn quantile(latencies: &mut [u64], percent: usize) -> f64 {
     latencies.sort_unstable();
     let last = latencies.len().saturating_sub(1);
--- a/crates/lab/src/shares/sharers.rs
+++ b/crates/lab/src/shares/lease_limiter.rs
@@ -1,4 +1,4 @@
-//! Many share nodes with one customer.
+//! Lease-based limiter: many share nodes that enforce the contract of one customer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,47 +11,47 @@
     ShareNode, ShareSettings,
 };
 
-use super::limiter::{LimiterAnswer, MessageCount, ShareLimiter};
+use super::limiter::{LimiterDecision, MessageCount, ShareLimiter};
 use super::size::message_size;
 
 /// The only customer.
 const CUSTOMER: CustomerIndex = CustomerIndex(0);
-/// Its name.
+/// Name of [`CUSTOMER`].
 const NAME: &str = "harbour-mesh";
-/// Failure domains.
+/// Number of failure domains.
 pub const DOMAINS: usize = 4;
-/// How long the living roster takes to notice a change.
-const NOTICE: Duration = Duration::from_secs(3);
-/// Steps between two ticks of a node that has nothing urgent.
+/// Time until the local rosters reflect a partition, pause or recovery.
+const DETECTION_DELAY: Duration = Duration::from_secs(3);
+/// Steps between two ticks of a node without urgent work.
 const TICK_STEPS: usize = 10;
 
-/// Which roster the nodes go by.
+/// Roster from which the nodes select keepers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RosterRule {
-    /// Everybody who has not certainly stopped.
+    /// All members except those known to have stopped.
     Agreed,
-    /// Whoever each side sees alive, with a wait of one lease after each change.
-    Living,
+    /// The members that each side sees alive, with a wait of one lease after each change.
+    LocalView,
 }
 
-/// Share nodes joined by messages that take one step.
-pub struct SharerWorld {
+/// Share nodes that exchange messages with a delay of one step.
+pub struct LeaseLimiter {
     rule: RosterRule,
     nodes: Vec<ShareNode>,
     members: Vec<ShareMember>,
-    places: BTreeMap<InstanceId, usize>,
+    indices: BTreeMap<InstanceId, usize>,
     paused: Vec<bool>,
     sides: Option<Vec<bool>>,
     inbox: Vec<Vec<(InstanceId, ShareMessage)>>,
     urgent: Vec<bool>,
     version: u64,
-    /// When the living roster notices the last change.
-    notice_at: Option<Duration>,
+    /// Time at which the local rosters reflect the last change.
+    roster_change_at: Option<Duration>,
     steps: usize,
-    counted: MessageCount,
+    message_count: MessageCount,
 }
 
-/// The instance with this number.
+/// Returns the instance with this number.
 pub fn instance(number: usize) -> InstanceId {
     InstanceId {
         node: NodeId::of(&format!("instance-{number}")),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Members of a fleet spread evenly over the failure domains.
+/// Returns the members of a fleet that is spread evenly over the failure domains.
 pub fn members(count: usize) -> Vec<ShareMember> {
     (0..count)
         .map(|number| ShareMember {
@@ -69,11 +69,11 @@
         .collect()
 }
 
-impl SharerWorld {
-    /// A fleet in which everybody knows everybody.
+impl LeaseLimiter {
+    /// Creates a fleet in which every node already knows all members.
     pub fn new(rule: RosterRule, count: usize, rate_millis: u32, concurrency: u32) -> Self {
         let mut settings = ShareSettings::default();
-        if rule == RosterRule::Living {
+        if rule == RosterRule::LocalView {
             settings.long_lease = settings.lease;
         }
         let members = members(count);
@@ -82,65 +82,65 @@
             rate_millis,
             concurrency,
         };
-        let mut world = Self {
+        let mut limiter = Self {
             rule,
             nodes: Vec::new(),
-            places: BTreeMap::new(),
+            indices: BTreeMap::new(),
             paused: vec![false; count],
             sides: None,
             inbox: vec![Vec::new(); count],
             urgent: vec![false; count],
             version: 1,
-            notice_at: None,
+            roster_change_at: None,
             steps: 0,
-            counted: MessageCount {
+            message_count: MessageCount {
                 messages: 0,
-                heard: vec![0; count],
+                received_bytes: vec![0; count],
             },
             members,
         };
-        for (number, member) in world.members.iter().enumerate() {
+        for (number, member) in limiter.members.iter().enumerate() {
             let mut node = ShareNode::new(member.instance, settings.clone());
             let event = ShareEvent::Contract {
                 index: CUSTOMER,
                 limit: limit.clone(),
             };
             node.handle(Duration::ZERO, event, &mut Vec::new());
-            world.nodes.push(node);
-            world.places.insert(member.instance, number);
+            limiter.nodes.push(node);
+            limiter.indices.insert(member.instance, number);
         }
-        let all: Arc<[ShareMember]> = world.members.iter().cloned().collect();
+        let all: Arc<[ShareMember]> = limiter.members.iter().cloned().collect();
         for number in 0..count {
             let event = ShareEvent::Roster {
                 version: 1,
                 members: Arc::clone(&all),
                 settled: 1,
             };
-            world.feed(Duration::ZERO, number, event);
+            limiter.handle_event(Duration::ZERO, number, event);
         }
-        world
+        limiter
     }
 
-    fn feed(&mut self, now: Duration, number: usize, event: ShareEvent) {
+    fn handle_event(&mut self, now: Duration, number: usize, event: ShareEvent) {
         let mut out = Vec::new();
         self.nodes[number].handle(now, event, &mut out);
-        self.carry(number, out);
+        self.execute_commands(number, out);
     }
 
-    fn hears(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         self.sides
             .as_ref()
             .is_none_or(|sides| sides[from] == sides[to])
     }
 
-    fn carry(&mut self, from: usize, out: Vec<ShareCommand>) {
+    fn execute_commands(&mut self, from: usize, out: Vec<ShareCommand>) {
         for command in out {
             match command {
                 ShareCommand::Send { to, message } => {
-                    let target = self.places[&to];
-                    self.counted.messages += 1;
-                    if self.hears(from, target) {
-                        self.counted.heard[target] += message_size(&message);
+                    let target = self.indices[&to];
+                    self.message_count.messages += 1;
+                    if self.can_reach(from, target) {
+                        self.message_count.received_bytes[target] += message_size(&message);
                         self.inbox[target].push((self.members[from].instance, message));
                     }
                 }
@@ -149,18 +149,18 @@
         }
     }
 
-    /// Tells each side who it sees alive.
-    fn tell_living(&mut self, now: Duration) {
+    /// Sends each node the roster of the members that its side sees alive.
+    fn update_local_rosters(&mut self, now: Duration) {
         self.version += 1;
         for side in [false, true] {
-            let sees = |number: &usize| {
+            let is_visible = |number: &usize| {
                 let here = self
                     .sides
                     .as_ref()
                     .is_none_or(|sides| sides[*number] == side);
                 here && !self.paused[*number]
             };
-            let numbers: Vec<usize> = (0..self.nodes.len()).filter(sees).collect();
+            let numbers: Vec<usize> = (0..self.nodes.len()).filter(is_visible).collect();
             let members: Arc<[ShareMember]> = numbers
                 .iter()
                 .map(|number| self.members[*number].clone())
@@ -171,29 +171,29 @@
                     members: Arc::clone(&members),
                     settled: 1,
                 };
-                self.feed(now, number, event);
+                self.handle_event(now, number, event);
             }
         }
     }
 }
 
-impl ShareLimiter for SharerWorld {
-    fn admit(&mut self, now: Duration, node: usize, again: bool) -> LimiterAnswer {
+impl ShareLimiter for LeaseLimiter {
+    fn admit(&mut self, now: Duration, node: usize, is_retry: bool) -> LimiterDecision {
         let share = &mut self.nodes[node];
-        let admission = if again {
+        let admission = if is_retry {
             share.admit_again(now, CUSTOMER)
         } else {
             share.admit(now, CUSTOMER)
         };
         match admission {
-            Admission::Admitted => LimiterAnswer::Admitted,
+            Admission::Admitted => LimiterDecision::Admitted,
             Admission::Wait { until } => {
                 self.urgent[node] = true;
-                LimiterAnswer::Wait(until)
+                LimiterDecision::Wait(until)
             }
             Admission::Refused { .. } => {
                 self.urgent[node] = true;
-                LimiterAnswer::Refused
+                LimiterDecision::Refused
             }
         }
     }
@@ -204,9 +204,9 @@
 
     fn step(&mut self, now: Duration) {
         self.steps += 1;
-        if self.notice_at.is_some_and(|at| at <= now) {
-            self.notice_at = None;
-            self.tell_living(now);
+        if self.roster_change_at.is_some_and(|at| at <= now) {
+            self.roster_change_at = None;
+            self.update_local_rosters(now);
         }
         let mut inboxes = std::mem::take(&mut self.inbox);
         self.inbox = vec![Vec::new(); self.nodes.len()];
@@ -216,14 +216,14 @@
                 continue;
             }
             for (from, message) in inbox.drain(..) {
-                self.feed(now, number, ShareEvent::Received { from, message });
+                self.handle_event(now, number, ShareEvent::Received { from, message });
             }
             let regular = (self.steps + number).is_multiple_of(TICK_STEPS);
             if self.urgent[number] || regular {
                 self.urgent[number] = false;
                 let mut out = Vec::new();
                 self.nodes[number].tick(now, &mut out);
-                self.carry(number, out);
+                self.execute_commands(number, out);
             }
         }
     }
@@ -235,12 +235,12 @@
 
     fn cut(&mut self, now: Duration, sides: Option<Vec<bool>>) {
         self.sides = sides;
-        self.notice(now);
+        self.schedule_roster_change(now);
     }
 
     fn pause(&mut self, now: Duration, node: usize, paused: bool) {
         self.paused[node] = paused;
-        self.notice(now);
+        self.schedule_roster_change(now);
     }
 
     fn keeper(&self) -> usize {
@@ -254,21 +254,21 @@
                 *units.entry(keeper).or_default() += 1;
             }
         }
-        let most = units
+        let busiest = units
             .into_iter()
             .max_by_key(|(keeper, count)| (*count, *keeper));
-        most.map_or(0, |(keeper, _)| self.places[&keeper])
+        busiest.map_or(0, |(keeper, _)| self.indices[&keeper])
     }
 
-    fn counted(&self) -> MessageCount {
-        self.counted.clone()
+    fn message_count(&self) -> MessageCount {
+        self.message_count.clone()
     }
 }
 
-impl SharerWorld {
-    fn notice(&mut self, now: Duration) {
-        if self.rule == RosterRule::Living {
-            self.notice_at = Some(now + NOTICE);
+impl LeaseLimiter {
+    fn schedule_roster_change(&mut self, now: Duration) {
+        if self.rule == RosterRule::LocalView {
+            self.roster_change_at = Some(now + DETECTION_DELAY);
         }
     }
 }
--- a/crates/lab/src/shares/limiter.rs
+++ b/crates/lab/src/shares/limiter.rs
@@ -1,32 +1,33 @@
-//! Ways to enforce one contract at many daemons.
+//! Rate limiters that enforce one contract across many daemons.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-use super::sharers::{RosterRule, SharerWorld};
+use super::lease_limiter::{LeaseLimiter, RosterRule};
 
-/// Largest burst of every limiter, as time at its rate.
+/// Largest burst of the bucket limiters, as time at the contracted rate.
 const BURST: Duration = Duration::from_secs(1);
-/// One token.
+/// One token, in the unit of a bucket's level (thousandths of a request per second times
+/// microseconds).
 const TOKEN: u128 = 1_000_000_000;
 
-/// A way to enforce one contract.
+/// Algorithm that enforces one contract.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimiterKind {
-    /// This project's leases.
+    /// Leases with keepers selected from an agreed roster.
     Leases,
-    /// The same leases with keepers from whoever each node sees alive.
+    /// Leases with keepers selected from the members that each node sees alive.
     LivingRoster,
-    /// Every daemon has an equal part for good.
+    /// A fixed, equal part of the rate for every daemon.
     StaticSplit,
-    /// One bucket that every daemon reaches in no time, whatever the fault.
+    /// One shared bucket that every daemon reaches without latency, whatever the fault.
     Central,
 }
 
 impl LimiterKind {
-    /// All, in the order of the table.
+    /// All kinds, in the order of the table.
     pub const ALL: [Self; 4] = [
         Self::Leases,
         Self::LivingRoster,
@@ -34,7 +35,7 @@
         Self::Central,
     ];
 
-    /// The name in the table.
+    /// Returns the name printed in the table.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -46,47 +47,49 @@
     }
 }
 
-/// Answer to one request.
+/// Decision on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimiterAnswer {
-    /// It goes on.
+pub enum LimiterDecision {
+    /// The request is admitted.
     Admitted,
-    /// It is asked again after the next step, until this time.
+    /// The request waits and is offered again after the next step, until this time.
     Wait(Duration),
-    /// It is refused.
+    /// The request is refused.
     Refused,
 }
 
-/// Messages so far.
+/// Messages exchanged by a limiter since the start.
 #[derive(Clone, Debug, Default)]
 pub struct MessageCount {
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
-    /// Bytes heard by each daemon.
-    pub heard: Vec<u64>,
+    /// Bytes received by each daemon.
+    pub received_bytes: Vec<u64>,
 }
 
-/// One contract enforced at many daemons.
+/// Limiter that enforces one contract across many daemons.
 pub trait ShareLimiter {
-    /// Offers one request at a daemon; `again` when it has waited.
-    fn admit(&mut self, now: Duration, node: usize, again: bool) -> LimiterAnswer;
-    /// Ends one admitted request.
+    /// Offers one request at a daemon. `is_retry` marks a request that has waited before.
+    fn admit(&mut self, now: Duration, node: usize, is_retry: bool) -> LimiterDecision;
+    /// Records the end of one admitted request.
     fn finished(&mut self, now: Duration, node: usize);
-    /// Moves time on.
+    /// Advances the limiter to `now`.
     fn step(&mut self, now: Duration);
-    /// Rate in force in thousandths of a request a second.
+    /// Returns the total rate in force, in thousandths of a request per second.
     fn in_force(&self, now: Duration) -> u64;
-    /// Cuts the daemons into two sides that do not hear each other, or heals the cut.
+    /// Partitions the daemons into two sides that cannot reach each other, or heals the partition
+    /// when `sides` is `None`.
     fn cut(&mut self, now: Duration, sides: Option<Vec<bool>>);
-    /// Stops a daemon, for good or until it is thawed.
+    /// Pauses or resumes a daemon.
     fn pause(&mut self, now: Duration, node: usize, paused: bool);
-    /// The daemon whose loss costs this limiter most.
+    /// Returns the daemon that keeps the largest part of the contract.
     fn keeper(&self) -> usize;
-    /// Messages so far.
-    fn counted(&self) -> MessageCount;
+    /// Returns the messages exchanged so far.
+    fn message_count(&self) -> MessageCount;
 }
 
-/// Builds a limiter for a contract with this rate and concurrency.
+/// Builds a limiter for a contract with this rate, in thousandths of a request per second, and this
+/// concurrency.
 pub fn build(
     kind: LimiterKind,
     count: usize,
@@ -94,14 +97,14 @@
     concurrency: u32,
 ) -> Box<dyn ShareLimiter> {
     match kind {
-        LimiterKind::Leases => Box::new(SharerWorld::new(
+        LimiterKind::Leases => Box::new(LeaseLimiter::new(
             RosterRule::Agreed,
             count,
             rate_millis,
             concurrency,
         )),
-        LimiterKind::LivingRoster => Box::new(SharerWorld::new(
-            RosterRule::Living,
+        LimiterKind::LivingRoster => Box::new(LeaseLimiter::new(
+            RosterRule::LocalView,
             count,
             rate_millis,
             concurrency,
@@ -120,9 +123,9 @@
 
 /// A fixed number of token buckets.
 struct BucketLimiter {
-    /// Rate of each bucket in thousandths of a request a second.
+    /// Rate of each bucket in thousandths of a request per second.
     rate: u128,
-    whole: u64,
+    total_rate: u64,
     buckets: Vec<SimpleBucket>,
 }
 
@@ -134,25 +137,25 @@
         };
         Self {
             rate: u128::from(rate_millis) / count as u128,
-            whole: u64::from(rate_millis),
+            total_rate: u64::from(rate_millis),
             buckets: vec![bucket; count],
         }
     }
 }
 
 impl ShareLimiter for BucketLimiter {
-    fn admit(&mut self, now: Duration, node: usize, _again: bool) -> LimiterAnswer {
-        let place = node.min(self.buckets.len() - 1);
-        let bucket = &mut self.buckets[place];
+    fn admit(&mut self, now: Duration, node: usize, _is_retry: bool) -> LimiterDecision {
+        let index = node.min(self.buckets.len() - 1);
+        let bucket = &mut self.buckets[index];
         let elapsed = now.saturating_sub(bucket.filled_at).as_micros();
         let cap = (self.rate * BURST.as_micros()).max(TOKEN);
         bucket.level = (bucket.level + self.rate * elapsed).min(cap);
         bucket.filled_at = now;
         if bucket.level < TOKEN {
-            return LimiterAnswer::Refused;
+            return LimiterDecision::Refused;
         }
         bucket.level -= TOKEN;
-        LimiterAnswer::Admitted
+        LimiterDecision::Admitted
     }
 
     fn finished(&mut self, _now: Duration, _node: usize) {}
@@ -160,7 +163,7 @@
     fn step(&mut self, _now: Duration) {}
 
     fn in_force(&self, _now: Duration) -> u64 {
-        self.whole
+        self.total_rate
     }
 
     fn cut(&mut self, _now: Duration, _sides: Option<Vec<bool>>) {}
@@ -171,7 +174,7 @@
         0
     }
 
-    fn counted(&self) -> MessageCount {
+    fn message_count(&self) -> MessageCount {
         MessageCount::default()
     }
 }
--- a/crates/lab/src/shares/size.rs
+++ b/crates/lab/src/shares/size.rs
@@ -1,11 +1,11 @@
-//! Sizes of messages as `bincode` writes them with its standard settings.
+//! Sizes of share messages in the `bincode` standard encoding.
 
 use sycamorelink_limits::{AskEntry, GrantEntry, ShareMessage};
 
-/// Head of one frame on a stream.
+/// Bytes of the header of one frame on a stream.
 const FRAME_HEAD: u64 = 9;
 
-/// Bytes of one whole number in variable length.
+/// Returns the bytes of one integer in variable-length encoding.
 const fn varint(value: u64) -> u64 {
     match value {
         0..=250 => 1,
@@ -55,7 +55,7 @@
     varint(grant.customer) + 1 + numbers
 }
 
-/// Bytes of a message in its frame.
+/// Returns the bytes of a message including its frame header.
 pub fn message_size(message: &ShareMessage) -> u64 {
     let body = match message {
         ShareMessage::Ask { layout, entries } => {
--- a/crates/lab/src/shares/storm.rs
+++ b/crates/lab/src/shares/storm.rs
@@ -1,4 +1,4 @@
-//! Retries after a short fault.
+//! Simulation of retry storms after a short fault.
 
 use std::time::Duration;
 
@@ -6,47 +6,47 @@
 use sycamorelink_limits::BudgetSettings;
 
 use super::flood::{capacity, recovery};
-use super::gate_world::{CallerPlan, GateKind, GateWorld, LoadPhase, WorldPlan};
+use super::gate_simulation::{CallerPlan, GateKind, GateSimulation, LoadPhase, SimulationPlan};
 use super::trial::ratio;
 
-/// Backend servers of the service.
+/// Number of backend servers.
 const SERVERS: usize = 4;
-/// Load as part of the capacity.
+/// Load as a fraction of the capacity.
 const LOAD: f64 = 0.7;
-/// When all backend servers turn slow and when they are well again.
-const TRIGGER: (usize, usize) = (10, 15);
-/// How slow.
-const SLOW: f64 = 4.0;
+/// Seconds at which all backend servers become slow and recover.
+const TRIGGER_SECONDS: (usize, usize) = (10, 15);
+/// Factor on the service time while the servers are slow.
+const SLOWDOWN: f64 = 4.0;
 /// End of the run.
 const STORM_END: Duration = Duration::from_mins(1);
 
-/// What retries make of a short fault.
+/// Effect of retries after a short fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct StormRow {
-    /// Admission.
+    /// Kind of admission control.
     pub gate: GateKind,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub tries: u32,
-    /// Whether a budget of a tenth limits them.
+    /// Whether a retry budget of 10% of the requests applies.
     pub budget: bool,
-    /// Attempts for each request in the worst second.
+    /// Attempts per request in the worst second.
     pub amplification: f64,
-    /// Served of the requests of the five seconds after the fault, in percent.
+    /// Requests of the five seconds after the fault that were served, in percent.
     pub after_percent: f64,
     /// Seconds after the fault until 99% are served in every later second.
     pub recovery_seconds: u32,
 }
 
-/// Runs one storm.
+/// Runs one simulation of a retry storm.
 pub fn storm_row(gate: GateKind, tries: u32, budget: bool, seed: u64) -> StormRow {
-    let phase = |until, slow| LoadPhase {
+    let phase = |until, service_factor| LoadPhase {
         until: Duration::from_secs(until),
-        load: 1.0,
-        slow,
+        load_factor: 1.0,
+        service_factor,
     };
-    let (begin, end) = TRIGGER;
+    let (begin, end) = TRIGGER_SECONDS;
     let servers = f64::from(u32::try_from(SERVERS).unwrap_or(1));
-    let plan = WorldPlan {
+    let plan = SimulationPlan {
         gate,
         servers: SERVERS,
         callers: vec![CallerPlan {
@@ -59,12 +59,12 @@
         budget: budget.then(BudgetSettings::default),
         phases: vec![
             phase(begin as u64, 1.0),
-            phase(end as u64, SLOW),
+            phase(end as u64, SLOWDOWN),
             phase(STORM_END.as_secs(), 1.0),
         ],
         seed,
     };
-    let figures = GateWorld::new(plan).run();
+    let figures = GateSimulation::new(plan).run();
     let last = usize::try_from(STORM_END.as_secs()).unwrap_or(0);
     let seconds = &figures.seconds[..last];
     let amplification = seconds
--- a/crates/lab/src/shares/table.rs
+++ b/crates/lab/src/shares/table.rs
@@ -1,4 +1,4 @@
-//! The table of shares, admission and retries.
+//! Execution of the share, admission and retry simulations and rendering of their tables.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,29 +9,29 @@
 use serde::Serialize;
 
 use super::flood::{FloodRow, OverloadRow, flood_row, overload_row};
-use super::gate_world::GateKind;
+use super::gate_simulation::GateKind;
 use super::limiter::LimiterKind;
 use super::storm::{StormRow, storm_row};
 use super::traffic::{TrafficRow, traffic_row};
-use super::trial::{ShareRow, ShareTrial, SharerFault};
+use super::trial::{ShareFault, ShareRow, ShareTrial};
 
-/// What to run.
+/// Simulations to run and their parameters.
 #[derive(Clone, Debug)]
 pub struct ShareOptions {
-    /// Numbers of daemons, each with the contract's rate.
+    /// Fleet sizes, each with the contracted rate in requests per second.
     pub fleets: Vec<(usize, u32)>,
-    /// Sizes of fleets in which the cost of leases is counted.
+    /// Fleet sizes for which the message cost of leases is measured.
     pub traffic: Vec<usize>,
-    /// Length of the flood runs.
+    /// Virtual time of the flood runs.
     pub flood: Duration,
-    /// Threads for the share rows.
+    /// Number of worker threads for the share rows.
     pub threads: usize,
-    /// Seed.
+    /// Seed of all simulations.
     pub seed: u64,
 }
 
 impl ShareOptions {
-    /// The small table for continuous integration.
+    /// Returns the options of the quick table for continuous integration.
     #[must_use]
     pub fn quick() -> Self {
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The whole table for the page.
+    /// Returns the options of the full table in the documentation.
     #[must_use]
     pub fn full() -> Self {
         Self {
@@ -56,26 +56,26 @@
     }
 }
 
-/// All rows.
+/// Results of all simulations.
 #[derive(Clone, Debug, Serialize)]
 pub struct ShareTable {
-    /// Shares of one contract.
+    /// Enforcement of one contract under faults.
     pub shares: Vec<ShareRow>,
-    /// Cost of leases at one node.
+    /// Message cost of leases at one node.
     pub traffic: Vec<TrafficRow>,
-    /// One customer's flood.
+    /// Effect of one customer's flood on others.
     pub floods: Vec<FloodRow>,
-    /// More load than capacity.
+    /// Behaviour under load above the capacity.
     pub overloads: Vec<OverloadRow>,
-    /// Retries after a short fault.
+    /// Effect of retries after a short fault.
     pub storms: Vec<StormRow>,
 }
 
-/// Runs the table.
+/// Runs all simulations.
 ///
 /// # Panics
 ///
-/// When a trial panics, which is a fault of the code under test.
+/// Panics when a trial panics, which indicates a bug in the code under test.
 #[must_use]
 pub fn run_table(options: &ShareOptions) -> ShareTable {
     let shares = share_rows(options);
@@ -101,11 +101,11 @@
     }
 }
 
-/// Runs the share trials on a few threads; their order in the table is always the same.
+/// Runs the share trials on several threads; the order of the rows does not depend on the threads.
 fn share_rows(options: &ShareOptions) -> Vec<ShareRow> {
     let mut trials = Vec::new();
     for (count, rate) in &options.fleets {
-        for fault in SharerFault::ALL {
+        for fault in ShareFault::ALL {
             trials.extend(LimiterKind::ALL.map(|kind| (kind, fault, *count, *rate)));
         }
     }
@@ -130,16 +130,16 @@
 }
 
 impl ShareTable {
-    /// The table as JSON.
+    /// Renders the table as JSON.
     ///
     /// # Errors
     ///
-    /// Those of `serde_json`, which plain numbers do not cause.
+    /// Returns the errors of `serde_json`, which plain numbers do not cause.
     pub fn to_json(&self) -> serde_json::Result<String> {
         serde_json::to_string_pretty(self)
     }
 
-    /// The table as text.
+    /// Renders the table as Markdown.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
--- a/crates/lab/src/shares/traffic.rs
+++ b/crates/lab/src/shares/traffic.rs
@@ -1,4 +1,4 @@
-//! What leases cost a node that serves many small customers of a large fleet.
+//! Message cost of leases for a node that serves many small customers in a large fleet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,41 +13,42 @@
     ShareNode, ShareSettings,
 };
 
-use super::sharers::members;
+use super::lease_limiter::members;
 use super::size::message_size;
 use super::trial::{percent, ratio};
 
-/// Nodes that have callers; the others are keepers only.
+/// Number of nodes with callers (lease holders); the other nodes only act as keepers.
 const HOLDERS: usize = 4;
-/// Customers of each such node, about one for each of its connections.
+/// Number of customers of each holder, about one per connection.
 const CUSTOMERS: usize = 390;
-/// Requests a second of each such node.
+/// Requests per second at each holder.
 const RATE: u32 = 391;
-/// Rate of each contract, in thousandths of a request a second.
+/// Rate of each contract, in thousandths of a request per second.
 const CONTRACT_MILLIS: u32 = 50_000;
 /// Concurrency of each contract.
 const CONCURRENCY: u32 = 20;
 /// Step of the clock.
 const STEP: Duration = Duration::from_millis(10);
-/// Start of what is counted.
+/// Time from which messages are counted.
 const COUNT_FROM: Duration = Duration::from_secs(30);
 /// End of the run.
 const RUN_END: Duration = Duration::from_secs(150);
 
-/// Cost of leases at one node.
+/// Message cost of leases at one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct TrafficRow {
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// Customers of the node.
+    /// Number of customers of the node.
     pub customers: usize,
-    /// Requests a second of the node.
+    /// Requests per second at the node.
     pub rate: u32,
-    /// Messages sent and heard a second, as holder.
+    /// Messages sent and received per second as a holder.
     pub messages_per_second: f64,
-    /// Bytes of asks sent a second. Every node hears as much as keeper on average.
+    /// Bytes of lease requests sent per second. On average every node receives the same amount as a
+    /// keeper.
     pub asks_per_second: f64,
-    /// Bytes of grants heard a second.
+    /// Bytes of grants received per second.
     pub grants_per_second: f64,
     /// Requests that waited, in percent.
     pub waited_percent: f64,
@@ -65,34 +66,34 @@
     refused: u64,
 }
 
-struct TrafficWorld {
+struct TrafficSimulation {
     now: Duration,
     nodes: Vec<ShareNode>,
-    places: BTreeMap<InstanceId, usize>,
+    indices: BTreeMap<InstanceId, usize>,
     members: Vec<ShareMember>,
     queue: Vec<(usize, InstanceId, ShareMessage)>,
     waiting: Vec<(usize, CustomerIndex, Duration)>,
     count: TrafficCount,
 }
 
-impl TrafficWorld {
+impl TrafficSimulation {
     fn new(count: usize) -> Self {
         let members = members(count);
         let all: Arc<[ShareMember]> = members.iter().cloned().collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
-            places: BTreeMap::new(),
+            indices: BTreeMap::new(),
             members,
             queue: Vec::new(),
             waiting: Vec::new(),
             count: TrafficCount::default(),
         };
         for number in 0..count {
-            let own = world.members[number].instance;
+            let own = simulation.members[number].instance;
             let mut node = ShareNode::new(own, ShareSettings::default());
             for customer in 0..HOLDERS * CUSTOMERS {
-                let event = contract(customer);
+                let event = contract_event(customer);
                 node.handle(Duration::ZERO, event, &mut Vec::new());
             }
             let event = ShareEvent::Roster {
@@ -101,13 +102,13 @@
                 settled: 1,
             };
             node.handle(Duration::ZERO, event, &mut Vec::new());
-            world.nodes.push(node);
-            world.places.insert(own, number);
+            simulation.nodes.push(node);
+            simulation.indices.insert(own, number);
         }
-        world
+        simulation
     }
 
-    fn carry(&mut self, from: usize, out: Vec<ShareCommand>) {
+    fn execute_commands(&mut self, from: usize, out: Vec<ShareCommand>) {
         let counts = self.now >= COUNT_FROM;
         for command in out {
             let ShareCommand::Send { to, message } = command else {
@@ -122,11 +123,11 @@
                 }
             }
             let from = self.members[from].instance;
-            self.queue.push((self.places[&to], from, message));
+            self.queue.push((self.indices[&to], from, message));
         }
     }
 
-    fn request(&mut self, holder: usize, index: CustomerIndex) {
+    fn offer(&mut self, holder: usize, index: CustomerIndex) {
         self.count.offered += 1;
         match self.nodes[holder].admit(self.now, index) {
             Admission::Admitted => self.nodes[holder].finished(self.now, index),
@@ -138,10 +139,10 @@
         }
     }
 
-    fn ask_again(&mut self) {
+    fn retry_waiting(&mut self) {
         for (holder, index, until) in std::mem::take(&mut self.waiting) {
-            let again = self.nodes[holder].admit_again(self.now, index);
-            if again == Admission::Admitted {
+            let admission = self.nodes[holder].admit_again(self.now, index);
+            if admission == Admission::Admitted {
                 self.nodes[holder].finished(self.now, index);
             } else if self.now >= until {
                 self.count.refused += 1;
@@ -157,18 +158,18 @@
             let mut out = Vec::new();
             let event = ShareEvent::Received { from, message };
             self.nodes[target].handle(self.now, event, &mut out);
-            self.carry(target, out);
+            self.execute_commands(target, out);
         }
-        self.ask_again();
+        self.retry_waiting();
         for holder in 0..HOLDERS {
             let mut out = Vec::new();
             self.nodes[holder].tick(self.now, &mut out);
-            self.carry(holder, out);
+            self.execute_commands(holder, out);
         }
     }
 }
 
-fn contract(customer: usize) -> ShareEvent {
+fn contract_event(customer: usize) -> ShareEvent {
     ShareEvent::Contract {
         index: CustomerIndex(u32::try_from(customer).unwrap_or(0)),
         limit: CustomerLimit {
@@ -179,33 +180,33 @@
     }
 }
 
-/// Runs one node's customers in a fleet of `count` nodes.
+/// Runs the simulation in a fleet of `count` nodes.
 pub fn traffic_row(count: usize, seed: u64) -> TrafficRow {
-    let mut world = TrafficWorld::new(count);
+    let mut simulation = TrafficSimulation::new(count);
     let mut rng = SmallRng::seed_from_u64(seed);
     let per_step = f64::from(RATE) * STEP.as_secs_f64();
-    while world.now < RUN_END {
-        world.step();
+    while simulation.now < RUN_END {
+        simulation.step();
         for holder in 0..HOLDERS {
             let mut left = per_step;
             while left > 0.0 && rng.random_bool(left.min(1.0)) {
                 left -= 1.0;
                 let customer = holder * CUSTOMERS + rng.random_range(0..CUSTOMERS);
                 let index = CustomerIndex(u32::try_from(customer).unwrap_or(0));
-                world.request(holder, index);
+                simulation.offer(holder, index);
             }
         }
     }
     let seconds = RUN_END.saturating_sub(COUNT_FROM).as_secs() * HOLDERS as u64;
-    let count_of = &world.count;
+    let counts = &simulation.count;
     TrafficRow {
         nodes: count,
         customers: CUSTOMERS,
         rate: RATE,
-        messages_per_second: ratio(count_of.messages, seconds),
-        asks_per_second: ratio(count_of.asks, seconds),
-        grants_per_second: ratio(count_of.grants, seconds),
-        waited_percent: percent(count_of.waited, count_of.offered),
-        refused_percent: percent(count_of.refused, count_of.offered),
+        messages_per_second: ratio(counts.messages, seconds),
+        asks_per_second: ratio(counts.asks, seconds),
+        grants_per_second: ratio(counts.grants, seconds),
+        waited_percent: percent(counts.waited, counts.offered),
+        refused_percent: percent(counts.refused, counts.offered),
     }
 }
--- a/crates/lab/src/shares/trial.rs
+++ b/crates/lab/src/shares/trial.rs
@@ -1,4 +1,4 @@
-//! One share trial: demand, one fault, and what callers got.
+//! Trial of one limiter: seeded demand, one fault, and the resulting admissions.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,51 +6,53 @@
 use serde::Serialize;
 
 use super::demand::ZipfDemand;
-use super::limiter::{LimiterAnswer, LimiterKind, ShareLimiter, build};
+use super::limiter::{LimiterDecision, LimiterKind, ShareLimiter, build};
 
-/// Step of the clock.
+/// Step of the virtual clock.
 const STEP: Duration = Duration::from_millis(10);
 /// Steps in a second.
 const STEPS_PER_SECOND: u32 = 100;
-/// How long an admitted request runs, in steps.
+/// Duration of an admitted request, in steps.
 const RUN_STEPS: usize = 5;
-/// When the fault begins.
+/// Time at which the fault begins.
 const FAULT_AT: Duration = Duration::from_secs(20);
-/// When a fault that ends has ended.
+/// Time at which a temporary fault ends.
 const FAULT_END: Duration = Duration::from_secs(50);
 /// End of the trial.
 const TRIAL_END: Duration = Duration::from_secs(70);
-/// Seconds over which admissions are compared with the contract.
+/// Window in seconds over which admissions are compared with the contract.
 const WINDOW: usize = 5;
-/// Part refused in a second above which callers count as starved, in percent.
+/// Percentage of refused requests above which a second counts as starved.
 const STARVED_PERCENT: u64 = 5;
 
-/// A fault of a share trial.
+/// Fault injected into a share trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SharerFault {
-    /// None.
+pub enum ShareFault {
+    /// No fault.
     None,
-    /// All callers move: every ten seconds other daemons are the busy ones.
+    /// Callers move: the busiest daemons change every ten seconds.
     CallersMove,
-    /// The busiest daemon is lost for good; its callers go to the others.
+    /// One daemon stops permanently; its callers move to the next daemon.
     OneLost,
-    /// Half of the failure domains do not hear the other half for 30 s.
+    /// Half of the failure domains cannot reach the other half for 30 s.
     HalfCut,
-    /// A random half does not hear the other for 30 s.
+    /// A random half of the daemons cannot reach the other half for 30 s.
     RandomCut,
-    /// The daemon that keeps most of the contract is lost for good.
+    /// The daemon that keeps the largest part of the contract stops permanently.
     KeeperLost,
-    /// The daemon that keeps most is paused for 30 s, longer than its leases, and thawed.
+    /// The daemon that keeps the largest part is paused for 30 s, longer than its leases, and then
+    /// resumes.
     KeeperPaused,
     /// Demand is one and a half times the contract.
     Overload,
-    /// The same, while half of the failure domains do not hear the other half for 30 s.
+    /// Demand is one and a half times the contract while half of the failure domains cannot reach
+    /// the other half for 30 s.
     CutOverload,
 }
 
-impl SharerFault {
-    /// All, in the order of the table.
+impl ShareFault {
+    /// All faults, in the order of the table.
     pub const ALL: [Self; 9] = [
         Self::None,
         Self::CallersMove,
@@ -63,7 +65,7 @@
         Self::CutOverload,
     ];
 
-    /// The name in the table.
+    /// Returns the name printed in the table.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Demand as part of the contract.
+    /// Returns the demand as a fraction of the contract.
     const fn load(self) -> f64 {
         match self {
             Self::Overload | Self::CutOverload => 1.5,
@@ -88,34 +90,35 @@
     }
 }
 
-/// What callers got in one trial.
+/// Result of one trial.
 #[derive(Clone, Debug, Serialize)]
 pub struct ShareRow {
-    /// The limiter.
+    /// Algorithm that enforced the contract.
     pub limiter: LimiterKind,
-    /// The fault.
-    pub fault: SharerFault,
-    /// Daemons.
+    /// Injected fault.
+    pub fault: ShareFault,
+    /// Number of daemons.
     pub sharers: usize,
-    /// Most rate in force at once, in percent of the contract.
+    /// Highest total rate in force at any time, in percent of the contract.
     pub in_force_percent: f64,
-    /// Most admitted within 5 s beyond the contract and one second's burst, in percent.
+    /// Most admissions within 5 s beyond the contract and one second's burst, in percent of that
+    /// allowance.
     pub overshoot_percent: f64,
     /// Admitted after the fault began, in percent of the contract.
     pub used_percent: f64,
     /// Refused after the fault began, in percent of what was offered.
     pub refused_percent: f64,
-    /// Refused in the worst second after the fault began, in percent.
+    /// Refused requests in the worst second after the fault began, in percent.
     pub worst_percent: f64,
     /// Seconds after the fault began in which more than 5% were refused.
     pub starved_seconds: u32,
     /// Requests that waited for a lease or token, in percent.
     pub waited_percent: f64,
-    /// Messages each daemon sent a second, on average.
+    /// Messages sent per second, mean over the daemons.
     pub messages_per_second: f64,
-    /// Bytes each daemon heard a second, on average.
+    /// Bytes received per second, mean over the daemons.
     pub heard_per_second: f64,
-    /// Bytes a second of the daemon that heard most.
+    /// Bytes received per second by the daemon that received the most.
     pub most_heard_per_second: f64,
 }
 
@@ -128,11 +131,11 @@
     waited: u64,
 }
 
-/// One trial in progress.
+/// State of one trial.
 pub struct ShareTrial {
-    fault: SharerFault,
+    fault: ShareFault,
     kind: LimiterKind,
-    count: usize,
+    daemon_count: usize,
     rate: u32,
     now: Duration,
     limiter: Box<dyn ShareLimiter>,
@@ -141,122 +144,135 @@
     waiting: Vec<(usize, Duration)>,
     running: VecDeque<Vec<usize>>,
     seconds: Vec<SecondCount>,
-    most_in_force: u64,
+    max_in_force: u64,
 }
 
 impl ShareTrial {
-    /// Sets a trial up. `rate` is the contract in requests a second.
-    pub fn new(kind: LimiterKind, fault: SharerFault, count: usize, rate: u32, seed: u64) -> Self {
+    /// Creates a trial. `rate` is the contracted rate in requests per second.
+    pub fn new(
+        kind: LimiterKind,
+        fault: ShareFault,
+        daemon_count: usize,
+        rate: u32,
+        seed: u64,
+    ) -> Self {
         let per_step = f64::from(rate) * fault.load() / f64::from(STEPS_PER_SECOND);
         Self {
             fault,
             kind,
-            count,
+            daemon_count,
             rate,
             now: Duration::ZERO,
-            limiter: build(kind, count, rate * 1000, rate / 5),
-            demand: ZipfDemand::new(seed, count, per_step, fault == SharerFault::CallersMove),
-            down: vec![false; count],
+            limiter: build(kind, daemon_count, rate * 1000, rate / 5),
+            demand: ZipfDemand::new(
+                seed,
+                daemon_count,
+                per_step,
+                fault == ShareFault::CallersMove,
+            ),
+            down: vec![false; daemon_count],
             waiting: Vec::new(),
             running: (0..RUN_STEPS).map(|_| Vec::new()).collect(),
             seconds: Vec::new(),
-            most_in_force: 0,
+            max_in_force: 0,
         }
     }
 
-    /// Runs the trial.
+    /// Runs the trial to its end.
     pub fn run(mut self) -> ShareRow {
         let mut arrivals = Vec::new();
         while self.now < TRIAL_END {
             self.now += STEP;
             let second = usize::try_from(self.now.as_secs()).unwrap_or(0);
             self.seconds.resize(second + 1, SecondCount::default());
-            self.inject();
+            self.inject_fault();
             self.limiter.step(self.now);
             self.end_running();
-            self.ask_again();
+            self.retry_waiting();
             arrivals.clear();
             self.demand.step(self.now, &mut arrivals);
             for node in &arrivals {
                 self.offer(*node);
             }
-            self.most_in_force = self.most_in_force.max(self.limiter.in_force(self.now));
+            self.max_in_force = self.max_in_force.max(self.limiter.in_force(self.now));
         }
         self.row()
     }
 
-    fn inject(&mut self) {
+    fn inject_fault(&mut self) {
         let begins = self.now == FAULT_AT;
         let ends = self.now == FAULT_END;
         let now = self.now;
         match self.fault {
-            SharerFault::OneLost if begins => self.lose(self.count / 2),
-            SharerFault::KeeperLost | SharerFault::KeeperPaused if begins => {
-                self.lose(self.limiter.keeper());
+            ShareFault::OneLost if begins => self.stop_daemon(self.daemon_count / 2),
+            ShareFault::KeeperLost | ShareFault::KeeperPaused if begins => {
+                self.stop_daemon(self.limiter.keeper());
             }
-            SharerFault::KeeperPaused if ends => {
+            ShareFault::KeeperPaused if ends => {
                 let keeper = self.limiter.keeper();
                 self.down[keeper] = false;
                 self.limiter.pause(now, keeper, false);
             }
-            SharerFault::HalfCut | SharerFault::CutOverload if begins => {
-                let sides = (0..self.count).map(|node| node % 4 < 2).collect();
+            ShareFault::HalfCut | ShareFault::CutOverload if begins => {
+                let sides = (0..self.daemon_count).map(|node| node % 4 < 2).collect();
                 self.limiter.cut(now, Some(sides));
             }
-            SharerFault::RandomCut if begins => {
-                let mixed = |node: usize| (node * 2_654_435_761) >> 7;
-                let sides = (0..self.count).map(|node| mixed(node) % 2 == 0).collect();
+            ShareFault::RandomCut if begins => {
+                let hash = |node: usize| (node * 2_654_435_761) >> 7;
+                let sides = (0..self.daemon_count)
+                    .map(|node| hash(node) % 2 == 0)
+                    .collect();
                 self.limiter.cut(now, Some(sides));
             }
-            SharerFault::HalfCut | SharerFault::CutOverload | SharerFault::RandomCut if ends => {
+            ShareFault::HalfCut | ShareFault::CutOverload | ShareFault::RandomCut if ends => {
                 self.limiter.cut(now, None);
             }
             _ => {}
         }
     }
 
-    fn lose(&mut self, node: usize) {
+    fn stop_daemon(&mut self, node: usize) {
         self.down[node] = true;
         self.limiter.pause(self.now, node, true);
     }
 
-    fn count(&mut self) -> &mut SecondCount {
-        self.seconds.last_mut().expect("a second has begun")
+    fn current_second(&mut self) -> &mut SecondCount {
+        self.seconds.last_mut().expect("the first second has begun")
     }
 
-    /// Callers of a daemon that is down go to the next one.
+    /// Offers one request; callers of a stopped daemon use the next one.
     fn offer(&mut self, node: usize) {
         let node = if self.down[node] {
-            (node + 1) % self.count
+            (node + 1) % self.daemon_count
         } else {
             node
         };
-        self.count().offered += 1;
+        self.current_second().offered += 1;
         match self.limiter.admit(self.now, node, false) {
-            LimiterAnswer::Admitted => self.admitted(node),
-            LimiterAnswer::Refused => self.count().refused += 1,
-            LimiterAnswer::Wait(until) => {
-                self.count().waited += 1;
+            LimiterDecision::Admitted => self.admitted(node),
+            LimiterDecision::Refused => self.current_second().refused += 1,
+            LimiterDecision::Wait(until) => {
+                self.current_second().waited += 1;
                 self.waiting.push((node, until));
             }
         }
     }
 
     fn admitted(&mut self, node: usize) {
-        self.count().admitted += 1;
+        self.current_second().admitted += 1;
         if let Some(last) = self.running.back_mut() {
             last.push(node);
         }
     }
 
-    /// Tries the requests that wait, in order.
-    fn ask_again(&mut self) {
+    /// Offers the waiting requests again, in order.
+    fn retry_waiting(&mut self) {
         let waiting = std::mem::take(&mut self.waiting);
         for (node, until) in waiting {
-            if self.limiter.admit(self.now, node, true) == LimiterAnswer::Admitted {
+            if self.limiter.admit(self.now, node, true) == LimiterDecision::Admitted {
                 self.admitted(node);
             } else if self.now >= until {
-                self.count().refused += 1;
+                self.current_second().refused += 1;
             } else {
                 self.waiting.push((node, until));
             }
@@ -285,30 +301,36 @@
             .iter()
             .filter(|second| second.refused * 100 > second.offered * STARVED_PERCENT)
             .count();
-        let counted = self.limiter.counted();
-        let heard: u64 = counted.heard.iter().sum();
-        let most = counted.heard.iter().copied().max().unwrap_or(0);
+        let message_count = self.limiter.message_count();
+        let received_bytes: u64 = message_count.received_bytes.iter().sum();
+        let most = message_count
+            .received_bytes
+            .iter()
+            .copied()
+            .max()
+            .unwrap_or(0);
         let seconds = TRIAL_END.as_secs();
         let contract = u64::from(self.rate) * after.len() as u64;
-        let each = seconds * self.count as u64;
+        let daemon_seconds = seconds * self.daemon_count as u64;
         ShareRow {
             limiter: self.kind,
             fault: self.fault,
-            sharers: self.count,
-            in_force_percent: percent(self.most_in_force, u64::from(self.rate) * 1000),
+            sharers: self.daemon_count,
+            in_force_percent: percent(self.max_in_force, u64::from(self.rate) * 1000),
             overshoot_percent: self.overshoot(),
             used_percent: percent(admitted, contract),
             refused_percent: percent(refused, offered),
             worst_percent: after.iter().map(refused_of).fold(0.0, f64::max),
             starved_seconds: u32::try_from(starved).unwrap_or(u32::MAX),
             waited_percent: percent(waited, offered),
-            messages_per_second: ratio(counted.messages, each),
-            heard_per_second: ratio(heard, each),
+            messages_per_second: ratio(message_count.messages, daemon_seconds),
+            heard_per_second: ratio(received_bytes, daemon_seconds),
             most_heard_per_second: ratio(most, seconds),
         }
     }
 
-    /// Most admitted within the window beyond what the contract allows with one burst.
+    /// Returns the largest excess of admissions within [`WINDOW`] over the contract with one burst,
+    /// in percent.
     fn overshoot(&self) -> f64 {
         let allowed = u64::from(self.rate) * (WINDOW as u64 + 1);
         let most = self
@@ -321,12 +343,12 @@
     }
 }
 
-/// `part` of `whole` in percent.
+/// Returns `part` of `whole` in percent.
 pub fn percent(part: u64, whole: u64) -> f64 {
     ratio(part * 100, whole)
 }
 
-/// `part` divided by `whole`, zero when there is no whole.
+/// Returns `part` divided by `whole`, or zero when `whole` is zero.
 pub fn ratio(part: u64, whole: u64) -> f64 {
     let part = u32::try_from(part).map_or(f64::INFINITY, f64::from);
     let whole = u32::try_from(whole).map_or(f64::INFINITY, f64::from);
--- a/crates/lab/src/situations/baselines.rs
+++ b/crates/lab/src/situations/baselines.rs
@@ -1,6 +1,6 @@
-//! Baselines in their published form.
+//! Published load-balancing and outlier-ejection algorithms used as baselines.
 //!
-//! None of them exchanges evidence: each daemon goes by its own requests, as published.
+//! None of them exchanges evidence: each daemon uses only its own requests, as published.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 use sycamorelink_policy::{SampleKind, UpstreamFacts, UpstreamPhase, UpstreamSample};
 
 use super::chooser::{ChooserNotice, UpstreamChooser};
-use super::fleet::count;
+use super::services::to_f64;
 
-/// Errors in a row that eject a host.
+/// Number of consecutive errors that ejects a host.
 const CONSECUTIVE_ERRORS: u32 = 5;
 
-/// First ejection; the n-th lasts n times as long.
+/// Duration of a host's first ejection; the n-th lasts n times as long.
 const EJECTION_TIME: Duration = Duration::from_secs(30);
 
-/// Largest share of hosts ejected at once; one host may always be.
-const EJECTED_SHARE: f64 = 0.1;
+/// Largest share of hosts ejected at the same time; one host may always be ejected.
+const MAX_EJECTED_SHARE: f64 = 0.1;
 
 /// Interval of the success-rate test.
 const RATE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Least requests of a host in an interval.
-const RATE_VOLUME: u32 = 100;
+/// Minimum number of requests per interval for a host to be included in the success-rate test.
+const RATE_MIN_REQUESTS: u32 = 100;
 
-/// Least hosts with enough requests.
-const RATE_HOSTS: usize = 5;
+/// Minimum number of included hosts for the success-rate test to run.
+const RATE_MIN_HOSTS: usize = 5;
 
-/// Standard deviations below the mean.
-const RATE_FACTOR: f64 = 1.9;
+/// Number of standard deviations below the mean success rate at which a host is ejected.
+const RATE_DEVIATIONS: f64 = 1.9;
 
 /// Time constant of the peak EWMA in seconds.
-const PEAK_DECAY: f64 = 10.0;
+const PEAK_TIME_CONSTANT: f64 = 10.0;
 
-/// Whether a host counts a reply as an error.
+/// Returns whether a reply counts as an error.
 const fn is_error(kind: SampleKind) -> bool {
     matches!(
         kind,
@@ -49,30 +49,30 @@
     )
 }
 
-/// How hosts are ejected.
+/// Rule that decides when a host is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionRule {
     /// Never.
     Never,
-    /// After five errors in a row.
+    /// After five consecutive errors.
     Consecutive,
-    /// By the success rate: mean minus 1.9 standard deviations.
+    /// When the success rate is more than 1.9 standard deviations below the mean.
     SuccessRate,
 }
 
 #[derive(Clone, Debug)]
 struct HostState {
     ready: bool,
-    in_row: u32,
+    consecutive_errors: u32,
     served: u32,
     failed: u32,
     ejections: u32,
-    until: Option<Duration>,
+    ejected_until: Option<Duration>,
 }
 
-/// Round robin, with or without ejection.
+/// Round-robin balancer with optional outlier ejection.
 #[derive(Debug)]
-pub struct RobinChooser {
+pub struct RoundRobinChooser {
     rule: EjectionRule,
     hosts: BTreeMap<UpstreamId, HostState>,
     order: Vec<UpstreamId>,
@@ -81,8 +81,8 @@
     notices: Vec<ChooserNotice>,
 }
 
-impl RobinChooser {
-    /// A round robin that starts at a place given by the seed.
+impl RoundRobinChooser {
+    /// Creates a balancer whose first host is derived from the seed.
     #[must_use]
     pub fn new(rule: EjectionRule, seed: u64) -> Self {
         Self {
@@ -99,25 +99,25 @@
         let ejected = self
             .hosts
             .values()
-            .filter(|host| host.until.is_some())
+            .filter(|host| host.ejected_until.is_some())
             .count();
-        let most = (count(self.hosts.len()) * EJECTED_SHARE).max(1.0);
-        if count(ejected) + 1.0 > most {
+        let max_ejected = (to_f64(self.hosts.len()) * MAX_EJECTED_SHARE).max(1.0);
+        if to_f64(ejected) + 1.0 > max_ejected {
             return;
         }
         if let Some(host) = self.hosts.get_mut(&id) {
             host.ejections += 1;
-            host.until = Some(now + EJECTION_TIME * host.ejections);
-            host.in_row = 0;
+            host.ejected_until = Some(now + EJECTION_TIME * host.ejections);
+            host.consecutive_errors = 0;
             self.notices.push(ChooserNotice::Ejected(id));
         }
     }
 
-    fn judge_rates(&mut self, now: Duration) {
+    fn eject_by_success_rate(&mut self, now: Duration) {
         let rates: Vec<(UpstreamId, f64)> = self
             .hosts
             .iter()
-            .filter(|(_, host)| host.served + host.failed >= RATE_VOLUME)
+            .filter(|(_, host)| host.served + host.failed >= RATE_MIN_REQUESTS)
             .map(|(id, host)| {
                 let all = f64::from(host.served + host.failed);
                 (*id, f64::from(host.served) / all)
@@ -127,26 +127,26 @@
             host.served = 0;
             host.failed = 0;
         }
-        if rates.len() < RATE_HOSTS {
+        if rates.len() < RATE_MIN_HOSTS {
             return;
         }
-        let hosts = count(rates.len());
+        let hosts = to_f64(rates.len());
         let mean = rates.iter().map(|(_, rate)| rate).sum::<f64>() / hosts;
         let variance = rates
             .iter()
             .map(|(_, rate)| (rate - mean).powi(2))
             .sum::<f64>()
             / hosts;
-        let least = mean - RATE_FACTOR * variance.sqrt();
+        let threshold = mean - RATE_DEVIATIONS * variance.sqrt();
         for (id, rate) in rates {
-            if rate < least {
+            if rate < threshold {
                 self.eject(now, id);
             }
         }
     }
 }
 
-impl UpstreamChooser for RobinChooser {
+impl UpstreamChooser for RoundRobinChooser {
     fn upsert(&mut self, _now: Duration, id: UpstreamId, facts: &UpstreamFacts) {
         let ready = facts.phase == UpstreamPhase::Ready;
         if let Some(host) = self.hosts.get_mut(&id) {
@@ -156,11 +156,11 @@
         self.order.push(id);
         let host = HostState {
             ready,
-            in_row: 0,
+            consecutive_errors: 0,
             served: 0,
             failed: 0,
             ejections: 0,
-            until: None,
+            ejected_until: None,
         };
         self.hosts.insert(id, host);
     }
@@ -170,7 +170,7 @@
             let id = self.order[self.next % self.order.len()];
             self.next = self.next.wrapping_add(1);
             let host = &self.hosts[&id];
-            if host.ready && host.until.is_none() && !exclude.contains(&id) {
+            if host.ready && host.ejected_until.is_none() && !exclude.contains(&id) {
                 return Some(id);
             }
         }
@@ -184,28 +184,32 @@
             return;
         };
         if is_error(sample.kind) {
-            host.in_row += 1;
+            host.consecutive_errors += 1;
             host.failed += 1;
         } else if sample.kind == SampleKind::Served {
-            host.in_row = 0;
+            host.consecutive_errors = 0;
             host.served += 1;
         }
-        let over = host.in_row >= CONSECUTIVE_ERRORS && host.until.is_none();
-        if over && self.rule == EjectionRule::Consecutive {
+        let limit_reached =
+            host.consecutive_errors >= CONSECUTIVE_ERRORS && host.ejected_until.is_none();
+        if limit_reached && self.rule == EjectionRule::Consecutive {
             self.eject(now, id);
         }
     }
 
     fn tick(&mut self, now: Duration, notices: &mut Vec<ChooserNotice>) {
         for host in self.hosts.values_mut() {
-            if host.until.is_some_and(|until| now >= until) {
-                host.until = None;
+            if host
+                .ejected_until
+                .is_some_and(|ejected_until| now >= ejected_until)
+            {
+                host.ejected_until = None;
             }
         }
         if now >= self.interval_end {
             self.interval_end = now + RATE_INTERVAL;
             if self.rule == EjectionRule::SuccessRate {
-                self.judge_rates(now);
+                self.eject_by_success_rate(now);
             }
         }
         notices.append(&mut self.notices);
@@ -213,75 +217,77 @@
 
     fn weight(&self, id: UpstreamId) -> f64 {
         let host = self.hosts.get(&id);
-        f64::from(u8::from(host.is_some_and(|host| host.until.is_none())))
+        f64::from(u8::from(
+            host.is_some_and(|host| host.ejected_until.is_none()),
+        ))
     }
 }
 
-/// How the better of two choices is told.
+/// Metric that decides between two randomly drawn hosts; the lower value wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChoiceCost {
-    /// Requests in flight.
+pub enum LoadMetric {
+    /// Number of requests in flight.
     Outstanding,
     /// Peak-sensitive average latency times requests in flight plus one.
     PeakEwma,
 }
 
 #[derive(Clone, Debug)]
-struct ChoiceState {
+struct HostLoad {
     ready: bool,
     outstanding: u32,
     average: f64,
-    stamped: Duration,
+    updated_at: Duration,
 }
 
-/// Power of two choices.
+/// Power-of-two-choices balancer.
 #[derive(Debug)]
-pub struct ChoiceChooser {
-    cost: ChoiceCost,
-    random: SmallRng,
-    hosts: BTreeMap<UpstreamId, ChoiceState>,
+pub struct TwoChoicesChooser {
+    metric: LoadMetric,
+    rng: SmallRng,
+    hosts: BTreeMap<UpstreamId, HostLoad>,
     order: Vec<UpstreamId>,
 }
 
-impl ChoiceChooser {
-    /// A chooser by this cost.
+impl TwoChoicesChooser {
+    /// Creates a balancer that compares hosts by this metric.
     #[must_use]
-    pub fn new(cost: ChoiceCost, seed: u64) -> Self {
+    pub fn new(metric: LoadMetric, seed: u64) -> Self {
         Self {
-            cost,
-            random: SmallRng::seed_from_u64(seed),
+            metric,
+            rng: SmallRng::seed_from_u64(seed),
             hosts: BTreeMap::new(),
             order: Vec::new(),
         }
     }
 
     fn draw(&mut self, exclude: &[UpstreamId]) -> Option<UpstreamId> {
-        let open: Vec<UpstreamId> = self
+        let eligible: Vec<UpstreamId> = self
             .order
             .iter()
             .filter(|id| self.hosts[id].ready && !exclude.contains(id))
             .copied()
             .collect();
-        if open.is_empty() {
+        if eligible.is_empty() {
             return None;
         }
-        Some(open[self.random.random_range(0..open.len())])
+        Some(eligible[self.rng.random_range(0..eligible.len())])
     }
 
-    fn cost_of(&self, now: Duration, id: UpstreamId) -> f64 {
+    fn load_of(&self, now: Duration, id: UpstreamId) -> f64 {
         let host = &self.hosts[&id];
         let outstanding = f64::from(host.outstanding);
-        match self.cost {
-            ChoiceCost::Outstanding => outstanding,
-            ChoiceCost::PeakEwma => {
-                let age = now.saturating_sub(host.stamped).as_secs_f64();
-                host.average * (-age / PEAK_DECAY).exp() * (outstanding + 1.0)
+        match self.metric {
+            LoadMetric::Outstanding => outstanding,
+            LoadMetric::PeakEwma => {
+                let age = now.saturating_sub(host.updated_at).as_secs_f64();
+                host.average * (-age / PEAK_TIME_CONSTANT).exp() * (outstanding + 1.0)
             }
         }
     }
 }
 
-impl UpstreamChooser for ChoiceChooser {
+impl UpstreamChooser for TwoChoicesChooser {
     fn upsert(&mut self, now: Duration, id: UpstreamId, facts: &UpstreamFacts) {
         let ready = facts.phase == UpstreamPhase::Ready;
         if let Some(host) = self.hosts.get_mut(&id) {
@@ -289,11 +295,11 @@
             return;
         }
         self.order.push(id);
-        let host = ChoiceState {
+        let host = HostLoad {
             ready,
             outstanding: 0,
             average: 0.0,
-            stamped: now,
+            updated_at: now,
         };
         self.hosts.insert(id, host);
     }
@@ -301,7 +307,7 @@
     fn pick(&mut self, now: Duration, exclude: &[UpstreamId]) -> Option<UpstreamId> {
         let first = self.draw(exclude)?;
         let second = self.draw(exclude)?;
-        let better = self.cost_of(now, second) < self.cost_of(now, first);
+        let better = self.load_of(now, second) < self.load_of(now, first);
         Some(if better { second } else { first })
     }
 
@@ -316,14 +322,14 @@
             return;
         };
         host.outstanding = host.outstanding.saturating_sub(1);
-        let seen = sample.latency.as_secs_f64();
-        let age = now.saturating_sub(host.stamped).as_secs_f64();
-        let keep = (-age / PEAK_DECAY).exp();
-        host.average = if seen > host.average {
-            seen
+        let latency = sample.latency.as_secs_f64();
+        let age = now.saturating_sub(host.updated_at).as_secs_f64();
+        let decay = (-age / PEAK_TIME_CONSTANT).exp();
+        host.average = if latency > host.average {
+            latency
         } else {
-            host.average * keep + seen * (1.0 - keep)
+            host.average * decay + latency * (1.0 - decay)
         };
-        host.stamped = now;
+        host.updated_at = now;
     }
 }
--- a/crates/lab/src/situations/chooser.rs
+++ b/crates/lab/src/situations/chooser.rs
@@ -1,4 +1,4 @@
-//! What a daemon does with one service's upstreams, as the lab drives it.
+//! Interface between the simulation and a daemon's upstream selection.
 
 use std::time::Duration;
 
@@ -8,63 +8,63 @@
     UpstreamSample,
 };
 
-/// What a chooser wants the lab to know.
+/// Decision that a chooser reports to the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChooserNotice {
-    /// It ejected an upstream.
+    /// The chooser ejected an upstream.
     Ejected(UpstreamId),
-    /// It took most of an upstream's weight.
+    /// The chooser removed most of an upstream's weight.
     Shifted(UpstreamId),
-    /// It wants a new connection tried.
+    /// The chooser requests a new connection to an upstream.
     Reconnect(UpstreamId),
 }
 
-/// One daemon's way to choose among upstreams.
+/// One daemon's upstream selection for one service.
 pub trait UpstreamChooser: Send {
-    /// Takes over an upstream's facts.
+    /// Adds an upstream or updates its facts.
     fn upsert(&mut self, now: Duration, id: UpstreamId, facts: &UpstreamFacts);
 
-    /// Chooses an upstream.
+    /// Selects an upstream, or returns `None` when none outside `exclude` is available.
     fn pick(&mut self, now: Duration, exclude: &[UpstreamId]) -> Option<UpstreamId>;
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     fn sent(&mut self, now: Duration, id: UpstreamId);
 
-    /// Notes how an attempt ended.
+    /// Records how an attempt ended.
     fn observe(&mut self, now: Duration, id: UpstreamId, sample: &UpstreamSample);
 
-    /// Notes that an attempt took a slot beside this daemon.
+    /// Records that an attempt took a slot of the backend server on this daemon's instance.
     fn started_here(&mut self, _now: Duration, _id: UpstreamId) {}
 
-    /// Notes how an attempt ended that ran beside this daemon.
+    /// Records how an attempt ended on the backend server of this daemon's instance.
     fn ended_here(&mut self, _now: Duration, _id: UpstreamId, _sample: &UpstreamSample) {}
 
-    /// Does what is due.
+    /// Runs periodic work and appends the resulting decisions to `notices`.
     fn tick(&mut self, _now: Duration, _notices: &mut Vec<ChooserNotice>) {}
 
-    /// Evidence for peers.
+    /// Returns the evidence to send to peers.
     fn report(&mut self, _now: Duration) -> Vec<UpstreamEvidence> {
         Vec::new()
     }
 
-    /// Evidence of a peer.
+    /// Merges evidence received from a peer.
     fn merge(&mut self, _now: Duration, _from: NodeId, _evidence: &[UpstreamEvidence]) {}
 
-    /// A new connection answered.
+    /// Records that a new connection to an upstream answered.
     fn connection_replaced(&mut self, _now: Duration, _id: UpstreamId) {}
 
-    /// The floor, where there is one.
+    /// Returns the state of the ejection floor, or `None` for choosers without one.
     fn floor_status(&self) -> Option<FloorStatus> {
         None
     }
 
-    /// Share of its fair share that an upstream is offered.
+    /// Returns the part of its fair share of requests that an upstream is offered.
     fn weight(&self, _id: UpstreamId) -> f64 {
         1.0
     }
 }
 
-/// The pool of this project as a chooser.
+/// Chooser backed by [`ServicePool`].
 #[derive(Debug)]
 pub struct PoolChooser {
     pool: ServicePool,
@@ -72,7 +72,7 @@
 }
 
 impl PoolChooser {
-    /// A pool with these settings.
+    /// Creates a chooser whose pool has these settings.
     #[must_use]
     pub fn new(settings: PoolSettings, seed: u64) -> Self {
         Self {
@@ -110,13 +110,13 @@
     fn tick(&mut self, now: Duration, notices: &mut Vec<ChooserNotice>) {
         self.findings.clear();
         self.pool.tick(now, &mut self.findings);
-        let told = self.findings.iter().filter_map(|finding| match *finding {
+        let mapped = self.findings.iter().filter_map(|finding| match *finding {
             PoolFinding::Ejected { id, .. } => Some(ChooserNotice::Ejected(id)),
             PoolFinding::Shifted { id, .. } => Some(ChooserNotice::Shifted(id)),
             PoolFinding::ConnectionSuspect { id, .. } => Some(ChooserNotice::Reconnect(id)),
             _ => None,
         });
-        notices.extend(told);
+        notices.extend(mapped);
     }
 
     fn report(&mut self, now: Duration) -> Vec<UpstreamEvidence> {
--- a/crates/lab/src/situations/contender.rs
+++ b/crates/lab/src/situations/chooser_kind.rs
@@ -1,33 +1,33 @@
-//! The ways to choose that the table compares.
+//! The upstream selection algorithms that the table compares.
 
 use sycamorelink_policy::{Leaning, PoolSettings};
 
-use super::baselines::{ChoiceChooser, ChoiceCost, EjectionRule, RobinChooser};
+use super::baselines::{EjectionRule, LoadMetric, RoundRobinChooser, TwoChoicesChooser};
 use super::chooser::{PoolChooser, UpstreamChooser};
 
-/// One way to choose.
+/// Upstream selection algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ContenderKind {
-    /// This project with its defaults.
+pub enum ChooserKind {
+    /// [`PoolChooser`] with the default settings.
     Pool,
-    /// This project, leaning to few false ejections.
+    /// [`PoolChooser`] tuned for few false ejections.
     PoolCareful,
-    /// This project, leaning to fast detection.
+    /// [`PoolChooser`] tuned for fast detection.
     PoolFast,
     /// Round robin without ejection.
     RoundRobin,
-    /// Round robin, ejecting after five errors in a row.
+    /// Round robin, ejecting after five consecutive errors.
     Consecutive,
     /// Round robin, ejecting by success rate.
     SuccessRate,
-    /// Least outstanding of two.
+    /// Power of two choices by requests in flight.
     LeastOfTwo,
-    /// Peak EWMA, better of two.
+    /// Power of two choices by peak EWMA latency.
     PeakEwma,
 }
 
-impl ContenderKind {
-    /// All, in the order of the table.
+impl ChooserKind {
+    /// All kinds, in the order of the table.
     pub const ALL: [Self; 8] = [
         Self::Pool,
         Self::PoolCareful,
@@ -39,7 +39,7 @@
         Self::PeakEwma,
     ];
 
-    /// Name in the table.
+    /// Returns the name printed in the table.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Runs of its rows when those of the defaults have this many.
+    /// Returns the number of runs of this kind's rows: `wanted` for the default pool, a quarter of
+    /// it for the others.
     #[must_use]
     pub const fn runs(self, wanted: usize) -> usize {
         match self {
@@ -63,7 +64,8 @@
         }
     }
 
-    /// A chooser of this kind for one daemon. `settings` take the place of the defaults.
+    /// Builds a chooser of this kind for one daemon. `settings` apply to [`ChooserKind::Pool`]
+    /// only.
     #[must_use]
     pub fn build(self, settings: &PoolSettings, seed: u64) -> Box<dyn UpstreamChooser> {
         let pool = |leaning| PoolChooser::new(PoolSettings::for_leaning(leaning), seed);
@@ -71,11 +73,11 @@
             Self::Pool => Box::new(PoolChooser::new(settings.clone(), seed)),
             Self::PoolCareful => Box::new(pool(Leaning::FewFalseEjections)),
             Self::PoolFast => Box::new(pool(Leaning::FastDetection)),
-            Self::RoundRobin => Box::new(RobinChooser::new(EjectionRule::Never, seed)),
-            Self::Consecutive => Box::new(RobinChooser::new(EjectionRule::Consecutive, seed)),
-            Self::SuccessRate => Box::new(RobinChooser::new(EjectionRule::SuccessRate, seed)),
-            Self::LeastOfTwo => Box::new(ChoiceChooser::new(ChoiceCost::Outstanding, seed)),
-            Self::PeakEwma => Box::new(ChoiceChooser::new(ChoiceCost::PeakEwma, seed)),
+            Self::RoundRobin => Box::new(RoundRobinChooser::new(EjectionRule::Never, seed)),
+            Self::Consecutive => Box::new(RoundRobinChooser::new(EjectionRule::Consecutive, seed)),
+            Self::SuccessRate => Box::new(RoundRobinChooser::new(EjectionRule::SuccessRate, seed)),
+            Self::LeastOfTwo => Box::new(TwoChoicesChooser::new(LoadMetric::Outstanding, seed)),
+            Self::PeakEwma => Box::new(TwoChoicesChooser::new(LoadMetric::PeakEwma, seed)),
         }
     }
 }
--- a/crates/lab/src/situations/cost.rs
+++ b/crates/lab/src/situations/cost.rs
@@ -1,4 +1,4 @@
-//! Time of one pick and one observation, measured on this machine.
+//! Time spent in the pool's decisions, measured on the current machine.
 
 use std::time::{Duration, Instant};
 
@@ -7,30 +7,32 @@
     LoadHint, PoolSettings, SampleKind, ServicePool, UpstreamFacts, UpstreamPhase, UpstreamSample,
 };
 
-use super::world::upstream_id;
+use super::simulation::upstream_id;
 
-/// Requests in one batch. The median batch counts: others are disturbed by the machine.
+/// Requests in one batch. The median batch is reported because others may be disturbed by other
+/// load on the machine.
 const BATCH: u64 = 1_000;
 
-/// The same, to calculate with.
+/// [`BATCH`] as a floating-point number.
 const BATCH_SIZE: f64 = 1_000.0;
 
-/// Batches.
+/// Number of batches.
 const BATCHES: u64 = 401;
 
-/// Time of the decisions for one request.
+/// Time spent in a pool's decisions.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CostFigures {
-    /// Upstreams in the pool.
+    /// Number of upstreams in the pool.
     pub upstreams: usize,
-    /// Nanoseconds of one pick, send and observation.
+    /// Nanoseconds for one `pick`, `sent` and `observe` call together.
     pub request_ns: f64,
-    /// Microseconds of one tick.
+    /// Microseconds for one `tick` call.
     pub tick_us: f64,
 }
 
-/// Measures a pool of this many upstreams. Not for snapshots: the figures are the machine's.
+/// Measures a pool with this many upstreams. The result depends on the machine, so it is not
+/// suitable for snapshot tests.
 #[must_use]
 pub fn measure_cost(upstreams: usize) -> CostFigures {
     let mut pool = ServicePool::new(PoolSettings::default(), 7);
@@ -67,7 +69,7 @@
         batches.push(started.elapsed());
     }
     batches.sort_unstable();
-    let each = batches[batches.len() / 2].as_secs_f64() / BATCH_SIZE * 1e9;
+    let request_nanos = batches[batches.len() / 2].as_secs_f64() / BATCH_SIZE * 1e9;
     let mut findings = Vec::new();
     let started = Instant::now();
     for step in 0..20 {
@@ -75,7 +77,7 @@
     }
     CostFigures {
         upstreams,
-        request_ns: each,
+        request_ns: request_nanos,
         tick_us: started.elapsed().as_secs_f64() / 20.0 * 1e6,
     }
 }
--- a/crates/lab/src/situations/fault.rs
+++ b/crates/lab/src/situations/fault.rs
@@ -1,94 +1,96 @@
-//! Faults and when they hold.
+//! Definitions of the situations: faults, their scope and their timing.
 
 use std::time::Duration;
 
-/// What is wrong with a backend server while it goes on answering health checks.
+/// Fault of a backend server that still answers health checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerFault {
-    /// A share of requests takes longer by a factor.
+    /// A share of requests is slower by a factor.
     Slow {
-        /// The factor.
+        /// Factor on the service time.
         factor: f64,
-        /// The share, from 0 to 1.
+        /// Share of affected requests, from 0 to 1.
         share: f64,
     },
-    /// A share of requests ends in a server error.
+    /// This share of requests ends in a server error.
     Failing(f64),
-    /// A share of replies is truncated or mismatched.
+    /// This share of replies is truncated or mismatched.
     Wrong(f64),
-    /// No reply ever.
+    /// No request is ever answered.
     Silent,
-    /// Slower in proportion to time, up to a factor at the end of the fault.
+    /// The service time grows linearly, up to this factor at the end of the fault.
     Worsening(f64),
 }
 
-/// Who is struck.
+/// Set of upstreams that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultScope {
-    /// The first upstream.
+    /// One upstream.
     One,
-    /// The first half, rounded down.
+    /// Half of the upstreams, rounded down.
     Half,
-    /// All.
+    /// All upstreams.
     All,
-    /// All of one failure domain.
+    /// All upstreams of one failure domain.
     Domain,
 }
 
-/// What happens in a situation.
+/// Event that a situation injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SituationEvent {
-    /// Nothing: ordinary noise.
+    /// No event; only the ordinary noise of healthy backend servers.
     Nothing,
-    /// Backend servers fail gray.
+    /// Backend servers fail while their health checks still succeed.
     Gray {
-        /// How.
+        /// Kind of fault.
         fault: ServerFault,
-        /// Which.
+        /// Affected upstreams.
         scope: FaultScope,
     },
-    /// One backend server alternates between good and bad, half of the period each.
+    /// One backend server alternates between faulty and healthy, for half of the period each.
     Flapping {
-        /// How it fails.
+        /// Kind of fault in the faulty half.
         fault: ServerFault,
-        /// One good and one bad half.
+        /// Length of one faulty and one healthy half together.
         period: Duration,
     },
-    /// One daemon hears nothing from others, while they hear it.
+    /// One daemon receives nothing from the others, while they still receive its messages.
     ObserverCut,
-    /// Ten connections, each between one daemon and one upstream, go silent for good.
+    /// Ten connections, each between one daemon and one upstream, stop delivering until they are
+    /// replaced.
     SilentConnections,
-    /// A request that ends each backend server that runs it, sent five times.
+    /// A request that crashes each backend server that runs it; it is sent once and may be retried.
     CrashRequest,
-    /// Load grows by a factor.
+    /// The request rate grows by a factor.
     Burst {
-        /// The factor.
+        /// Factor on the request rate.
         factor: f64,
-        /// Whether callers send failed requests again, up to three times.
+        /// Whether callers resend failed requests, up to three times.
         resend: bool,
     },
-    /// A third of the upstreams restart at once, cold.
+    /// A third of the upstreams restart at the same time with cold caches.
     ColdRestart,
 }
 
-/// One row of the table.
+/// Situation with its timing.
 #[derive(Clone, Copy, Debug)]
 pub struct SituationPlan {
     /// Name in the table.
     pub name: &'static str,
-    /// What happens.
+    /// Event that is injected at the trigger.
     pub event: SituationEvent,
-    /// How long the trigger holds.
-    pub lasting: Duration,
-    /// Time after the trigger.
-    pub after: Duration,
+    /// Time for which the event lasts.
+    pub duration: Duration,
+    /// Simulated time after the event has ended.
+    pub cooldown: Duration,
 }
 
 impl SituationPlan {
-    /// Runs of a row when short situations have this many: long ones have fewer.
+    /// Returns the number of runs of a row: `wanted` for situations shorter than two minutes, fewer
+    /// for longer ones.
     #[must_use]
     pub fn runs(&self, wanted: usize) -> usize {
-        let minutes = usize::try_from(self.lasting.as_secs() / 60).unwrap_or(0);
+        let minutes = usize::try_from(self.duration.as_secs() / 60).unwrap_or(0);
         wanted.div_ceil(minutes.clamp(1, 20))
     }
 }
@@ -97,8 +99,8 @@
     SituationPlan {
         name,
         event: SituationEvent::Gray { fault, scope },
-        lasting: Duration::from_secs(30),
-        after: Duration::from_secs(10),
+        duration: Duration::from_secs(30),
+        cooldown: Duration::from_secs(10),
     }
 }
 
@@ -106,24 +108,24 @@
     ServerFault::Slow { factor, share }
 }
 
-const fn flapping(name: &'static str, period: u64, lasting: u64) -> SituationPlan {
+const fn flapping(name: &'static str, period: u64, duration: u64) -> SituationPlan {
     SituationPlan {
         name,
         event: SituationEvent::Flapping {
             fault: ServerFault::Failing(0.5),
             period: Duration::from_secs(period),
         },
-        lasting: Duration::from_secs(lasting),
-        after: Duration::from_secs(10),
+        duration: Duration::from_secs(duration),
+        cooldown: Duration::from_secs(10),
     }
 }
 
-const fn other(name: &'static str, event: SituationEvent, lasting: u64) -> SituationPlan {
+const fn other(name: &'static str, event: SituationEvent, duration: u64) -> SituationPlan {
     SituationPlan {
         name,
         event,
-        lasting: Duration::from_secs(lasting),
-        after: Duration::from_secs(15),
+        duration: Duration::from_secs(duration),
+        cooldown: Duration::from_secs(15),
     }
 }
 
--- a/crates/lab/src/situations/figures.rs
+++ b/crates/lab/src/situations/figures.rs
@@ -1,19 +1,19 @@
-//! From the meters of many runs to one row.
+//! Aggregation of the measurements of many runs into one table row.
 
 use serde::Serialize;
 
 use super::fault::{FaultScope, SituationEvent, SituationPlan};
-use super::fleet::{ServiceShape, count};
 use super::meter::RunMeter;
-use super::world::LEAD_IN;
+use super::services::{ServiceShape, to_f64};
+use super::simulation::TRIGGER_AT;
 
-/// Seconds of a day.
+/// Seconds in a day.
 const DAY: f64 = 86_400.0;
 
-/// What one run adds to its row.
+/// Figures of one run, ready to be aggregated.
 #[derive(Clone, Debug, Default)]
 pub struct RunFigures {
-    /// Detection time of each sick upstream in seconds, `None` when not detected.
+    /// Detection time of each faulty upstream in seconds, `None` when it was not detected.
     detections: Vec<Option<f64>>,
     sent_before: Vec<u32>,
     shares: Vec<f64>,
@@ -35,17 +35,17 @@
 }
 
 impl RunFigures {
-    /// Takes the figures of one run. `sick` lists the upstreams that the situation struck.
+    /// Computes the figures of one run. `faulty` lists the upstreams that the situation affects.
     #[must_use]
-    pub fn take(
+    pub fn from_run(
         shape: &ServiceShape,
         plan: &SituationPlan,
         meter: &RunMeter,
-        sick: &[usize],
+        faulty: &[usize],
     ) -> Self {
-        let (start, end) = (LEAD_IN, LEAD_IN + plan.lasting);
+        let (start, end) = (TRIGGER_AT, TRIGGER_AT + plan.duration);
         let mut figures = Self::default();
-        for &upstream in sick {
+        for &upstream in faulty {
             let found = meter.detection(upstream, start, end);
             figures.detections.push(found.map(|(seconds, _)| seconds));
             if let Some((_, sent)) = found {
@@ -55,24 +55,24 @@
         }
         let quantile = |share| micros_to_ms(meter.latency.value_at_quantile(share));
         figures.latencies = [quantile(0.5), quantile(0.99), quantile(0.999)];
-        let seconds = plan.lasting.as_secs_f64();
-        figures.served = whole(meter.served);
-        figures.offered = whole(meter.offered);
-        figures.refused = whole(meter.refused);
-        figures.failed = whole(meter.failed);
-        figures.retries = whole(meter.retries);
-        figures.requests = whole(meter.requests);
+        let seconds = plan.duration.as_secs_f64();
+        figures.served = counter_to_f64(meter.served);
+        figures.offered = counter_to_f64(meter.offered);
+        figures.refused = counter_to_f64(meter.refused);
+        figures.failed = counter_to_f64(meter.failed);
+        figures.retries = counter_to_f64(meter.retries);
+        figures.requests = counter_to_f64(meter.requests);
         figures.false_ejections = meter.false_ejections();
         figures.false_shifts = meter.false_shifts();
-        let all = (LEAD_IN + plan.lasting + plan.after).as_secs_f64();
-        figures.upstream_days = all * count(shape.upstreams) / DAY;
+        let run_seconds = (TRIGGER_AT + plan.duration + plan.cooldown).as_secs_f64();
+        figures.upstream_days = run_seconds * to_f64(shape.upstreams) / DAY;
         figures.recovery = meter.recovery(end);
-        let mut possible = (figures.offered / seconds).min(shape.capacity_rate());
+        let mut achievable_rate = (figures.offered / seconds).min(shape.capacity_rate());
         if let SituationEvent::Burst { .. } = plan.event {
-            let mean = meter.slot_time.0 / whole(meter.slot_time.1).max(1.0);
-            possible = shape.capacity_slots() / mean.max(1e-9);
+            let mean = meter.slot_time.0 / counter_to_f64(meter.slot_time.1).max(1.0);
+            achievable_rate = shape.capacity_slots() / mean.max(1e-9);
         }
-        figures.goodput = figures.served / seconds / possible.max(1e-9);
+        figures.goodput = figures.served / seconds / achievable_rate.max(1e-9);
         figures.least_serving = meter.least_serving;
         figures.least_weight = meter.least_weight;
         figures.evidence_peak = meter.evidence_peak();
@@ -80,9 +80,9 @@
     }
 }
 
-/// The upstreams for which the situation wants a detection.
+/// Returns whether the situation has faulty upstreams that a chooser is expected to detect.
 #[must_use]
-pub fn wants_detection(event: &SituationEvent) -> bool {
+pub fn expects_detection(event: &SituationEvent) -> bool {
     match event {
         SituationEvent::Gray { scope, .. } => *scope != FaultScope::All,
         SituationEvent::Flapping { .. } => true,
@@ -94,59 +94,61 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TableRow {
-    /// The situation.
+    /// Name of the situation.
     pub situation: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The way to choose.
+    /// Name of the upstream selection algorithm.
     pub chooser: String,
-    /// Runs.
+    /// Number of aggregated runs.
     pub runs: usize,
-    /// Share of sick upstreams that were detected at all.
+    /// Share of faulty upstreams that were detected; `None` when the situation has none to detect.
     pub detected: Option<f64>,
     /// Median detection time in seconds; `None` when fewer than half were detected.
     pub detection_median: Option<f64>,
-    /// 99th percentile of the detection time in seconds; `None` when it was not reached.
+    /// 99th percentile of the detection time in seconds; `None` when it falls on an upstream that
+    /// was not detected.
     pub detection_p99: Option<f64>,
-    /// Median number of requests sent to a sick upstream before its detection.
+    /// Median number of requests sent to a faulty upstream before its detection.
     pub sent_before: Option<f64>,
-    /// Share of its fair share that a sick upstream got during the whole fault.
+    /// Requests sent to a faulty upstream during the whole fault, as a share of its fair share.
     pub sick_share: Option<f64>,
-    /// Events of ejected healthy upstreams.
+    /// Number of false ejections; repeated ejections of one upstream within 30 s count once.
     pub false_ejections: usize,
-    /// The same for each upstream-day.
+    /// False ejections per upstream-day.
     pub false_ejections_per_day: f64,
-    /// Events of healthy upstreams that lost more than half of their weight.
+    /// Number of times a healthy upstream lost more than half of its weight.
     pub false_shifts: usize,
-    /// Upstream-days behind the two.
+    /// Simulated upstream-days in which false ejections and shifts were counted.
     pub upstream_days: f64,
-    /// Requests that failed for their caller, per cent.
+    /// Requests that failed for their caller, in percent.
     pub errors: f64,
-    /// Requests refused before they ran, per cent.
+    /// Requests refused before they ran, in percent.
     pub refused: f64,
-    /// Latency percentiles 50, 99 and 99.9 of served requests in milliseconds.
+    /// Latency percentiles 50, 99 and 99.9 of served requests, in milliseconds.
     pub latency: [f64; 3],
-    /// Served requests against what was offered or could be served, whichever is less. In a burst:
-    /// against all slots busy all the time at the measured time in the slot.
+    /// Served requests relative to the smaller of offered load and capacity. In a burst: relative
+    /// to all slots being busy all the time at the measured time per slot.
     pub goodput: f64,
-    /// Retries for each request.
+    /// Retries per request.
     pub retries: f64,
-    /// Seconds after the trigger until no second has more than 2% bad answers: 99th percentile.
+    /// 99th percentile of the recovery time: seconds from the end of the event until no later
+    /// second has more than 2% unsuccessful requests.
     pub recovery_p99: f64,
-    /// Least share of slots in service in any daemon's view, in any step of any run.
+    /// Lowest share of slots in service in any daemon's view, over all runs.
     pub least_serving: f64,
-    /// Least share of capacity left by all weights together.
+    /// Lowest share of capacity left by the weights of all daemons together, over all runs.
     pub least_weight: f64,
-    /// Greatest number of bytes of evidence from one node in one second.
+    /// Largest number of bytes of evidence that one node sent in one second.
     pub evidence_peak: u32,
 }
 
 impl TableRow {
-    /// Puts runs together.
+    /// Aggregates runs into one row.
     #[must_use]
     pub fn combine(situation: &str, service: &str, chooser: &str, runs: &[RunFigures]) -> Self {
         let sum = |value: fn(&RunFigures) -> f64| runs.iter().map(value).sum::<f64>();
-        let mean = |value: fn(&RunFigures) -> f64| sum(value) / count(runs.len()).max(1.0);
+        let mean = |value: fn(&RunFigures) -> f64| sum(value) / to_f64(runs.len()).max(1.0);
         let least = |value: fn(&RunFigures) -> f64| runs.iter().map(value).fold(1.0, f64::min);
         let events = |value: fn(&RunFigures) -> usize| runs.iter().map(value).sum::<usize>();
         let mut detections: Vec<f64> = runs
@@ -173,14 +175,14 @@
             service: service.to_owned(),
             chooser: chooser.to_owned(),
             runs: runs.len(),
-            detected: (!detections.is_empty()).then(|| count(found) / count(detections.len())),
+            detected: (!detections.is_empty()).then(|| to_f64(found) / to_f64(detections.len())),
             detection_median: quantile(&detections, 0.5),
             detection_p99: quantile(&detections, 0.99),
             sent_before: quantile(&sent, 0.5),
             sick_share: (!shares.is_empty())
-                .then(|| shares.iter().sum::<f64>() / count(shares.len())),
+                .then(|| shares.iter().sum::<f64>() / to_f64(shares.len())),
             false_ejections,
-            false_ejections_per_day: count(false_ejections) / days.max(1e-9),
+            false_ejections_per_day: to_f64(false_ejections) / days.max(1e-9),
             false_shifts: events(|run| run.false_shifts),
             upstream_days: days,
             errors: sum(|run| run.failed) / offered * 100.0,
@@ -200,23 +202,23 @@
     }
 }
 
-/// The value below which a share of the sorted values lies; `None` when there is none or it is
+/// Returns the quantile `share` of sorted values; `None` when there are none or the value is
 /// infinite.
 fn quantile(sorted: &[f64], share: f64) -> Option<f64> {
     if sorted.is_empty() {
         return None;
     }
-    let mut place = 0;
-    while place + 1 < sorted.len() && count(place + 1) < share * count(sorted.len()) {
-        place += 1;
+    let mut index = 0;
+    while index + 1 < sorted.len() && to_f64(index + 1) < share * to_f64(sorted.len()) {
+        index += 1;
     }
-    Some(sorted[place]).filter(|value| value.is_finite())
+    Some(sorted[index]).filter(|value| value.is_finite())
 }
 
-fn whole(value: u64) -> f64 {
+fn counter_to_f64(value: u64) -> f64 {
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
 
 fn micros_to_ms(micros: u64) -> f64 {
-    whole(micros) / 1_000.0
+    counter_to_f64(micros) / 1_000.0
 }
