--- a/crates/lab/src/situations/trouble.rs
+++ b/crates/lab/src/situations/injection.rs
@@ -1,4 +1,4 @@
-//! Faults: who is struck when, crashes, restarts.
+//! Fault injection: affected upstreams, lost messages, crashes and restarts.
 
 use std::time::Duration;
 
@@ -6,50 +6,50 @@
 use sycamorelink_policy::{RetryPlan, SampleKind, UpstreamPhase};
 
 use super::fault::{FaultScope, ServerFault, SituationEvent};
-use super::fleet::CALLER_DEADLINE;
-use super::world::{EventKind, LEAD_IN, LabRequest, LabWorld, upstream_id};
+use super::services::CALLER_DEADLINE;
+use super::simulation::{EventKind, FleetSimulation, SimulatedRequest, TRIGGER_AT, upstream_id};
 
-/// Until a phase is known everywhere.
-const PHASE_NEWS: Duration = Duration::from_millis(200);
+/// Time until all daemons know an upstream's new phase.
+const PHASE_DELAY: Duration = Duration::from_millis(200);
 
-/// Down time of a restarted backend server.
-const RESTART: Duration = Duration::from_secs(3);
+/// Downtime of a restarted backend server.
+const RESTART_TIME: Duration = Duration::from_secs(3);
 
-impl LabWorld {
-    /// Whether the situation strikes this upstream.
-    pub(super) fn is_struck(&self, server: usize) -> bool {
+impl FleetSimulation {
+    /// Returns whether the situation affects this upstream.
+    pub(super) fn is_affected(&self, server: usize) -> bool {
         let scope = match self.plan.event {
             SituationEvent::Gray { scope, .. } => scope,
             SituationEvent::Flapping { .. } => FaultScope::One,
             _ => return false,
         };
         let upstreams = self.shape.upstreams;
-        let place = (server + upstreams - self.first_sick) % upstreams;
+        let offset = (server + upstreams - self.first_faulty) % upstreams;
         match scope {
-            FaultScope::One => place == 0,
-            FaultScope::Half => place < upstreams / 2,
+            FaultScope::One => offset == 0,
+            FaultScope::Half => offset < upstreams / 2,
             FaultScope::All => true,
-            FaultScope::Domain => self.domain_of(server) == self.domain_of(self.first_sick),
+            FaultScope::Domain => self.domain_of(server) == self.domain_of(self.first_faulty),
         }
     }
 
-    /// The upstreams that the situation strikes.
+    /// Returns the upstreams that the situation affects.
     #[must_use]
-    pub fn struck(&self) -> Vec<usize> {
+    pub fn affected_upstreams(&self) -> Vec<usize> {
         (0..self.servers.len())
-            .filter(|&server| self.is_struck(server))
+            .filter(|&server| self.is_affected(server))
             .collect()
     }
 
-    /// The fault of a backend server now, and how far it has come.
+    /// Returns the current fault of a backend server and its progress from 0 to 1.
     pub(super) fn fault_of(&self, server: usize) -> Option<(ServerFault, f64)> {
-        if !self.triggered || !self.is_struck(server) {
+        if !self.trigger_active || !self.is_affected(server) {
             return None;
         }
-        let since = self.now.saturating_sub(LEAD_IN).as_secs_f64();
+        let since = self.now.saturating_sub(TRIGGER_AT).as_secs_f64();
         match self.plan.event {
             SituationEvent::Gray { fault, .. } => {
-                Some((fault, since / self.plan.lasting.as_secs_f64()))
+                Some((fault, since / self.plan.duration.as_secs_f64()))
             }
             SituationEvent::Flapping { fault, period } => {
                 let phase = (since / period.as_secs_f64()).fract();
@@ -59,32 +59,32 @@
         }
     }
 
-    /// Whether replies from an upstream to a daemon are lost on the way.
+    /// Returns whether messages from an upstream's instance to a daemon are lost.
     pub(super) fn is_cut(&self, node: usize, server: usize) -> bool {
-        self.triggered
+        self.trigger_active
             && self.plan.event == SituationEvent::ObserverCut
-            && node == self.first_sick
+            && node == self.first_faulty
             && node != server
     }
 
     pub(super) fn trigger(&mut self) {
-        self.triggered = true;
+        self.trigger_active = true;
         match self.plan.event {
             SituationEvent::SilentConnections => {
                 for _ in 0..10 {
-                    let node = self.random.random_range(0..self.choosers.len());
-                    let server = self.random.random_range(0..self.servers.len());
-                    self.silent[node][server] = node != server;
+                    let node = self.rng.random_range(0..self.choosers.len());
+                    let server = self.rng.random_range(0..self.servers.len());
+                    self.silent_connections[node][server] = node != server;
                 }
             }
             SituationEvent::CrashRequest => {
-                let request = LabRequest {
-                    node: self.random.random_range(0..self.choosers.len()),
+                let request = SimulatedRequest {
+                    node: self.rng.random_range(0..self.choosers.len()),
                     arrived: self.now,
                     work: 1.0,
                     plan: RetryPlan::new(true, self.now + CALLER_DEADLINE),
-                    crashes: true,
-                    resends: 0,
+                    crashes_server: true,
+                    resends_left: 0,
                 };
                 self.send(request);
             }
@@ -97,41 +97,41 @@
         }
     }
 
-    /// Ends a backend server; it comes back cold.
+    /// Crashes a backend server and schedules its cold restart.
     pub(super) fn crash(&mut self, server: usize) {
         self.servers[server].up = false;
         let running = std::mem::take(&mut self.servers[server].running);
         let queue = std::mem::take(&mut self.servers[server].queue);
         for attempt in running {
-            self.tell_beside(attempt, SampleKind::Crashed);
-            self.answer(attempt, SampleKind::Crashed);
+            self.report_local_end(attempt, SampleKind::Crashed);
+            self.send_reply(attempt, SampleKind::Crashed);
         }
         for attempt in queue {
-            self.answer(attempt, SampleKind::ConnectionLost);
+            self.send_reply(attempt, SampleKind::ConnectionLost);
         }
-        self.after(
-            PHASE_NEWS,
-            EventKind::PhaseNews {
+        self.schedule(
+            PHASE_DELAY,
+            EventKind::PhaseUpdate {
                 server,
                 phase: UpstreamPhase::Starting,
             },
         );
-        self.after(RESTART, EventKind::Restarted { server });
+        self.schedule(RESTART_TIME, EventKind::Restarted { server });
     }
 
-    pub(super) fn restarted(&mut self, server: usize) {
+    pub(super) fn on_restarted(&mut self, server: usize) {
         self.servers[server].up = true;
         self.servers[server].cold_since = Some(self.now.as_secs_f64());
-        self.after(
-            PHASE_NEWS,
-            EventKind::PhaseNews {
+        self.schedule(
+            PHASE_DELAY,
+            EventKind::PhaseUpdate {
                 server,
                 phase: UpstreamPhase::Ready,
             },
         );
     }
 
-    pub(super) fn tell_phase(&mut self, server: usize, phase: UpstreamPhase) {
+    pub(super) fn apply_phase(&mut self, server: usize, phase: UpstreamPhase) {
         let facts = self.facts(server, phase);
         for chooser in &mut self.choosers {
             chooser.upsert(self.now, upstream_id(server), &facts);
--- a/crates/lab/src/situations/meter.rs
+++ b/crates/lab/src/situations/meter.rs
@@ -1,70 +1,71 @@
-//! What one run measures.
+//! Measurements of one run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-use super::fleet::count;
+use super::services::to_f64;
 
-/// Width of a bin of sends, in milliseconds.
+/// Width of one bin of the send counts, in milliseconds.
 const BIN_MS: usize = 50;
 
-/// Windows, in bins, over which the share must stay below the mark from the detection on.
-const WINDOWS: [usize; 5] = [4, 10, 20, 40, 100];
+/// Windows, in bins, over each of which the share must stay below [`DETECTED_SHARE`] for an
+/// upstream to count as detected.
+const DETECTION_WINDOWS: [usize; 5] = [4, 10, 20, 40, 100];
 
-/// Share of its fair share below which an upstream counts as detected.
+/// Part of its fair share of requests up to which an upstream counts as detected.
 const DETECTED_SHARE: f64 = 0.1;
 
-/// Two ejections of one healthy upstream within this time, by whichever daemons, are one event.
-const ONE_EVENT: Duration = Duration::from_secs(30);
+/// Ejections of one healthy upstream within this time, by any daemons, count as one event.
+const EVENT_MERGE_WINDOW: Duration = Duration::from_secs(30);
 
-/// Counts of one run.
+/// Counters and histograms of one run.
 #[derive(Debug)]
 pub struct RunMeter {
-    /// Sends by upstream and bin.
+    /// Attempts sent, by upstream and bin.
     sends: Vec<Vec<u32>>,
-    /// Requests that ended well, by second of arrival.
-    pub good: Vec<u32>,
-    /// Requests that did not, by second of arrival.
-    pub bad: Vec<u32>,
-    /// Latency of good requests that arrived in the window, in microseconds.
+    /// Requests that succeeded, by second of arrival.
+    pub successes: Vec<u32>,
+    /// Requests that failed or were refused, by second of arrival.
+    pub failures: Vec<u32>,
+    /// Latency in microseconds of successful requests that arrived while the event lasted.
     pub latency: Histogram<u64>,
-    /// Requests that arrived in the window.
+    /// Requests that arrived while the event lasted.
     pub offered: u64,
-    /// Of these, answered well.
+    /// Successful requests among `offered`.
     pub served: u64,
-    /// Of these, refused for overload before they ran.
+    /// Requests among `offered` that were refused before they ran.
     pub refused: u64,
-    /// Of these, failed otherwise.
+    /// Requests among `offered` that failed otherwise.
     pub failed: u64,
-    /// Seconds in slots of attempts that ended in the window, and their number.
+    /// Total seconds in slots, and number, of the attempts that ended while the event lasted.
     pub slot_time: (f64, u64),
-    /// Retries sent.
+    /// Retries sent during the whole run.
     pub retries: u64,
-    /// Requests received, in the window or not.
+    /// Requests received during the whole run.
     pub requests: u64,
-    /// Events of ejected healthy upstreams: the upstream and the last ejection.
+    /// False ejections: the upstream and the time of its last ejection.
     false_ejections: Vec<(usize, Duration)>,
-    /// Events of healthy upstreams that lost most of their weight.
+    /// Healthy upstreams that lost most of their weight, and the time of the last loss.
     false_shifts: Vec<(usize, Duration)>,
-    /// Ejections of sick upstreams, by any daemon.
+    /// Ejections of faulty upstreams, by any daemon.
     pub true_ejections: u64,
-    /// Least share of slots in service in any daemon's view.
+    /// Lowest share of slots in service in any daemon's view.
     pub least_serving: f64,
-    /// Least share of capacity left by the weights of all daemons together.
+    /// Lowest share of capacity left by the weights of all daemons together.
     pub least_weight: f64,
-    /// Bytes of evidence sent, by node and second.
+    /// Bytes of evidence sent, by node and second of the run.
     pub evidence: Vec<Vec<u32>>,
 }
 
 impl RunMeter {
-    /// A meter for this many upstreams and seconds.
+    /// Creates a meter for this many upstreams and seconds.
     #[must_use]
     pub fn new(upstreams: usize, seconds: usize) -> Self {
         Self {
             sends: vec![vec![0; seconds * 1_000 / BIN_MS + 1]; upstreams],
-            good: vec![0; seconds + 1],
-            bad: vec![0; seconds + 1],
+            successes: vec![0; seconds + 1],
+            failures: vec![0; seconds + 1],
             latency: Histogram::new_with_bounds(1, 60_000_000, 3)
                 .unwrap_or_else(|_| unreachable!("the bounds are valid")),
             offered: 0,
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Counts a send.
-    pub fn sent(&mut self, now: Duration, upstream: usize) {
+    /// Counts an attempt sent to an upstream.
+    pub fn record_send(&mut self, now: Duration, upstream: usize) {
         let bin = bin_of(now);
         if let Some(sends) = self.sends[upstream].get_mut(bin) {
             *sends += 1;
@@ -92,77 +93,80 @@
     }
 
     /// Counts an ejection of a healthy upstream.
-    pub fn false_ejection(&mut self, now: Duration, upstream: usize) {
-        book_event(&mut self.false_ejections, now, upstream);
+    pub fn record_false_ejection(&mut self, now: Duration, upstream: usize) {
+        record_event(&mut self.false_ejections, now, upstream);
     }
 
-    /// Counts a loss of weight of a healthy upstream.
-    pub fn false_shift(&mut self, now: Duration, upstream: usize) {
-        book_event(&mut self.false_shifts, now, upstream);
+    /// Counts a healthy upstream that lost most of its weight.
+    pub fn record_false_shift(&mut self, now: Duration, upstream: usize) {
+        record_event(&mut self.false_shifts, now, upstream);
     }
 
-    /// Events of ejected healthy upstreams.
+    /// Returns the number of false ejections.
     #[must_use]
     pub fn false_ejections(&self) -> usize {
         self.false_ejections.len()
     }
 
-    /// Events of healthy upstreams that lost most of their weight.
+    /// Returns how often healthy upstreams lost most of their weight.
     #[must_use]
     pub fn false_shifts(&self) -> usize {
         self.false_shifts.len()
     }
 
-    /// Seconds from `start` until an upstream's share falls below a tenth of its fair share and
-    /// stays there, and the requests sent to it until then. `None` when it does not before `end`.
+    /// Returns the seconds from `start` until an upstream's share falls below a tenth of its fair
+    /// share and stays there, and the requests sent to it until then. `None` when that does not
+    /// happen before `end`.
     #[must_use]
     pub fn detection(&self, upstream: usize, start: Duration, end: Duration) -> Option<(f64, u32)> {
         let (first, last) = (bin_of(start), bin_of(end));
-        let latest = last.saturating_sub(WINDOWS[3]);
-        let found = (first..latest).find(|&bin| self.quiet_from(upstream, bin, last))?;
+        let search_end = last.saturating_sub(DETECTION_WINDOWS[3]);
+        let found =
+            (first..search_end).find(|&bin| self.stays_below_threshold(upstream, bin, last))?;
         let sent = self.sends[upstream][first..found].iter().sum();
-        Some((count(found - first) * count(BIN_MS) / 1_000.0, sent))
+        Some((to_f64(found - first) * to_f64(BIN_MS) / 1_000.0, sent))
     }
 
-    fn quiet_from(&self, upstream: usize, bin: usize, last: usize) -> bool {
-        WINDOWS.iter().all(|&window| {
+    fn stays_below_threshold(&self, upstream: usize, bin: usize, last: usize) -> bool {
+        DETECTION_WINDOWS.iter().all(|&window| {
             let to = (bin + window).min(last);
-            let own: u32 = self.sends[upstream][bin..to].iter().sum();
-            f64::from(own) <= self.fair(bin, to) * DETECTED_SHARE
+            let sent: u32 = self.sends[upstream][bin..to].iter().sum();
+            f64::from(sent) <= self.fair_share(bin, to) * DETECTED_SHARE
         })
     }
 
-    /// The fair share of one upstream in a stretch of bins, in sends.
-    fn fair(&self, from: usize, to: usize) -> f64 {
-        let all: u32 = self
+    /// Returns the fair share of one upstream in a range of bins, in attempts.
+    fn fair_share(&self, from: usize, to: usize) -> f64 {
+        let total: u32 = self
             .sends
             .iter()
             .map(|sends| sends[from..to].iter().sum::<u32>())
             .sum();
-        f64::from(all) / count(self.sends.len())
+        f64::from(total) / to_f64(self.sends.len())
     }
 
-    /// Sends to an upstream in a stretch, as a share of its fair share.
+    /// Returns the attempts sent to an upstream between two times, as a share of its fair share.
     #[must_use]
     pub fn share(&self, upstream: usize, start: Duration, end: Duration) -> f64 {
         let (from, to) = (bin_of(start), bin_of(end));
-        let own: u32 = self.sends[upstream][from..to].iter().sum();
-        f64::from(own) / self.fair(from, to).max(1.0)
+        let sent: u32 = self.sends[upstream][from..to].iter().sum();
+        f64::from(sent) / self.fair_share(from, to).max(1.0)
     }
 
-    /// Seconds after `end` until no second has more than 2% of bad answers.
+    /// Returns the seconds after `end` until no later second has more than 2% unsuccessful
+    /// requests.
     #[must_use]
     pub fn recovery(&self, end: Duration) -> f64 {
         let first = usize::try_from(end.as_secs()).unwrap_or(0);
-        let complete = self.good.len().saturating_sub(4);
-        let last_bad = (first..complete).rev().find(|&second| {
-            let all = self.good[second] + self.bad[second];
-            f64::from(self.bad[second]) > 0.02 * f64::from(all)
+        let complete = self.successes.len().saturating_sub(4);
+        let last_failing = (first..complete).rev().find(|&second| {
+            let total = self.successes[second] + self.failures[second];
+            f64::from(self.failures[second]) > 0.02 * f64::from(total)
         });
-        last_bad.map_or(0.0, |second| count(second + 1 - first))
+        last_failing.map_or(0.0, |second| to_f64(second + 1 - first))
     }
 
-    /// Greatest number of bytes of evidence that one node sent in one second.
+    /// Returns the largest number of bytes of evidence that one node sent in one second.
     #[must_use]
     pub fn evidence_peak(&self) -> u32 {
         self.evidence.iter().flatten().copied().max().unwrap_or(0)
@@ -173,12 +177,12 @@
     usize::try_from(now.as_millis()).unwrap_or(usize::MAX) / BIN_MS
 }
 
-fn book_event(events: &mut Vec<(usize, Duration)>, now: Duration, upstream: usize) {
-    let known = events
+fn record_event(events: &mut Vec<(usize, Duration)>, now: Duration, upstream: usize) {
+    let recent_event = events
         .iter_mut()
         .rev()
-        .find(|(index, last)| *index == upstream && now.saturating_sub(*last) < ONE_EVENT);
-    match known {
+        .find(|(index, last)| *index == upstream && now.saturating_sub(*last) < EVENT_MERGE_WINDOW);
+    match recent_event {
         Some(event) => event.1 = now,
         None => events.push((upstream, now)),
     }
--- a/crates/lab/src/situations/mod.rs
+++ b/crates/lab/src/situations/mod.rs
@@ -1,37 +1,37 @@
 //! Gray-failure situations: detection time and false ejections against baselines.
 //!
 //! ```text
-//!   SituationPlan x ServiceShape x ContenderKind x seed
-//!        └─> LabWorld (virtual time) ─> RunMeter ─> RunFigures ─> TableRow ─> SituationTable
+//!   SituationPlan x ServiceShape x ChooserKind x seed
+//!       └─> FleetSimulation (virtual time) ─> RunMeter ─> RunFigures ─> TableRow ─> SituationTable
 //! ```
 //!
-//! The lab feeds the choosers the same typed samples as the daemon does. There is no network:
-//! delays, cuts and silent connections are those of a few lines each. Every chooser gets the same
-//! admission beside the backend servers, the same rule for retries and the same retry budget, so
-//! that the rows differ by detection and choice only.
+//! The simulation feeds the choosers the same typed samples as the daemon does. There is no
+//! network: delays, partitions and silent connections are simulated. Every chooser gets the same
+//! admission control in front of the backend servers, the same retry rule and the same retry
+//! budget, so that the rows differ only by detection and upstream selection.
 //!
-//! Detection is the moment from which an upstream's share stays below a tenth of its fair share:
-//! the first moment `t` such that in each of the windows of 0.2 s, 0.5 s, 1 s, 2 s and 5 s that
-//! begin at `t` it gets no more than that.
+//! An upstream counts as detected from the first moment `t` such that, in each of the windows of
+//! 0.2 s, 0.5 s, 1 s, 2 s and 5 s that begin at `t`, it receives at most a tenth of its fair share
+//! of requests.
 
 pub mod baselines;
 pub mod chooser;
-pub mod contender;
+pub mod chooser_kind;
 pub mod cost;
 pub mod fault;
 pub mod figures;
-pub mod fleet;
 pub mod meter;
 pub mod plot;
+pub mod services;
+pub mod simulation;
 pub mod table;
-pub mod world;
 
-mod duties;
 mod flow;
+mod injection;
+mod periodic;
 mod server;
-mod trouble;
 
-pub use contender::ContenderKind;
+pub use chooser_kind::ChooserKind;
 pub use cost::{CostFigures, measure_cost};
 pub use figures::TableRow;
 pub use table::{SituationTable, TableOptions, run_table};
--- a/crates/lab/src/situations/plot.rs
+++ b/crates/lab/src/situations/plot.rs
@@ -1,9 +1,9 @@
-//! The table as a self-contained page with plots: no script, no outside resource.
+//! HTML rendering of the table with plots, without scripts or external resources.
 
 use std::fmt::Write as _;
 
 use super::figures::TableRow;
-use super::fleet::count;
+use super::services::to_f64;
 use super::table::SituationTable;
 
 /// Height of one bar in pixels.
@@ -15,14 +15,14 @@
 /// Width of the labels in pixels.
 const LABEL: f64 = 330.0;
 
-/// Ends of the logarithmic time axis in seconds.
-const AXIS: (f64, f64) = (0.1, 100.0);
+/// Lower and upper end of the logarithmic time axis, in seconds.
+const AXIS_RANGE: (f64, f64) = (0.1, 100.0);
 
-/// Colours of the bars: this project, baselines.
+/// Colours of the bars of the pool choosers and of the baselines.
 const COLOURS: (&str, &str) = ("#2a6f97", "#b0b7bd");
 
 impl SituationTable {
-    /// The table as a page with one plot of detection times for each service.
+    /// Renders the table as an HTML page with one plot of detection times per service.
     #[must_use]
     pub fn to_html(&self) -> String {
         let mut page = String::from(
@@ -54,7 +54,7 @@
 }
 
 fn draw_plot(page: &mut String, rows: &[&TableRow]) {
-    let height = BAR * (count(rows.len()) + 2.0);
+    let height = BAR * (to_f64(rows.len()) + 2.0);
     let _ = writeln!(
         page,
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{:.0}\" height=\"{height:.0}\" \
@@ -62,7 +62,7 @@
         LABEL + WIDTH + 60.0
     );
     for mark in [0.1, 1.0, 10.0, 100.0] {
-        let x = LABEL + place_of(mark);
+        let x = LABEL + x_offset(mark);
         let _ = writeln!(
             page,
             "<line x1=\"{x:.0}\" y1=\"{BAR}\" x2=\"{x:.0}\" y2=\"{height:.0}\" stroke=\"#ddd\"/>\
@@ -71,7 +71,7 @@
         );
     }
     for (index, row) in rows.iter().enumerate() {
-        draw_bar(page, BAR * (count(index) + 1.0), row);
+        draw_bar(page, BAR * (to_f64(index) + 1.0), row);
     }
     page.push_str("</svg>\n");
 }
@@ -98,11 +98,11 @@
         page,
         "<rect x=\"{LABEL:.0}\" y=\"{:.0}\" width=\"{:.0}\" height=\"{:.0}\" fill=\"{colour}\"/>",
         y + 2.0,
-        place_of(median),
+        x_offset(median),
         BAR - 4.0
     );
-    if let Some(late) = row.detection_p99 {
-        let x = LABEL + place_of(late);
+    if let Some(p99) = row.detection_p99 {
+        let x = LABEL + x_offset(p99);
         let _ = writeln!(
             page,
             "<line x1=\"{x:.0}\" y1=\"{:.0}\" x2=\"{x:.0}\" y2=\"{:.0}\" stroke=\"#c1121f\" \
@@ -113,9 +113,9 @@
     }
 }
 
-/// Place of a time on the logarithmic axis, in pixels.
-fn place_of(seconds: f64) -> f64 {
-    let (least, most) = AXIS;
+/// Returns the position of a time on the logarithmic axis, in pixels.
+fn x_offset(seconds: f64) -> f64 {
+    let (least, most) = AXIS_RANGE;
     let share = (seconds.clamp(least, most) / least).ln() / (most / least).ln();
     share * WIDTH
 }
--- a/crates/lab/src/situations/fleet.rs
+++ b/crates/lab/src/situations/services.rs
@@ -1,51 +1,51 @@
-//! The services at the users' sizes.
+//! Simulated services, sized like those of real customers, and shared network constants.
 
 use std::time::Duration;
 
-/// One service with its load.
+/// Size and load of one simulated service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceShape {
-    /// Name in the table.
+    /// Name printed in the table.
     pub name: &'static str,
-    /// Upstreams, each on an instance of its own with its daemon.
+    /// Number of upstreams, each on its own instance with its own daemon.
     pub upstreams: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Slots of each upstream.
+    /// Requests that each upstream runs concurrently.
     pub slots: u16,
-    /// Requests a second from all callers.
+    /// Requests per second from all callers together.
     pub rate: f64,
-    /// Share of all slots in use on average.
+    /// Mean share of all slots in use, from 0 to 1.
     pub utilisation: f64,
 }
 
 impl ServiceShape {
-    /// Mean time of a request in a backend server, in seconds.
+    /// Returns the mean service time of a request, in seconds.
     #[must_use]
     pub fn mean_service(&self) -> f64 {
         self.utilisation * self.capacity_slots() / self.rate
     }
 
-    /// All slots.
+    /// Returns the total number of slots.
     #[must_use]
     pub fn capacity_slots(&self) -> f64 {
-        f64::from(self.slots) * count(self.upstreams)
+        f64::from(self.slots) * to_f64(self.upstreams)
     }
 
-    /// Requests a second that the slots can serve.
+    /// Returns the requests per second that all slots can serve.
     #[must_use]
     pub fn capacity_rate(&self) -> f64 {
         self.capacity_slots() / self.mean_service()
     }
 }
 
-/// A count as a number to calculate with.
+/// Converts a count to a floating-point number; counts above `u32::MAX` saturate.
 #[must_use]
-pub fn count(value: usize) -> f64 {
+pub fn to_f64(value: usize) -> f64 {
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
 
-/// Brannock's order service.
+/// Order service of the customer Brannock.
 pub const ORDERS: ServiceShape = ServiceShape {
     name: "orders-17",
     upstreams: 17,
@@ -55,7 +55,7 @@
     utilisation: 0.65,
 };
 
-/// Brannock's depot document service.
+/// Depot document service of the customer Brannock.
 pub const DOCUMENTS: ServiceShape = ServiceShape {
     name: "documents-8",
     upstreams: 8,
@@ -65,7 +65,7 @@
     utilisation: 0.6,
 };
 
-/// Moreton Keel's broker service.
+/// Broker service of the customer Moreton Keel.
 pub const BROKER: ServiceShape = ServiceShape {
     name: "broker-23",
     upstreams: 23,
@@ -75,7 +75,7 @@
     utilisation: 0.65,
 };
 
-/// Moreton Keel's survey service.
+/// Survey service of the customer Moreton Keel.
 pub const SURVEY: ServiceShape = ServiceShape {
     name: "survey-6",
     upstreams: 6,
@@ -85,20 +85,20 @@
     utilisation: 0.6,
 };
 
-/// One way between two instances.
-pub const HOP: Duration = Duration::from_micros(1_500);
+/// One-way network delay between two instances.
+pub const NETWORK_DELAY: Duration = Duration::from_micros(1_500);
 
-/// Longest wait of a caller for one answer.
+/// Longest time that a caller waits for a reply.
 pub const CALLER_DEADLINE: Duration = Duration::from_secs(5);
 
-/// Longest wait of a daemon for one attempt.
+/// Longest time that a daemon waits for one attempt.
 pub const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A new connection and a probe over it.
-pub const RECONNECT: Duration = Duration::from_millis(26);
+/// Time to open a new connection and probe it.
+pub const RECONNECT_TIME: Duration = Duration::from_millis(26);
 
-/// Requests that may wait beside one backend server; further ones are refused at once.
+/// Length of the queue in front of one backend server; further requests are refused immediately.
 pub const QUEUE_LIMIT: usize = 5;
 
-/// Retries for each request that the budget allows.
+/// Retry budget earned by each request.
 pub const RETRY_SHARE: f64 = 0.1;
--- a/crates/lab/src/situations/table.rs
+++ b/crates/lab/src/situations/table.rs
@@ -1,4 +1,4 @@
-//! The table of situations.
+//! Execution of the situations and rendering of the table.
 
 use std::fmt::Write as _;
 use std::sync::Mutex;
@@ -7,33 +7,33 @@
 use serde::Serialize;
 use sycamorelink_policy::PoolSettings;
 
-use super::contender::ContenderKind;
+use super::chooser_kind::ChooserKind;
 use super::fault::{SITUATIONS, SituationPlan};
-use super::figures::{RunFigures, TableRow, wants_detection};
-use super::fleet::{BROKER, DOCUMENTS, ORDERS, SURVEY, ServiceShape};
-use super::world::LabWorld;
+use super::figures::{RunFigures, TableRow, expects_detection};
+use super::services::{BROKER, DOCUMENTS, ORDERS, SURVEY, ServiceShape};
+use super::simulation::FleetSimulation;
 
-/// What to run.
+/// Rows to run and their parameters.
 #[derive(Clone, Debug)]
 pub struct TableOptions {
-    /// Runs of each row of the defaults; other ways to choose get a quarter.
+    /// Runs of each row of the default pool; the other choosers get a quarter.
     pub runs: usize,
-    /// Services.
+    /// Simulated services.
     pub services: Vec<ServiceShape>,
-    /// Ways to choose.
-    pub contenders: Vec<ContenderKind>,
-    /// Names of situations; empty for all.
+    /// Upstream selection algorithms to compare.
+    pub choosers: Vec<ChooserKind>,
+    /// Names of the situations to run; empty for all.
     pub situations: Vec<String>,
-    /// Threads.
+    /// Number of worker threads; it does not affect the result.
     pub threads: usize,
-    /// Seed of the first run.
+    /// Seed of the first run; each further run adds one.
     pub seed: u64,
-    /// Settings of this project's pool.
+    /// Settings of the default pool, [`ChooserKind::Pool`].
     pub settings: PoolSettings,
 }
 
-/// Situations of the small table.
-const QUICK: [&str; 6] = [
+/// Situations of the quick table.
+const QUICK_SITUATIONS: [&str; 6] = [
     "one-slow-10x",
     "one-failing-20",
     "all-failing-50",
@@ -43,27 +43,27 @@
 ];
 
 impl TableOptions {
-    /// The small table for continuous integration.
+    /// Returns the options of the quick table for continuous integration.
     #[must_use]
     pub fn quick() -> Self {
         Self {
             runs: 1,
             services: vec![ORDERS],
-            contenders: vec![ContenderKind::Pool, ContenderKind::Consecutive],
-            situations: QUICK.map(str::to_owned).to_vec(),
+            choosers: vec![ChooserKind::Pool, ChooserKind::Consecutive],
+            situations: QUICK_SITUATIONS.map(str::to_owned).to_vec(),
             threads: 2,
             seed: 1,
             settings: PoolSettings::default(),
         }
     }
 
-    /// The whole table for the page.
+    /// Returns the options of the full table in the documentation.
     #[must_use]
     pub fn full() -> Self {
         Self {
             runs: 100,
             services: vec![ORDERS, DOCUMENTS, BROKER, SURVEY],
-            contenders: ContenderKind::ALL.to_vec(),
+            choosers: ChooserKind::ALL.to_vec(),
             situations: Vec::new(),
             threads: 3,
             seed: 1,
@@ -72,22 +72,22 @@
     }
 }
 
-/// All rows.
+/// Results of all situations.
 #[derive(Clone, Debug, Serialize)]
 pub struct SituationTable {
-    /// The rows, in order of service, situation and chooser.
+    /// Rows, in order of service, situation and chooser.
     pub rows: Vec<TableRow>,
 }
 
-/// One row to be run.
+/// Parameters of one row.
 #[derive(Clone, Copy, Debug)]
 struct RowJob {
     service: ServiceShape,
     plan: SituationPlan,
-    contender: ContenderKind,
+    chooser: ChooserKind,
 }
 
-/// Runs the table. The same options give the same table, whatever the number of threads.
+/// Runs the situations. The result depends on the options but not on the number of threads.
 #[must_use]
 pub fn run_table(options: &TableOptions) -> SituationTable {
     let jobs = list_jobs(options);
@@ -97,20 +97,20 @@
         for _ in 0..options.threads.max(1) {
             scope.spawn(|| {
                 loop {
-                    let place = next.fetch_add(1, Ordering::Relaxed);
-                    let Some(job) = jobs.get(place) else {
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let Some(job) = jobs.get(index) else {
                         break;
                     };
                     let row = run_row(job, options);
                     if let Ok(mut rows) = rows.lock() {
-                        rows.push((place, row));
+                        rows.push((index, row));
                     }
                 }
             });
         }
     });
     let mut rows = rows.into_inner().unwrap_or_default();
-    rows.sort_by_key(|(place, _)| *place);
+    rows.sort_by_key(|(index, _)| *index);
     SituationTable {
         rows: rows.into_iter().map(|(_, row)| row).collect(),
     }
@@ -124,11 +124,11 @@
             if !listed && !options.situations.is_empty() {
                 continue;
             }
-            for &contender in &options.contenders {
+            for &chooser in &options.choosers {
                 jobs.push(RowJob {
                     service,
                     plan,
-                    contender,
+                    chooser,
                 });
             }
         }
@@ -137,7 +137,7 @@
 }
 
 fn run_row(job: &RowJob, options: &TableOptions) -> TableRow {
-    let wanted = job.contender.runs(options.runs);
+    let wanted = job.chooser.runs(options.runs);
     let runs = job.plan.runs(wanted);
     let figures: Vec<RunFigures> = (0..runs)
         .map(|run| run_once(job, options.seed + run as u64, &options.settings))
@@ -145,27 +145,27 @@
     TableRow::combine(
         job.plan.name,
         job.service.name,
-        job.contender.name(),
+        job.chooser.name(),
         &figures,
     )
 }
 
 fn run_once(job: &RowJob, seed: u64, settings: &PoolSettings) -> RunFigures {
     let choosers = (0..job.service.upstreams)
-        .map(|node| job.contender.build(settings, seed * 1_000 + node as u64))
+        .map(|node| job.chooser.build(settings, seed * 1_000 + node as u64))
         .collect();
-    let world = LabWorld::new(job.service, job.plan, choosers, seed);
-    let sick = if wants_detection(&job.plan.event) {
-        world.struck()
+    let simulation = FleetSimulation::new(job.service, job.plan, choosers, seed);
+    let faulty = if expects_detection(&job.plan.event) {
+        simulation.affected_upstreams()
     } else {
         Vec::new()
     };
-    let meter = world.run();
-    RunFigures::take(&job.service, &job.plan, &meter, &sick)
+    let meter = simulation.run();
+    RunFigures::from_run(&job.service, &job.plan, &meter, &faulty)
 }
 
 impl SituationTable {
-    /// The table as text.
+    /// Renders the table as plain text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
@@ -182,17 +182,17 @@
         text
     }
 
-    /// The table as JSON.
+    /// Renders the table as JSON.
     ///
     /// # Errors
     ///
-    /// When a figure cannot be written, which the types rule out.
+    /// Returns an error when serialization fails, which these types rule out.
     pub fn to_json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(self)
     }
 }
 
-/// Names of the columns.
+/// Column headings.
 const HEADING: &str = concat!(
     "  chooser                 det.p50 det.p99  found  sent share |  false  shift  |",
     "  err%  ref%    p50    p99   p99.9 | goodput retry recov | serving weight  B/s\n",
--- a/crates/lab/tests/shares.rs
+++ b/crates/lab/tests/shares.rs
@@ -1,9 +1,9 @@
-//! The small table of shares, admission and retries.
+//! Snapshot test of the quick table of shares, admission and retries.
 
 use sycamorelink_lab::shares::{LimiterKind, ShareOptions, run_table};
 
 #[test]
-fn small_table() {
+fn quick_table_matches_snapshot() {
     let table = run_table(&ShareOptions::quick());
     insta::assert_snapshot!(table.to_text());
     for row in table.shares {
--- a/crates/lab/tests/situations.rs
+++ b/crates/lab/tests/situations.rs
@@ -1,28 +1,28 @@
-//! The small table of situations, held by a snapshot.
+//! Tests of the quick table of situations.
 
 use sycamorelink_lab::situations::{TableOptions, run_table};
 
-/// The small table is the same every time, and its runs keep the floor in every step (the runner
-/// asserts it).
+/// Checks that the table is reproducible. The simulation itself asserts the capacity floor in every
+/// step.
 #[test]
-fn small_table() {
+fn quick_table_matches_snapshot() {
     let table = run_table(&TableOptions::quick());
     insta::assert_snapshot!(table.to_text());
 }
 
 #[test]
-fn threads_do_not_change_the_table() {
+fn thread_count_does_not_change_table() {
     let mut options = TableOptions::quick();
     options.situations = vec!["one-failing-50".to_owned()];
     options.threads = 1;
-    let alone = run_table(&options).to_text();
+    let single_threaded = run_table(&options).to_text();
     options.threads = 3;
-    assert_eq!(run_table(&options).to_text(), alone);
+    assert_eq!(run_table(&options).to_text(), single_threaded);
 }
 
-/// The page stands alone: no script and nothing loaded from elsewhere.
+/// Checks that the HTML page has no scripts and loads no external resources.
 #[test]
-fn page_is_self_contained() {
+fn html_page_is_self_contained() {
     let mut options = TableOptions::quick();
     options.situations = vec!["one-failing-50".to_owned()];
     let page = run_table(&options).to_html();
