--- a/crates/standin/src/backend/announce.rs
+++ b/crates/standin/src/backend/announce.rs
@@ -1,7 +1,7 @@
-//! Announces a backend server to the daemon beside it, every heartbeat anew.
+//! Announces the backend server to the local daemon and repeats this on every heartbeat.
 //!
-//! The daemon forgets an announcement that is not repeated, and a restarted daemon learns the
-//! backend server from the next one.
+//! The daemon drops an announcement that is not renewed. After a restart, the daemon learns of the
+//! backend server from the next heartbeat.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 
 use super::{BackendPhase, BackendSettings};
 
-/// Longest wait for the daemon's answer to one announcement.
-const ANNOUNCE_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of one announcement request.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Announcement<'a> {
@@ -30,6 +30,8 @@
 }
 
 /// Repeats the announcement until the phase channel closes, then withdraws it.
+///
+/// Returns at once when the settings name no daemon.
 pub(super) async fn announce_until_closed(
     settings: Arc<BackendSettings>,
     address: SocketAddr,
@@ -47,17 +49,17 @@
     );
     loop {
         let announced = *phase.borrow_and_update();
-        let text = announcement_text(&settings, address, announced);
-        send(&client, Method::PUT, &uri, text).await;
-        let next = tokio::time::timeout(settings.heartbeat, phase.changed());
-        if let Ok(Err(_)) = next.await {
+        let body = announcement_body(&settings, address, announced);
+        send_announcement(&client, Method::PUT, &uri, body).await;
+        let heartbeat = tokio::time::timeout(settings.heartbeat, phase.changed());
+        if let Ok(Err(_)) = heartbeat.await {
             break;
         }
     }
-    send(&client, Method::DELETE, &uri, Bytes::new()).await;
+    send_announcement(&client, Method::DELETE, &uri, Bytes::new()).await;
 }
 
-fn announcement_text(
+fn announcement_body(
     settings: &BackendSettings,
     address: SocketAddr,
     phase: BackendPhase,
@@ -71,17 +73,22 @@
     Bytes::from(serde_json::to_vec(&announcement).unwrap_or_default())
 }
 
-async fn send(client: &Client<HttpConnector, Full<Bytes>>, method: Method, uri: &str, body: Bytes) {
+async fn send_announcement(
+    client: &Client<HttpConnector, Full<Bytes>>,
+    method: Method,
+    uri: &str,
+    body: Bytes,
+) {
     let request = Request::builder()
         .method(method)
         .uri(uri)
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(body));
     let Ok(request) = request else { return };
-    match tokio::time::timeout(ANNOUNCE_LIMIT, client.request(request)).await {
+    match tokio::time::timeout(ANNOUNCE_TIMEOUT, client.request(request)).await {
         Ok(Ok(response)) if response.status().is_success() => {}
-        Ok(Ok(response)) => tracing::debug!(status = %response.status(), "announcement refused"),
-        Ok(Err(error)) => tracing::debug!(%error, "daemon unreachable"),
-        Err(_) => tracing::debug!("daemon silent"),
+        Ok(Ok(response)) => tracing::debug!(status = %response.status(), "announcement rejected"),
+        Ok(Err(error)) => tracing::debug!(%error, "failed to send announcement"),
+        Err(_) => tracing::debug!("announcement timed out"),
     }
 }
--- a/crates/standin/src/backend/run.rs
+++ b/crates/standin/src/backend/request.rs
@@ -1,4 +1,4 @@
-//! One request at a backend stand-in: slot, fault, work, reply.
+//! Request processing of the backend stand-in: slot, fault, simulated work, reply.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use tokio::sync::SemaphorePermit;
 use tokio::time::Instant;
 
-use super::state::{BackendState, EarlierReply};
+use super::state::{BackendState, PreviousReply};
 use super::{BackendFault, TIMEOUT_HEADER};
-use crate::reply::{AbortError, ReplyBody, ReplyResult, error_reply, query_number, whole_body};
+use crate::reply::{AbortError, ReplyBody, ReplyResult, error_reply, full_body, query_number};
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const BODY_DIGEST: HeaderName = HeaderName::from_static("x-body-digest");
 
-/// Pieces into which a streamed reply is cut.
-const STREAM_PIECES: u32 = 10;
+/// Number of chunks of a streamed reply.
+const STREAM_CHUNKS: u32 = 10;
 
-/// Pause in which the server writes out what it has.
-const FLUSH_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a truncated reply is aborted, in which the server flushes the first half.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// Wait for a request without a deadline of its own.
-const LONGEST_RUN: Duration = Duration::from_mins(5);
+/// Longest run, and the deadline of a request without the timeout header.
+const MAX_RUN_TIME: Duration = Duration::from_mins(5);
 
-/// What is known of a request before it runs.
-struct RequestFacts {
+/// Properties of a request that its run and its reply depend on.
+struct RequestMetadata {
     id: Option<String>,
     key: Option<String>,
     deadline: Instant,
@@ -42,16 +42,16 @@
     path: String,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     fn read(request: &Request<Incoming>) -> Self {
         let headers = request.headers();
         let time_left = header_text(headers, &HeaderName::from_static(TIMEOUT_HEADER))
             .and_then(|text| text.parse().ok())
-            .map_or(LONGEST_RUN, Duration::from_millis);
+            .map_or(MAX_RUN_TIME, Duration::from_millis);
         Self {
             id: header_text(headers, &REQUEST_ID),
             key: header_text(headers, &IDEMPOTENCY_KEY),
-            deadline: Instant::now() + time_left.min(LONGEST_RUN),
+            deadline: Instant::now() + time_left.min(MAX_RUN_TIME),
             query: request.uri().query().map(str::to_owned),
             method: request.method().to_string(),
             path: request.uri().path().to_owned(),
@@ -59,87 +59,87 @@
     }
 }
 
-/// Counts a run as cancelled when it is dropped before its end.
+/// Counts a run as started, and as cancelled when the guard is dropped before `finish`.
 struct RunGuard<'a> {
     state: &'a BackendState,
-    facts: &'a RequestFacts,
+    metadata: &'a RequestMetadata,
     finished: bool,
 }
 
 impl<'a> RunGuard<'a> {
-    fn start(state: &'a BackendState, facts: &'a RequestFacts) -> Self {
-        state.change_runs(|runs| runs.start(facts.key.as_deref(), facts.id.as_deref()));
+    fn start(state: &'a BackendState, metadata: &'a RequestMetadata) -> Self {
+        state.update_runs(|runs| runs.start(metadata.key.as_deref(), metadata.id.as_deref()));
         Self {
             state,
-            facts,
+            metadata,
             finished: false,
         }
     }
 
     fn finish(mut self) {
         self.finished = true;
-        let facts = self.facts;
+        let metadata = self.metadata;
         self.state
-            .change_runs(|runs| runs.finish(facts.key.as_deref(), facts.id.as_deref()));
+            .update_runs(|runs| runs.finish(metadata.key.as_deref(), metadata.id.as_deref()));
     }
 }
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.state.change_runs(|runs| runs.cancelled += 1);
+            self.state.update_runs(|runs| runs.cancelled += 1);
         }
     }
 }
 
-/// Runs one request.
-pub(super) async fn run_request(
+/// Handles one request: waits for a slot, simulates the work and applies the injected fault.
+pub(super) async fn handle_request(
     state: &Arc<BackendState>,
     request: Request<Incoming>,
 ) -> ReplyResult {
-    let facts = RequestFacts::read(&request);
+    let metadata = RequestMetadata::read(&request);
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(|_| AbortError)?.to_bytes();
     let fault = state.fault();
     if let BackendFault::Hang = fault {
         return pending().await;
     }
-    let Some(permit) = take_slot(state, facts.deadline).await else {
-        state.change_runs(|runs| runs.shed += 1);
+    let Some(permit) = acquire_slot(state, metadata.deadline).await else {
+        state.update_runs(|runs| runs.shed += 1);
         return Ok(overload_reply());
     };
-    let guard = RunGuard::start(state, &facts);
-    if crash_hit(state, &fault, &parts.headers, &body) {
+    let guard = RunGuard::start(state, &metadata);
+    if crash_if_marked(state, &fault, &parts.headers, &body) {
         return pending().await;
     }
-    let finish_at = Instant::now() + state.draw_service_time();
-    tokio::time::sleep_until(finish_at.min(facts.deadline)).await;
-    if finish_at > facts.deadline {
+    let finish_at = Instant::now() + state.sample_service_time();
+    tokio::time::sleep_until(finish_at.min(metadata.deadline)).await;
+    if finish_at > metadata.deadline {
         return Ok(error_reply(StatusCode::GATEWAY_TIMEOUT, "deadline passed"));
     }
     guard.finish();
     drop::<SemaphorePermit<'_>>(permit);
-    reply_with_fault(state, &fault, &facts, &body)
+    reply_with_fault(state, &fault, &metadata, &body)
 }
 
-async fn take_slot(state: &BackendState, deadline: Instant) -> Option<SemaphorePermit<'_>> {
+async fn acquire_slot(state: &BackendState, deadline: Instant) -> Option<SemaphorePermit<'_>> {
     if let Ok(permit) = state.slots.try_acquire() {
         return Some(permit);
     }
-    let waiting = QueueGuard::enter(state)?;
-    let taken = tokio::time::timeout_at(deadline, state.slots.acquire()).await;
-    drop(waiting);
-    taken.ok()?.ok()
+    let queue_guard = QueueGuard::enter(state)?;
+    let acquired = tokio::time::timeout_at(deadline, state.slots.acquire()).await;
+    drop(queue_guard);
+    acquired.ok()?.ok()
 }
 
-/// One place in the queue; left on drop.
+/// One place in the queue for slots, released on drop.
 struct QueueGuard<'a>(&'a BackendState);
 
 impl<'a> QueueGuard<'a> {
     fn enter(state: &'a BackendState) -> Option<Self> {
-        let before = state.queued.fetch_add(1, Ordering::Relaxed);
+        let queued_before = state.queued.fetch_add(1, Ordering::Relaxed);
         let guard = Self(state);
-        (before < state.settings.queue_limit).then_some(guard)
+        (queued_before < state.settings.queue_limit).then_some(guard)
     }
 }
 
@@ -157,59 +157,70 @@
     reply
 }
 
-fn crash_hit(state: &BackendState, fault: &BackendFault, headers: &HeaderMap, body: &[u8]) -> bool {
+fn crash_if_marked(
+    state: &BackendState,
+    fault: &BackendFault,
+    headers: &HeaderMap,
+    body: &[u8],
+) -> bool {
     let BackendFault::CrashOn { marker, down_ms } = fault else {
         return false;
     };
     let marker = marker.as_bytes();
-    let hit = !marker.is_empty()
-        && (contains(body, marker) || headers.values().any(|v| contains(v.as_bytes(), marker)));
-    if hit {
+    let matched = !marker.is_empty()
+        && (contains_bytes(body, marker)
+            || headers
+                .values()
+                .any(|v| contains_bytes(v.as_bytes(), marker)));
+    if matched {
         state.crash(Duration::from_millis(*down_ms));
     }
-    hit
+    matched
 }
 
-fn contains(text: &[u8], part: &[u8]) -> bool {
-    text.windows(part.len()).any(|window| window == part)
+fn contains_bytes(text: &[u8], needle: &[u8]) -> bool {
+    text.windows(needle.len()).any(|window| window == needle)
 }
 
 fn reply_with_fault(
     state: &BackendState,
     fault: &BackendFault,
-    facts: &RequestFacts,
+    metadata: &RequestMetadata,
     body: &[u8],
 ) -> ReplyResult {
-    let own = EarlierReply {
-        request: facts.id.clone(),
-        body: reply_body(facts, body),
+    let current = PreviousReply {
+        request: metadata.id.clone(),
+        body: reply_body(metadata, body),
     };
-    let earlier = state.swap_earlier(own.clone());
+    let previous = state.replace_previous(current.clone());
     match fault {
         BackendFault::Silent => Err(AbortError),
-        BackendFault::Fail { share } if state.draw_failure(*share) => {
+        BackendFault::Fail { share } if state.sample_failure(*share) => {
             let mut reply = error_reply(StatusCode::INTERNAL_SERVER_ERROR, "failed on purpose");
-            insert_text(&mut reply, REQUEST_ID, own.request.as_deref());
+            insert_text(&mut reply, REQUEST_ID, current.request.as_deref());
             Ok(reply)
         }
-        BackendFault::WrongReply if earlier.request.is_some() => Ok(reply_of(&earlier, facts)),
-        BackendFault::Truncate => Ok(truncated(&own)),
-        _ => Ok(reply_of(&own, facts)),
+        BackendFault::WrongReply if previous.request.is_some() => Ok(respond(&previous, metadata)),
+        BackendFault::Truncate => Ok(truncated_reply(&current)),
+        _ => Ok(respond(&current, metadata)),
     }
 }
 
-/// The body of a reply: of the size asked for and made from the request id, or a summary.
-fn reply_body(facts: &RequestFacts, body: &[u8]) -> Bytes {
-    let id = facts.id.as_deref().unwrap_or("-");
-    match query_number(facts.query.as_deref(), "reply_bytes") {
+/// Builds the reply body.
+///
+/// The query parameter `reply_bytes` selects a body of that size that repeats the request id. The
+/// default is a JSON summary of the request.
+fn reply_body(metadata: &RequestMetadata, body: &[u8]) -> Bytes {
+    let id = metadata.id.as_deref().unwrap_or("-");
+    match query_number(metadata.query.as_deref(), "reply_bytes") {
         Some(size) => {
             let size = usize::try_from(size).unwrap_or(usize::MAX);
             id.bytes().chain([b' ']).cycle().take(size).collect()
         }
         None => serde_json::json!({
             "request_id": id,
-            "method": facts.method,
-            "path": facts.path,
+            "method": metadata.method,
+            "path": metadata.path,
             "body_bytes": body.len(),
             "body_digest": format!("{:016x}", stable_hash(&[body])),
         })
@@ -218,11 +229,12 @@
     }
 }
 
-fn reply_of(reply: &EarlierReply, facts: &RequestFacts) -> Response<ReplyBody> {
-    let stream_for = query_number(facts.query.as_deref(), "stream_ms").map(Duration::from_millis);
-    let body = match stream_for {
+fn respond(reply: &PreviousReply, metadata: &RequestMetadata) -> Response<ReplyBody> {
+    let stream_time =
+        query_number(metadata.query.as_deref(), "stream_ms").map(Duration::from_millis);
+    let body = match stream_time {
         Some(time) => streamed_body(reply.body.clone(), time),
-        None => whole_body(reply.body.clone()),
+        None => full_body(reply.body.clone()),
     };
     let mut response = Response::new(body);
     insert_text(&mut response, REQUEST_ID, reply.request.as_deref());
@@ -231,15 +243,15 @@
     response
 }
 
-/// A reply that promises its whole length and breaks off half way.
-fn truncated(reply: &EarlierReply) -> Response<ReplyBody> {
+/// Builds a reply that declares its full length and aborts after half of the body.
+fn truncated_reply(reply: &PreviousReply) -> Response<ReplyBody> {
     let half = reply.body.slice(..reply.body.len() / 2);
     let frames = stream::unfold(Some(half), |half| async move {
         if let Some(half) = half {
             return Some((Ok(Frame::data(half)), None));
         }
-        // Without a pause the half would still be in the server's buffer and be lost with it.
-        tokio::time::sleep(FLUSH_PAUSE).await;
+        // Without the delay, hyper would drop the first half from its write buffer on abort.
+        tokio::time::sleep(FLUSH_DELAY).await;
         Some((Err(AbortError), None))
     });
     let mut response = Response::new(BodyExt::boxed(StreamBody::new(Box::pin(frames))));
@@ -251,14 +263,14 @@
 }
 
 fn streamed_body(body: Bytes, time: Duration) -> ReplyBody {
-    let pause = time / STREAM_PIECES;
-    let piece = body.len().div_ceil(STREAM_PIECES as usize).max(1);
+    let pause = time / STREAM_CHUNKS;
+    let chunk_bytes = body.len().div_ceil(STREAM_CHUNKS as usize).max(1);
     let frames = stream::unfold(body, move |mut rest| async move {
         if rest.is_empty() {
             return None;
         }
         tokio::time::sleep(pause).await;
-        let next = rest.split_to(piece.min(rest.len()));
+        let next = rest.split_to(chunk_bytes.min(rest.len()));
         Some((Ok(Frame::data(next)), rest))
     });
     BodyExt::boxed(StreamBody::new(Box::pin(frames)))
--- a/crates/standin/src/backend/service.rs
+++ b/crates/standin/src/backend/service.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the backend stand-in: control, health and load beside the work.
+//! HTTP endpoints of the backend stand-in: control, health, load and simulated work.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,22 +9,22 @@
 use hyper::body::Incoming;
 use serde::Deserialize;
 
-use super::run::run_request;
+use super::request::handle_request;
 use super::state::BackendState;
 use super::{BackendFault, BackendPhase, ColdStart};
 use crate::reply::{ReplyBody, ReplyResult, error_reply, json_reply};
 use crate::server::RequestHandler;
 
-/// Greatest size of a control body in bytes.
-const CONTROL_BYTES: usize = 64 * 1024;
+/// Maximum size of a control request body in bytes.
+const MAX_CONTROL_BYTES: usize = 64 * 1024;
 
 #[derive(Deserialize)]
-struct PhaseRequest {
+struct ControlRequest {
     phase: Option<BackendPhase>,
     cold_start: Option<ColdStart>,
 }
 
-/// Answers the requests of a backend stand-in.
+/// Request handler of a backend stand-in.
 pub(super) struct BackendService {
     state: Arc<BackendState>,
 }
@@ -35,24 +35,26 @@
     }
 
     async fn control(&self, request: Request<Incoming>) -> Response<ReplyBody> {
-        let limited = Limited::new(request.into_body(), CONTROL_BYTES);
+        let limited = Limited::new(request.into_body(), MAX_CONTROL_BYTES);
         let Ok(body) = limited.collect().await else {
             return error_reply(StatusCode::BAD_REQUEST, "control body is cut short");
         };
-        match self.apply(&body.to_bytes()) {
+        match self.apply_control(&body.to_bytes()) {
             Ok(()) => json_reply(StatusCode::OK, &self.state.fault()),
             Err(error) => error_reply(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    /// The fault is decoded by itself, so that an unknown one is an error and not left out.
-    fn apply(&self, body: &[u8]) -> serde_json::Result<()> {
+    /// Applies a control request.
+    ///
+    /// The fault is decoded on its own, so that an unknown fault is rejected instead of ignored.
+    fn apply_control(&self, body: &[u8]) -> serde_json::Result<()> {
         let control: serde_json::Value = serde_json::from_slice(body)?;
         let fault = control
             .get("fault")
             .map(|_| BackendFault::deserialize(&control));
         let fault = fault.transpose()?;
-        let request = PhaseRequest::deserialize(&control)?;
+        let request = ControlRequest::deserialize(&control)?;
         if let Some(fault) = fault {
             self.state.set_fault(fault);
         }
@@ -60,32 +62,33 @@
             self.state.set_phase(phase);
         }
         if let Some(cold) = request.cold_start {
-            self.state.set_cold(cold);
+            self.state.set_cold_start(cold);
         }
         Ok(())
     }
 }
 
 impl RequestHandler for BackendService {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = ReplyResult> + Send>> {
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
-                // Health says healthy whatever the fault: that is what makes a failure gray.
+                // Reports healthy under every fault, since health checks do not detect gray
+                // failures.
                 (&Method::GET, "/health") => Ok(json_reply(
                     StatusCode::OK,
                     &serde_json::json!({ "status": "healthy" }),
                 )),
                 (&Method::GET, "/load") => {
-                    Ok(json_reply(StatusCode::OK, &self.state.lagging_load()))
+                    Ok(json_reply(StatusCode::OK, &self.state.delayed_load()))
                 }
                 (&Method::GET, "/control/runs") => {
                     Ok(json_reply(StatusCode::OK, &self.state.runs()))
                 }
                 (&Method::POST, "/control") => Ok(self.control(request).await),
-                _ => run_request(&self.state, request).await,
+                _ => handle_request(&self.state, request).await,
             }
         })
     }
--- a/crates/standin/src/backend/settings.rs
+++ b/crates/standin/src/backend/settings.rs
@@ -7,12 +7,12 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use sycamorelink_core::ServiceName;
 
-/// Slowness after a start or a `cold` command, falling linearly to normal.
+/// Slowdown after a start or a `cold_start` control request, decreasing linearly to none.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStart {
-    /// Factor on the service time at the start.
+    /// Multiplier of the service time at the beginning.
     pub factor: f64,
     /// Time in milliseconds until the service time is normal.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -20,40 +20,40 @@
     pub warm_after: Duration,
 }
 
-/// Settings of a backend stand-in. Fields left out take the defaults.
+/// Settings of a backend stand-in. Missing fields take their defaults.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendSettings {
-    /// The service it belongs to.
+    /// Service that the backend server announces.
     pub service: ServiceName,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
-    /// Requests that may wait for a slot; above it the answer is 503.
+    /// Maximum number of requests that wait for a slot; further ones get a 503.
     pub queue_limit: u32,
     /// Mean service time in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "service_time_ms")]
     pub service_time: Duration,
-    /// Sigma of the logarithm of the service time; zero makes it constant.
+    /// Standard deviation of the logarithm of the service time; 0 makes the service time constant.
     pub sigma: f64,
-    /// Slowness after the start.
+    /// Slowdown after the start; `None` starts at the normal service time.
     pub cold_start: Option<ColdStart>,
-    /// Seed of the service times and of failures by share.
+    /// Seed of the random service times and of the `fail` fault.
     pub seed: u64,
-    /// Operator address of the daemon beside it, to which it announces itself.
+    /// Operator address of the daemon that receives the announcements; `None` sends none.
     pub daemon: Option<SocketAddr>,
-    /// Its slot on that daemon.
+    /// Slot number under which the server announces itself to the daemon.
     pub daemon_slot: u16,
-    /// Time in milliseconds between two announcements.
+    /// Interval between announcements in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "heartbeat_ms")]
     pub heartbeat: Duration,
-    /// Age in milliseconds of what the load endpoint tells.
+    /// Minimum age, in milliseconds, of the load that `GET /load` reports.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "load_lag_ms")]
     pub load_lag: Duration,
-    /// Whether a crash ends it for good, as it does in a process of its own.
+    /// Whether a crash ends the server for good, as it does for a real process.
     pub crash_ends: bool,
 }
 
@@ -76,48 +76,49 @@
     }
 }
 
-/// Phase a backend server announces.
+/// Lifecycle phase that a backend server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BackendPhase {
-    /// It takes no work yet.
+    /// Not ready for requests yet.
     Starting,
-    /// It takes work.
+    /// Ready for requests.
     Ready,
-    /// It wants no new work and finishes what it has.
+    /// Shutting down: finishes the requests in flight and should get no new ones.
     Leaving,
 }
 
-/// How a backend stand-in misbehaves.
+/// Fault that a backend stand-in injects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "fault")]
 pub enum BackendFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     Healthy,
-    /// Every service time is multiplied.
+    /// Multiplies every service time.
     Slow {
-        /// The factor.
+        /// The multiplier; negative values count as 0.
         factor: f64,
     },
-    /// A share of the requests runs and gets a 500.
+    /// Runs a random share of the requests and answers them with a 500.
     Fail {
-        /// The share, from 0 to 1.
+        /// Probability of a failure, from 0 to 1.
         share: f64,
     },
-    /// The reply carries the id and the body of the request before.
+    /// Replies with the id and the body of the previous request.
     WrongReply,
-    /// The reply is cut short after half its body.
+    /// Aborts the reply after half of its body.
     Truncate,
-    /// The request runs, and the connection is closed without a reply.
+    /// Runs the request, then closes the connection without a reply.
     Silent,
-    /// Requests are taken and never answered.
+    /// Reads requests and never replies.
     Hang,
-    /// A request with this text in a header or the body closes everything for a while.
+    /// Simulates a crash on a request that contains the marker in a header value or the body:
+    /// closes the listener and all connections, then listens again.
     CrashOn {
-        /// The text.
+        /// Text to search for; an empty text matches no request.
         marker: String,
-        /// Time in milliseconds until it listens again.
+        /// Time in milliseconds until the server listens again.
         #[serde(default = "default_down_ms")]
         down_ms: u64,
     },
--- a/crates/standin/src/backend/state.rs
+++ b/crates/standin/src/backend/state.rs
@@ -1,4 +1,4 @@
-//! State of a backend stand-in shared by its connections.
+//! Shared state of a backend stand-in.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 use super::{BackendFault, BackendPhase, BackendSettings, ColdStart, RunReport};
 use crate::server::ServerCommand;
 
-/// Load as the load endpoint tells it.
+/// Body of the reply to `GET /load`.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct LoadReply {
     pub(super) in_use: u32,
@@ -22,9 +22,9 @@
     pub(super) slots: u16,
 }
 
-/// What a request left behind, for the reply to the wrong request.
+/// Reply to the most recent request, kept for the `wrong-reply` fault.
 #[derive(Clone, Debug, Default)]
-pub(super) struct EarlierReply {
+pub(super) struct PreviousReply {
     pub(super) request: Option<String>,
     pub(super) body: Bytes,
 }
@@ -35,12 +35,12 @@
     cold: Option<(ColdStart, Instant)>,
     rng: SmallRng,
     runs: RunReport,
-    told_load: (LoadReply, Instant),
-    next_load: LoadReply,
-    earlier: EarlierReply,
+    reported_load: (LoadReply, Instant),
+    pending_load: LoadReply,
+    previous: PreviousReply,
 }
 
-/// Shared state of one backend stand-in.
+/// State that all connections of a backend stand-in share.
 #[derive(Debug)]
 pub(super) struct BackendState {
     pub(super) settings: Arc<BackendSettings>,
@@ -63,9 +63,9 @@
             cold: settings.cold_start.map(|cold| (cold, now)),
             rng: SmallRng::seed_from_u64(settings.seed),
             runs: RunReport::default(),
-            told_load: (LoadReply::default(), now),
-            next_load: LoadReply::default(),
-            earlier: EarlierReply::default(),
+            reported_load: (LoadReply::default(), now),
+            pending_load: LoadReply::default(),
+            previous: PreviousReply::default(),
         };
         Self {
             slots: Semaphore::new(usize::from(settings.slots)),
@@ -99,12 +99,12 @@
         }
     }
 
-    /// Ends the announcements.
-    pub(super) fn close(&self) {
+    /// Closes the phase channel, which makes the announcing task withdraw the announcement.
+    pub(super) fn stop_announcing(&self) {
         self.phase_sender().take();
     }
 
-    pub(super) fn set_cold(&self, cold: ColdStart) {
+    pub(super) fn set_cold_start(&self, cold: ColdStart) {
         self.inner().cold = Some((cold, Instant::now()));
     }
 
@@ -112,59 +112,60 @@
         self.inner().runs.clone()
     }
 
-    pub(super) fn change_runs<F>(&self, change: F)
+    pub(super) fn update_runs<F>(&self, change: F)
     where
         F: FnOnce(&mut RunReport),
     {
         change(&mut self.inner().runs);
     }
 
-    pub(super) fn swap_earlier(&self, latest: EarlierReply) -> EarlierReply {
-        std::mem::replace(&mut self.inner().earlier, latest)
+    pub(super) fn replace_previous(&self, latest: PreviousReply) -> PreviousReply {
+        std::mem::replace(&mut self.inner().previous, latest)
     }
 
     pub(super) fn crash(&self, down_for: Duration) {
-        let pause = (!self.settings.crash_ends).then_some(down_for);
-        let _ = self.commands.send(ServerCommand::Crash(pause));
+        let restart_after = (!self.settings.crash_ends).then_some(down_for);
+        let _ = self.commands.send(ServerCommand::Crash(restart_after));
     }
 
-    /// Whether a failure by share hits the next request.
-    pub(super) fn draw_failure(&self, share: f64) -> bool {
+    /// Draws whether the `fail` fault applies to a request.
+    pub(super) fn sample_failure(&self, share: f64) -> bool {
         self.inner().rng.random_bool(share.clamp(0.0, 1.0))
     }
 
-    /// Draws a service time, with the cold phase and the slow fault applied.
-    pub(super) fn draw_service_time(&self) -> Duration {
+    /// Draws a service time and applies the cold start and the `slow` fault.
+    pub(super) fn sample_service_time(&self) -> Duration {
         let mut inner = self.inner();
         let mean = self.settings.service_time.as_secs_f64();
         let sigma = self.settings.sigma.max(0.0);
-        let drawn = if mean > 0.0 && sigma > 0.0 {
-            // The mean of a lognormal is exp(mu + sigma^2 / 2).
+        let sampled = if mean > 0.0 && sigma > 0.0 {
+            // The mean of a lognormal distribution is exp(mu + sigma^2 / 2).
             let mu = mean.ln() - sigma * sigma / 2.0;
-            LogNormal::new(mu, sigma).map_or(mean, |spread| spread.sample(&mut inner.rng))
+            LogNormal::new(mu, sigma)
+                .map_or(mean, |distribution| distribution.sample(&mut inner.rng))
         } else {
             mean
         };
         let factor = cold_factor(inner.cold) * slow_factor(&inner.fault);
-        Duration::try_from_secs_f64(drawn * factor).unwrap_or(self.settings.service_time)
+        Duration::try_from_secs_f64(sampled * factor).unwrap_or(self.settings.service_time)
     }
 
-    /// Load as it was a while ago.
-    pub(super) fn lagging_load(&self) -> LoadReply {
+    /// Returns a load that was sampled at least `load_lag` ago.
+    pub(super) fn delayed_load(&self) -> LoadReply {
         let free = u32::try_from(self.slots.available_permits()).unwrap_or(u32::MAX);
-        let real = LoadReply {
+        let current = LoadReply {
             in_use: u32::from(self.settings.slots).saturating_sub(free),
             queued: self.queued.load(Ordering::Relaxed),
             slots: self.settings.slots,
         };
         let mut inner = self.inner();
-        if inner.told_load.1.elapsed() >= self.settings.load_lag {
-            inner.told_load = (inner.next_load, Instant::now());
-            inner.next_load = real;
+        if inner.reported_load.1.elapsed() >= self.settings.load_lag {
+            inner.reported_load = (inner.pending_load, Instant::now());
+            inner.pending_load = current;
         }
         LoadReply {
             slots: self.settings.slots,
-            ..inner.told_load.0
+            ..inner.reported_load.0
         }
     }
 }
@@ -173,12 +174,12 @@
     let Some((cold, since)) = cold else {
         return 1.0;
     };
-    let passed = since.elapsed().as_secs_f64();
+    let elapsed = since.elapsed().as_secs_f64();
     let warm_after = cold.warm_after.as_secs_f64();
-    if passed >= warm_after {
+    if elapsed >= warm_after {
         return 1.0;
     }
-    cold.factor + (1.0 - cold.factor) * passed / warm_after
+    cold.factor + (1.0 - cold.factor) * elapsed / warm_after
 }
 
 fn slow_factor(fault: &BackendFault) -> f64 {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,12 +1,12 @@
 //! Stand-ins for the platform's log service and for backend servers.
 //!
-//! Both speak plain HTTP/1.1, keep everything in memory and take their faults by a control
-//! endpoint, so that tests and the development fleet need nothing from outside. They run inside
-//! the caller's runtime or, through `run_until`, as a process of their own.
+//! Both are in-memory HTTP/1.1 servers, so tests and the development fleet need no external
+//! service. A control endpoint injects faults. A stand-in runs inside the caller's runtime or,
+//! through `run_until`, as a separate process.
 //!
 //! ```text
 //!  daemon ── POST/GET /v1/logs/{stream}/records ──▶ LogStandin
-//!  daemon ── any path ──▶ BackendStandin ── PUT /v1/local/upstreams/{slot} ──▶ daemon beside it
+//!  daemon ── any path ──▶ BackendStandin ── PUT /v1/local/upstreams/{slot} ──▶ local daemon
 //!  test   ── POST /control, GET /control/... ─────▶ either
 //! ```
 
--- a/crates/standin/src/log/mod.rs
+++ b/crates/standin/src/log/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the platform's append-only log service.
 //!
-//! The protocol is written down in `docs/standin-log-protocol.md`.
+//! `docs/standin-log-protocol.md` specifies the protocol.
 
-mod answer;
+mod replies;
 mod service;
 mod settings;
 mod store;
@@ -19,25 +19,26 @@
 use crate::server::{BoundServer, ServerTask};
 use service::LogService;
 
-/// Starts log stand-ins.
+/// Entry points that start a log stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct LogStandin;
 
 impl LogStandin {
-    /// Starts a log service on the address; port 0 takes a free one.
+    /// Starts a log service on the address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns the error of the bind when the address is invalid or in use.
     pub async fn start(bind: SocketAddr, settings: LogStandinSettings) -> io::Result<RunningLog> {
         Self::start_with_clock(bind, settings, Arc::new(SystemClock::start())).await
     }
 
-    /// The same with the clock that dates records and refills the append limit.
+    /// Starts a log service with the given clock, which timestamps records and refills the append
+    /// limit.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns the error of the bind when the address is invalid or in use.
     pub async fn start_with_clock(
         bind: SocketAddr,
         settings: LogStandinSettings,
@@ -53,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns the error of the bind when the address is invalid or in use.
     pub async fn run_until<F>(
         bind: SocketAddr,
         settings: LogStandinSettings,
@@ -63,14 +64,14 @@
         F: Future<Output = ()>,
     {
         let running = Self::start(bind, settings).await?;
-        tracing::info!(address = %running.address(), "log stand-in listens");
+        tracing::info!(address = %running.address(), "log stand-in is listening");
         signal.await;
         running.stop().await;
         Ok(())
     }
 }
 
-/// A running log stand-in. Dropping it closes everything at once.
+/// A running log stand-in. Dropping it closes the listener and all connections at once.
 #[derive(Debug)]
 pub struct RunningLog {
     service: Arc<LogService>,
@@ -78,13 +79,13 @@
 }
 
 impl RunningLog {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.task.address()
     }
 
-    /// Changes how it answers, as `POST /control` does.
+    /// Sets the failure mode, as `POST /control` does.
     pub fn set_mode(&self, mode: LogMode) {
         self.service.set_mode(mode);
     }
@@ -94,15 +95,16 @@
         self.service.trim_to(stream, offset);
     }
 
-    /// Appends taken so far, over all streams. A lost reply counts: the append took effect.
+    /// Returns the number of appends that took effect, over all streams, including those whose
+    /// reply was lost.
     #[must_use]
     pub fn append_count(&self) -> u64 {
         self.service.append_count()
     }
 
-    /// Finishes what is in flight and ends.
+    /// Finishes the requests in flight and stops the server. Long polls end at once.
     pub async fn stop(mut self) {
         self.service.close();
-        self.task.finish().await;
+        self.task.drain().await;
     }
 }
--- a/crates/standin/src/log/answer.rs
+++ b/crates/standin/src/log/replies.rs
@@ -1,4 +1,4 @@
-//! Answers of the log stand-in.
+//! Replies of the log stand-in.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
@@ -8,7 +8,7 @@
 use super::store::{StoreError, StoredPage, StoredRecord};
 use crate::reply::{ReplyBody, error_reply, json_reply};
 
-/// Header that carries the time to come back in milliseconds, finer than `Retry-After`.
+/// Header with the retry delay in milliseconds, which `Retry-After` rounds up to seconds.
 const RETRY_AFTER_MS: &str = "retry-after-ms";
 
 #[serde_as]
@@ -37,12 +37,12 @@
     first: u64,
 }
 
-/// The answer to an append that took effect.
+/// Builds the reply to an append that took effect.
 pub(super) fn append_reply(offset: u64) -> Response<ReplyBody> {
     json_reply(StatusCode::CREATED, &AppendReply { offset })
 }
 
-/// The answer to a read.
+/// Builds the reply to a read.
 pub(super) fn page_reply(page: &StoredPage) -> Response<ReplyBody> {
     let records = page.records.iter().map(record_reply).collect();
     let reply = PageReply {
@@ -53,7 +53,7 @@
     json_reply(StatusCode::OK, &reply)
 }
 
-/// The answer to a call that the store refuses.
+/// Builds the reply to an append or a read that the store rejected.
 pub(super) fn store_error_reply(error: &StoreError) -> Response<ReplyBody> {
     match error {
         StoreError::Trimmed { first } => {
--- a/crates/standin/src/log/service.rs
+++ b/crates/standin/src/log/service.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the log stand-in.
+//! HTTP endpoints of the log stand-in.
 
 use std::future::{Future, pending};
 use std::pin::Pin;
@@ -13,14 +13,14 @@
 use sycamorelink_core::NodeClock;
 use tokio::sync::watch;
 
-use super::answer::{append_reply, page_reply, store_error_reply};
+use super::replies::{append_reply, page_reply, store_error_reply};
 use super::store::{LogStore, StoreError, StoredPage};
 use super::{LogMode, LogStandinSettings};
 use crate::reply::{AbortError, ReplyBody, ReplyResult, error_reply, json_reply, query_number};
 use crate::server::RequestHandler;
 
-/// Greatest size of a control body in bytes.
-const CONTROL_BYTES: usize = 64 * 1024;
+/// Maximum size of a control request body in bytes.
+const MAX_CONTROL_BYTES: usize = 64 * 1024;
 
 #[derive(Deserialize)]
 struct TrimRequest {
@@ -34,12 +34,12 @@
     closed: bool,
 }
 
-/// The stand-in's state shared by its connections.
+/// State that all connections of a log stand-in share.
 pub(super) struct LogService {
     settings: LogStandinSettings,
     store: Mutex<LogStore>,
     mode: watch::Sender<LogMode>,
-    changed: watch::Sender<ServiceState>,
+    updates: watch::Sender<ServiceState>,
     clock: Arc<dyn NodeClock>,
 }
 
@@ -55,7 +55,7 @@
             store: Mutex::new(LogStore::new(settings.clone())),
             settings,
             mode: watch::Sender::new(LogMode::Up),
-            changed: watch::Sender::new(ServiceState::default()),
+            updates: watch::Sender::new(ServiceState::default()),
             clock,
         }
     }
@@ -72,9 +72,9 @@
         self.store().appends
     }
 
-    /// Ends every long poll, so that a drain need not wait for them.
+    /// Ends all long polls, so that a drain does not wait for them.
     pub(super) fn close(&self) {
-        self.changed.send_modify(|state| state.closed = true);
+        self.updates.send_modify(|state| state.closed = true);
     }
 
     fn store(&self) -> MutexGuard<'_, LogStore> {
@@ -89,40 +89,43 @@
         let Some(stream) = stream_name(&path) else {
             return Ok(error_reply(StatusCode::NOT_FOUND, "no such path"));
         };
-        let appending = request.method() == Method::POST;
-        let reading = request.method() == Method::GET;
-        if !appending && !reading {
+        let is_append = request.method() == Method::POST;
+        let is_read = request.method() == Method::GET;
+        if !is_append && !is_read {
             return Ok(error_reply(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "use GET or POST",
             ));
         }
-        if let Some(reply) = self.fault(appending).await? {
+        if let Some(reply) = self.inject_fault(is_append).await? {
             return Ok(reply);
         }
-        if appending {
+        if is_append {
             self.append(stream, request).await
         } else {
             self.read(stream, request.uri().query()).await
         }
     }
 
-    async fn fault(&self, appending: bool) -> Result<Option<Response<ReplyBody>>, AbortError> {
+    async fn inject_fault(
+        &self,
+        is_append: bool,
+    ) -> Result<Option<Response<ReplyBody>>, AbortError> {
         let mode = *self.mode.borrow();
-        let refused = match mode {
+        let unavailable = match mode {
             LogMode::Up | LogMode::LoseReplies => false,
             LogMode::Down => return Err(AbortError),
             LogMode::Hang => pending().await,
             LogMode::Unavailable => true,
-            LogMode::AppendsDown => appending,
-            LogMode::ReadsDown => !appending,
-            LogMode::Slow { .. } if appending => false,
+            LogMode::AppendsDown => is_append,
+            LogMode::ReadsDown => !is_append,
+            LogMode::Slow { .. } if is_append => false,
             LogMode::Slow { ms } => {
                 tokio::time::sleep(Duration::from_millis(ms)).await;
                 false
             }
         };
-        Ok(refused.then(|| error_reply(StatusCode::SERVICE_UNAVAILABLE, "log is down")))
+        Ok(unavailable.then(|| error_reply(StatusCode::SERVICE_UNAVAILABLE, "log is down")))
     }
 
     async fn append(self: Arc<Self>, stream: &str, request: Request<Incoming>) -> ReplyResult {
@@ -135,38 +138,40 @@
         };
         let data = collected.to_bytes();
         let mode = *self.mode.borrow();
-        let stored = match mode {
+        let result = match mode {
             LogMode::Slow { ms } => {
                 let wait = Duration::from_millis(ms);
-                self.store_later(stream.to_owned(), data, wait).await
+                self.append_after(stream.to_owned(), data, wait).await
             }
-            _ => self.store_record(stream, data),
+            _ => self.append_record(stream, data),
         };
-        match stored {
+        match result {
             Ok(_) if mode == LogMode::LoseReplies => Err(AbortError),
             Ok(offset) => Ok(append_reply(offset)),
             Err(error) => Ok(store_error_reply(&error)),
         }
     }
 
-    /// A slow append takes effect in its time, also when its client has given up meanwhile.
-    async fn store_later(
+    /// Appends a record after the delay, even if the client disconnects in the meantime.
+    async fn append_after(
         self: Arc<Self>,
         stream: String,
         data: Bytes,
         wait: Duration,
     ) -> Result<u64, StoreError> {
-        let storing = tokio::spawn(async move {
+        let append_task = tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            self.store_record(&stream, data)
+            self.append_record(&stream, data)
         });
-        storing.await.unwrap_or(Err(StoreError::Throttled(wait)))
+        append_task
+            .await
+            .unwrap_or(Err(StoreError::Throttled(wait)))
     }
 
-    fn store_record(&self, stream: &str, data: Bytes) -> Result<u64, StoreError> {
+    fn append_record(&self, stream: &str, data: Bytes) -> Result<u64, StoreError> {
         let (now, wall) = (self.clock.now(), self.clock.wall());
         let offset = self.store().append(stream, data, now, wall)?;
-        self.changed.send_modify(|state| state.appends += 1);
+        self.updates.send_modify(|state| state.appends += 1);
         Ok(offset)
     }
 
@@ -178,35 +183,35 @@
         let max = max.clamp(1, self.settings.page_records);
         let wait = Duration::from_millis(query_number(query, "wait").unwrap_or(0));
         let wait = wait.min(self.settings.wait_limit);
-        let page = self.page_or_wait(stream, from, max, wait).await?;
+        let page = self.long_poll(stream, from, max, wait).await?;
         Ok(match page {
             Ok(page) => page_reply(&page),
             Err(error) => store_error_reply(&error),
         })
     }
 
-    async fn page_or_wait(
+    async fn long_poll(
         &self,
         stream: &str,
         from: u64,
         max: usize,
         wait: Duration,
     ) -> Result<Result<StoredPage, StoreError>, AbortError> {
-        let mut changed = self.changed.subscribe();
+        let mut updates = self.updates.subscribe();
         let mut mode = self.mode.subscribe();
         let deadline = tokio::time::sleep(wait);
         let mut deadline = std::pin::pin!(deadline);
         loop {
-            changed.borrow_and_update();
+            updates.borrow_and_update();
             let page = self.store().read(stream, from, max, self.clock.now());
             let ready = page.as_ref().map_or(true, |page| !page.records.is_empty());
-            if ready || deadline.is_elapsed() || changed.borrow().closed {
+            if ready || deadline.is_elapsed() || updates.borrow().closed {
                 return Ok(page);
             }
             tokio::select! {
                 () = deadline.as_mut() => {}
-                _ = changed.changed() => {}
-                // A log that goes down takes its long polls with it.
+                _ = updates.changed() => {}
+                // Switching to `Down` also closes the connections of pending long polls.
                 _ = mode.wait_for(|mode| *mode == LogMode::Down) => return Err(AbortError),
             }
         }
@@ -216,18 +221,21 @@
         if request.method() != Method::POST {
             return error_reply(StatusCode::METHOD_NOT_ALLOWED, "use POST");
         }
-        let limited = Limited::new(request.into_body(), CONTROL_BYTES);
+        let limited = Limited::new(request.into_body(), MAX_CONTROL_BYTES);
         let Ok(body) = limited.collect().await else {
             return error_reply(StatusCode::BAD_REQUEST, "control body is cut short");
         };
-        match self.apply(&body.to_bytes()) {
+        match self.apply_control(&body.to_bytes()) {
             Ok(()) => json_reply(StatusCode::OK, &*self.mode.borrow()),
             Err(error) => error_reply(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    /// Each part is decoded by itself, so that an unknown mode is an error and not left out.
-    fn apply(&self, body: &[u8]) -> serde_json::Result<()> {
+    /// Applies a control request.
+    ///
+    /// The mode and the trim are decoded separately, so that an unknown mode is rejected instead of
+    /// ignored.
+    fn apply_control(&self, body: &[u8]) -> serde_json::Result<()> {
         let control: serde_json::Value = serde_json::from_slice(body)?;
         let mode = control.get("mode").map(|_| LogMode::deserialize(&control));
         let mode = mode.transpose()?;
@@ -246,7 +254,7 @@
 }
 
 impl RequestHandler for LogService {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = ReplyResult> + Send>> {
--- a/crates/standin/src/log/settings.rs
+++ b/crates/standin/src/log/settings.rs
@@ -1,28 +1,28 @@
-//! Settings and modes of the log stand-in.
+//! Settings and failure modes of the log stand-in.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// Settings of a log stand-in. Fields left out take the defaults.
+/// Settings of a log stand-in. Missing fields take their defaults.
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogStandinSettings {
-    /// Appends a second over all streams; above it the answer is 429.
+    /// Rate limit of appends over all streams, in appends per second; excess appends get a 429.
     pub appends_per_second: u32,
-    /// Records kept for each stream.
+    /// Maximum number of records kept per stream.
     pub retain_records: usize,
     /// Age in milliseconds after which records are dropped.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "retain_age_ms")]
     pub retain_age: Duration,
-    /// Greatest size of one record in bytes.
+    /// Maximum size of a record in bytes.
     pub record_bytes: usize,
-    /// Greatest count of records in one page.
+    /// Maximum number of records in one page.
     pub page_records: usize,
-    /// Longest long poll, in milliseconds.
+    /// Maximum duration of a long poll in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "wait_limit_ms")]
     pub wait_limit: Duration,
@@ -41,29 +41,29 @@
     }
 }
 
-/// How the log stand-in answers.
+/// Failure mode of the log stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "mode")]
 pub enum LogMode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
-    /// Every connection is closed without a reply; nothing takes effect.
+    /// Closes every connection without a reply; no append takes effect.
     Down,
-    /// Every request gets a 503; nothing takes effect.
+    /// Answers every request with a 503; no append takes effect.
     Unavailable,
-    /// Requests are taken and never answered; nothing takes effect.
+    /// Accepts requests and never replies; no append takes effect.
     Hang,
-    /// Every request waits first. An append takes effect after the wait, also when its client
-    /// gave up meanwhile.
+    /// Delays every request. An append takes effect after the delay, even if its client has
+    /// disconnected.
     Slow {
-        /// The wait in milliseconds.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// Appends take effect, but the connection is closed without a reply. Reads work.
+    /// Applies appends, then closes the connection without a reply. Reads work.
     LoseReplies,
-    /// Appends get a 503 and take no effect. Reads work.
+    /// Answers appends with a 503 without applying them. Reads work.
     AppendsDown,
-    /// Reads get a 503. Appends work.
+    /// Answers reads with a 503. Appends work.
     ReadsDown,
 }
--- a/crates/standin/src/log/store.rs
+++ b/crates/standin/src/log/store.rs
@@ -1,4 +1,4 @@
-//! Records of all streams with retention, and the append limit.
+//! In-memory record store with retention and an append rate limit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::LogStandinSettings;
 
-/// One record as kept.
+/// A record with its offset and the times of its append.
 #[derive(Clone, Debug)]
 pub(super) struct StoredRecord {
     pub(super) offset: u64,
     pub(super) wall: Duration,
     pub(super) data: Bytes,
-    kept_since: Duration,
+    appended_at: Duration,
 }
 
-/// The answer to a read.
+/// Result of a read.
 #[derive(Debug)]
 pub(super) struct StoredPage {
     pub(super) first: u64,
@@ -24,12 +24,12 @@
     pub(super) records: Vec<StoredRecord>,
 }
 
-/// Why an append or a read is refused.
+/// Reason for rejecting an append or a read.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum StoreError {
-    /// Above the append limit; come back after the wait.
+    /// The append exceeds the rate limit; the client may retry after this time.
     Throttled(Duration),
-    /// The offset is older than what is kept.
+    /// Retention or a trim has dropped the offset; `first` is the oldest offset available.
     Trimmed { first: u64 },
 }
 
@@ -50,24 +50,24 @@
         }
     }
 
-    fn retain(&mut self, settings: &LogStandinSettings, now: Duration) {
+    fn apply_retention(&mut self, settings: &LogStandinSettings, now: Duration) {
         while self.records.len() > settings.retain_records {
             self.drop_oldest();
         }
         let oldest = now.saturating_sub(settings.retain_age);
-        while self.records.front().is_some_and(|r| r.kept_since < oldest) {
+        while self.records.front().is_some_and(|r| r.appended_at < oldest) {
             self.drop_oldest();
         }
     }
 }
 
-/// All streams of the log.
+/// The streams of the log and the token bucket that limits appends.
 #[derive(Debug)]
 pub(super) struct LogStore {
     settings: LogStandinSettings,
     streams: BTreeMap<String, StoredStream>,
     tokens: f64,
-    refilled: Duration,
+    refilled_at: Duration,
     pub(super) appends: u64,
 }
 
@@ -78,7 +78,7 @@
             settings,
             streams: BTreeMap::new(),
             tokens,
-            refilled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
             appends: 0,
         }
     }
@@ -98,9 +98,9 @@
             offset,
             wall,
             data,
-            kept_since: now,
+            appended_at: now,
         });
-        stored.retain(&self.settings, now);
+        stored.apply_retention(&self.settings, now);
         Ok(offset)
     }
 
@@ -118,7 +118,7 @@
                 records: Vec::new(),
             });
         };
-        stored.retain(&self.settings, now);
+        stored.apply_retention(&self.settings, now);
         if from < stored.first {
             return Err(StoreError::Trimmed {
                 first: stored.first,
@@ -143,9 +143,9 @@
 
     fn take_token(&mut self, now: Duration) -> Result<(), StoreError> {
         let rate = f64::from(self.settings.appends_per_second.max(1));
-        let passed = now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = now;
-        self.tokens = (self.tokens + passed * rate).min(rate);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed * rate).min(rate);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies and bodies common to the stand-ins.
+//! HTTP reply helpers shared by the stand-ins.
 
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -6,10 +6,10 @@
 use http_body_util::{BodyExt, Full};
 use serde::Serialize;
 
-/// Body of a reply: whole or streamed, and able to fail on purpose.
+/// Body of a reply, which may be streamed and may end in an injected abort.
 pub(crate) type ReplyBody = BoxBody<Bytes, AbortError>;
 
-/// Makes the server close the connection without finishing the reply.
+/// Injected error that makes the server close the connection without completing the reply.
 #[derive(Debug)]
 pub(crate) struct AbortError;
 
@@ -21,21 +21,21 @@
 
 impl std::error::Error for AbortError {}
 
-/// What a handler returns: a reply, or the wish to close the connection without one.
+/// Result of a request handler; an error closes the connection without a reply.
 pub(crate) type ReplyResult = Result<Response<ReplyBody>, AbortError>;
 
-/// Wraps bytes as a body.
-pub(crate) fn whole_body(bytes: Bytes) -> ReplyBody {
+/// Wraps bytes in a reply body.
+pub(crate) fn full_body(bytes: Bytes) -> ReplyBody {
     Full::new(bytes).map_err(|never| match never {}).boxed()
 }
 
-/// A JSON reply.
+/// Builds a JSON reply.
 pub(crate) fn json_reply<T>(status: StatusCode, value: &T) -> Response<ReplyBody>
 where
     T: Serialize,
 {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole_body(Bytes::from(text)));
+    let mut response = Response::new(full_body(Bytes::from(text)));
     *response.status_mut() = status;
     response.headers_mut().insert(
         header::CONTENT_TYPE,
@@ -44,12 +44,13 @@
     response
 }
 
-/// A JSON reply that tells what went wrong.
+/// Builds a JSON reply with an error message.
 pub(crate) fn error_reply(status: StatusCode, message: &str) -> Response<ReplyBody> {
     json_reply(status, &serde_json::json!({ "error": message }))
 }
 
-/// One value of a query string. Values are numbers and plain words here, so nothing is decoded.
+/// Returns a query parameter. Percent-encoding is not decoded, because all parameters of the
+/// stand-ins are numbers or plain words.
 pub(crate) fn query_value<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     query?
         .split('&')
@@ -58,7 +59,7 @@
         .map(|(_, value)| value)
 }
 
-/// One number of a query string.
+/// Returns a query parameter as a number, or `None` if it is missing or not a number.
 pub(crate) fn query_number(query: Option<&str>, name: &str) -> Option<u64> {
     query_value(query, name)?.parse().ok()
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop that both stand-ins run on: serves, drains, crashes and comes back.
+//! The HTTP server of both stand-ins, with graceful drain and simulated crashes.
 
 use std::future::Future;
 use std::io;
@@ -18,45 +18,46 @@
 
 use crate::reply::ReplyResult;
 
-/// Pause before an address that could not be bound again is tried once more.
-const REBIND_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before another attempt to bind the address after a simulated crash.
+const REBIND_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a drain waits for requests in flight before it gives up.
-const DRAIN_LIMIT: Duration = Duration::from_secs(30);
+/// Longest time that a drain waits for the requests in flight.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers the requests of one stand-in.
+/// Handler of the requests to one stand-in.
 pub(crate) trait RequestHandler: Send + Sync + 'static {
-    /// Answers one request. An error closes the connection without a reply.
-    fn answer(
+    /// Handles one request. An error closes the connection without a reply.
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = ReplyResult> + Send>>;
 }
 
-/// What the accept loop can be told.
+/// Command to the accept loop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ServerCommand {
-    /// Close every connection and the listener at once; listen again after the pause, or never.
+    /// Closes the listener and all connections at once and listens again after the delay. `None`
+    /// ends the server.
     Crash(Option<Duration>),
-    /// Accept nothing more, finish what is in flight, end.
+    /// Closes the listener, finishes the requests in flight and ends the server.
     Drain,
 }
 
-/// How the accept loop ended.
+/// Reason why the accept loop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ServerEnd {
-    /// It drained.
+pub(crate) enum ServerExit {
+    /// A drain completed or reached its timeout.
     Drained,
-    /// It crashed for good.
+    /// A simulated crash without a restart ended the server, or its task failed.
     Crashed,
 }
 
-/// A running accept loop. Dropping it closes everything.
+/// A running accept loop. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub(crate) struct ServerTask {
     address: SocketAddr,
     commands: mpsc::UnboundedSender<ServerCommand>,
-    task: JoinHandle<ServerEnd>,
+    task: JoinHandle<ServerExit>,
 }
 
 impl ServerTask {
@@ -64,14 +65,14 @@
         self.address
     }
 
-    /// Accepts nothing more and waits until what is in flight has finished.
-    pub(crate) async fn finish(&mut self) -> ServerEnd {
+    /// Closes the listener and waits for the requests in flight.
+    pub(crate) async fn drain(&mut self) -> ServerExit {
         let _ = self.commands.send(ServerCommand::Drain);
-        self.ended().await
+        self.wait().await
     }
 
-    pub(crate) async fn ended(&mut self) -> ServerEnd {
-        (&mut self.task).await.unwrap_or(ServerEnd::Crashed)
+    pub(crate) async fn wait(&mut self) -> ServerExit {
+        (&mut self.task).await.unwrap_or(ServerExit::Crashed)
     }
 }
 
@@ -81,7 +82,9 @@
     }
 }
 
-/// A server that is bound but does not accept yet, so that its handler can know the address.
+/// A server that is bound but does not accept connections yet.
+///
+/// Binding is a separate step because the stand-in needs the address before it serves.
 pub(crate) struct BoundServer {
     listener: TcpListener,
     address: SocketAddr,
@@ -133,63 +136,70 @@
     address: SocketAddr,
     mut commands: mpsc::UnboundedReceiver<ServerCommand>,
     handler: Arc<H>,
-) -> ServerEnd
+) -> ServerExit
 where
     H: RequestHandler,
 {
-    let (drain, drained) = watch::channel(false);
+    let (drain_sender, drain_receiver) = watch::channel(false);
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(ServerCommand::Crash(pause)) => {
+                Some(ServerCommand::Crash(restart_after)) => {
                     connections.shutdown().await;
                     drop(listener);
-                    let Some(pause) = pause else {
-                        return ServerEnd::Crashed;
+                    let Some(restart_after) = restart_after else {
+                        return ServerExit::Crashed;
                     };
-                    tokio::time::sleep(pause).await;
-                    listener = bind_again(address).await;
+                    tokio::time::sleep(restart_after).await;
+                    listener = rebind(address).await;
                 }
                 Some(ServerCommand::Drain) | None => break,
             },
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                connections.spawn(serve_stream(stream, drained.clone(), Arc::clone(&handler)));
+                connections.spawn(serve_connection(
+                    stream,
+                    drain_receiver.clone(),
+                    Arc::clone(&handler),
+                ));
             },
             Some(_) = connections.join_next() => {}
         }
     }
     drop(listener);
-    let _ = drain.send(true);
-    let _ = tokio::time::timeout(DRAIN_LIMIT, async {
+    let _ = drain_sender.send(true);
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, async {
         while connections.join_next().await.is_some() {}
     })
     .await;
-    ServerEnd::Drained
+    ServerExit::Drained
 }
 
-async fn bind_again(address: SocketAddr) -> TcpListener {
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(REBIND_PAUSE).await,
+            Err(_) => tokio::time::sleep(REBIND_DELAY).await,
         }
     }
 }
 
-async fn serve_stream<H>(stream: TcpStream, mut drained: watch::Receiver<bool>, handler: Arc<H>)
-where
+async fn serve_connection<H>(
+    stream: TcpStream,
+    mut drain_receiver: watch::Receiver<bool>,
+    handler: Arc<H>,
+) where
     H: RequestHandler,
 {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |request| Arc::clone(&handler).answer(request));
+    let service = service_fn(move |request| Arc::clone(&handler).handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
-        _ = drained.wait_for(|drained| *drained) => {}
+        _ = drain_receiver.wait_for(|draining| *draining) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
--- a/crates/standin/tests/backend.rs
+++ b/crates/standin/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Sessions with the backend stand-in.
+//! Tests of the backend stand-in over HTTP.
 
 mod support;
 
@@ -6,37 +6,40 @@
 use std::time::Duration;
 
 use http::Method;
-use support::{TextClient, loopback, run};
+use support::{TextClient, loopback, run_test};
 use sycamorelink_standin::{
     BackendFault, BackendPhase, BackendSettings, BackendStandin, RunCounts,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-fn quick() -> BackendSettings {
+fn fast_settings() -> BackendSettings {
     BackendSettings {
         service_time: Duration::from_millis(1),
         ..BackendSettings::default()
     }
 }
 
-async fn book(client: &TextClient, target: &str, id: &str, key: &str) -> String {
+async fn post_booking(client: &TextClient, target: &str, id: &str, key: &str) -> String {
     let mut request = client.request(Method::POST, target, "two pallets");
     let headers = request.headers_mut();
     headers.insert("x-request-id", id.parse().unwrap());
     headers.insert("idempotency-key", key.parse().unwrap());
-    client.show_request(request).await
+    client.transcribe(request).await
 }
 
 #[test]
-fn session_of_faults() {
-    run(async {
-        let backend = BackendStandin::start(loopback(), quick()).await.unwrap();
+fn faults_change_replies_but_not_health() {
+    run_test(async {
+        let backend = BackendStandin::start(loopback(), fast_settings())
+            .await
+            .unwrap();
         let client = TextClient::new(backend.address());
-        let mut session = String::new();
-        session += &book(&client, "/bookings", "r1", "k1").await;
-        session += &book(&client, "/bookings?reply_bytes=10", "r2", "k2").await;
-        session += &book(&client, "/bookings?reply_bytes=10&stream_ms=20", "r3", "k3").await;
+        let mut transcript = String::new();
+        transcript += &post_booking(&client, "/bookings", "r1", "k1").await;
+        transcript += &post_booking(&client, "/bookings?reply_bytes=10", "r2", "k2").await;
+        transcript +=
+            &post_booking(&client, "/bookings?reply_bytes=10&stream_ms=20", "r3", "k3").await;
         let faults = [
             r#"{"fault":"fail","share":1.0}"#,
             r#"{"fault":"wrong-reply"}"#,
@@ -47,38 +50,39 @@
         ];
         for (index, fault) in faults.iter().enumerate() {
             let id = format!("f{index}");
-            let _ = writeln!(session, "-- {fault}");
-            session += &client.post("/control", fault).await;
-            session += &book(&client, "/bookings?reply_bytes=8", &id, "k4").await;
-            session += &client.get("/health").await;
+            let _ = writeln!(transcript, "-- {fault}");
+            transcript += &client.post("/control", fault).await;
+            transcript += &post_booking(&client, "/bookings?reply_bytes=8", &id, "k4").await;
+            transcript += &client.get("/health").await;
         }
-        session += &client.get("/control/runs").await;
-        insta::assert_snapshot!(session);
+        transcript += &client.get("/control/runs").await;
+        insta::assert_snapshot!(transcript);
     });
 }
 
-/// The caller of the marked request, and everybody else with a request in flight, sees the
-/// connection close. The request crashes the backend server, which refuses connections for a
-/// while and then works again; the run that crashed it is counted as started and not finished.
+/// A marked request crashes the backend server, which refuses connections for a while and then
+/// recovers. The run of the marked request counts as started and cancelled, not as finished.
 #[test]
 fn marked_request_crashes_the_server_for_a_while() {
-    run(async {
-        let backend = BackendStandin::start(loopback(), quick()).await.unwrap();
+    run_test(async {
+        let backend = BackendStandin::start(loopback(), fast_settings())
+            .await
+            .unwrap();
         let client = TextClient::new(backend.address());
         backend.set_fault(BackendFault::CrashOn {
             marker: "pallets".to_owned(),
             down_ms: 300,
         });
-        let crashed = book(&client, "/bookings", "r1", "k1").await;
+        let crashed = post_booking(&client, "/bookings", "r1", "k1").await;
         let refused = client.get("/bookings").await;
-        let back = loop {
-            let shown = client.get("/health").await;
-            if !shown.contains("closed") {
-                break shown;
+        let recovered = loop {
+            let transcript = client.get("/health").await;
+            if !transcript.contains("closed") {
+                break transcript;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
-        insta::assert_snapshot!(format!("{crashed}{refused}{back}"));
+        insta::assert_snapshot!(format!("{crashed}{refused}{recovered}"));
         let runs = backend.runs();
         let counts = RunCounts {
             started: 1,
@@ -88,10 +92,10 @@
     });
 }
 
-/// Callers beyond slots and queue are refused at once; the others get their replies.
+/// Requests beyond the slots and the queue are refused; the others get their replies.
 #[test]
-fn slots_and_queue_bound_the_work() {
-    run(async {
+fn requests_beyond_slots_and_queue_are_refused() {
+    run_test(async {
         let settings = BackendSettings {
             slots: 2,
             queue_limit: 1,
@@ -109,17 +113,17 @@
         );
         let refused = [a, b, c, d]
             .iter()
-            .filter(|shown| shown.contains("503"))
+            .filter(|transcript| transcript.contains("503"))
             .count();
         assert_eq!((refused, backend.runs().shed), (1, 1));
         assert_eq!(backend.runs().total.finished, 3);
     });
 }
 
-/// A caller that goes away, and one whose deadline passes, stop the work they asked for.
+/// A run ends when its caller disconnects and when its deadline passes.
 #[test]
 fn cancellation_and_deadline_end_a_run() {
-    run(async {
+    run_test(async {
         let settings = BackendSettings {
             service_time: Duration::from_secs(5),
             sigma: 0.0,
@@ -130,9 +134,9 @@
         let mut request = client.request(Method::GET, "/quote", "");
         let headers = request.headers_mut();
         headers.insert(sycamorelink_standin::backend::TIMEOUT_HEADER, 20.into());
-        insta::assert_snapshot!(client.show_request(request).await);
-        let gone = tokio::time::timeout(Duration::from_millis(100), client.get("/quote"));
-        assert!(gone.await.is_err());
+        insta::assert_snapshot!(client.transcribe(request).await);
+        let abandoned = tokio::time::timeout(Duration::from_millis(100), client.get("/quote"));
+        assert!(abandoned.await.is_err());
         while backend.runs().cancelled < 2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -140,10 +144,10 @@
     });
 }
 
-/// Nobody's request is cut off: a request in flight when the server is told to stop gets its reply.
+/// A request in flight when the server stops gets its reply.
 #[test]
-fn stop_finishes_what_is_in_flight() {
-    run(async {
+fn stop_finishes_requests_in_flight() {
+    run_test(async {
         let settings = BackendSettings {
             service_time: Duration::from_millis(300),
             sigma: 0.0,
@@ -151,50 +155,50 @@
         };
         let backend = BackendStandin::start(loopback(), settings).await.unwrap();
         let client = TextClient::new(backend.address());
-        let (shown, ()) = tokio::join!(client.get("/quote?reply_bytes=4"), async {
+        let (transcript, ()) = tokio::join!(client.get("/quote?reply_bytes=4"), async {
             while backend.runs().total.started == 0 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             backend.stop().await;
         });
-        insta::assert_snapshot!(shown);
+        insta::assert_snapshot!(transcript);
     });
 }
 
-/// A restarted daemon learns its backend servers from the next announcement, and one that is away
-/// does not stop them: here it closes the first connection without a reply.
+/// The backend server announces itself again after a failed announcement, so that a restarted
+/// daemon learns of it. The daemon closes the first connection without a reply.
 #[test]
 fn announcements_are_repeated_and_withdrawn() {
-    run(async {
+    run_test(async {
         let daemon = TcpListener::bind(loopback()).await.unwrap();
         let settings = BackendSettings {
             daemon: Some(daemon.local_addr().unwrap()),
             daemon_slot: 3,
             heartbeat: Duration::from_millis(20),
-            ..quick()
+            ..fast_settings()
         };
         let backend = BackendStandin::start(loopback(), settings).await.unwrap();
         let address = backend.address().to_string();
         drop(daemon.accept().await.unwrap());
         let (mut stream, _) = daemon.accept().await.unwrap();
-        let mut shown = String::new();
-        shown += &answer_announcement(&mut stream).await;
-        assert_eq!(answer_announcement(&mut stream).await, shown);
+        let mut transcript = String::new();
+        transcript += &accept_announcement(&mut stream).await;
+        assert_eq!(accept_announcement(&mut stream).await, transcript);
         backend.set_phase(BackendPhase::Leaving);
         let stopping = tokio::spawn(backend.stop());
-        while !shown.contains("DELETE") {
-            let next = answer_announcement(&mut stream).await;
-            if !shown.ends_with(&next) {
-                shown += &next;
+        while !transcript.contains("DELETE") {
+            let next = accept_announcement(&mut stream).await;
+            if !transcript.ends_with(&next) {
+                transcript += &next;
             }
         }
         stopping.await.unwrap();
-        insta::assert_snapshot!(shown.replace(&address, "(address)"));
+        insta::assert_snapshot!(transcript.replace(&address, "(address)"));
     });
 }
 
-/// Reads one request, answers it, and shows its first line and body.
-async fn answer_announcement(stream: &mut TcpStream) -> String {
+/// Reads and acknowledges one request; returns its first line and its body.
+async fn accept_announcement(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut buffer = [0; 4096];
     let complete = |text: &str| {
@@ -206,8 +210,8 @@
         assert!(count > 0);
         text += &String::from_utf8_lossy(&buffer[..count]);
     }
-    let answer = b"HTTP/1.1 204 No Content\r\n\r\n";
-    stream.write_all(answer).await.unwrap();
+    let reply = b"HTTP/1.1 204 No Content\r\n\r\n";
+    stream.write_all(reply).await.unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     format!("{} {body}\n", head.lines().next().unwrap())
 }
--- a/crates/standin/tests/log.rs
+++ b/crates/standin/tests/log.rs
@@ -1,4 +1,4 @@
-//! Sessions with the log stand-in.
+//! Tests of the log stand-in over HTTP.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use support::{TextClient, loopback, run};
+use support::{TextClient, loopback, run_test};
 use sycamorelink_core::ManualClock;
 use sycamorelink_standin::{LogMode, LogStandin, LogStandinSettings, RunningLog};
 
@@ -14,42 +14,42 @@
 
 async fn start(settings: LogStandinSettings) -> (RunningLog, TextClient, Arc<ManualClock>) {
     let clock = Arc::new(ManualClock::new(Duration::from_secs(1_000_000)));
-    let log = LogStandin::start_with_clock(loopback(), settings, clock.clone())
+    let standin = LogStandin::start_with_clock(loopback(), settings, clock.clone())
         .await
         .unwrap();
-    let client = TextClient::new(log.address());
-    (log, client, clock)
+    let client = TextClient::new(standin.address());
+    (standin, client, clock)
 }
 
 #[test]
-fn session_of_appends_reads_and_trims() {
-    run(async {
+fn appends_reads_and_trims_follow_the_protocol() {
+    run_test(async {
         let (_log, client, clock) = start(LogStandinSettings::default()).await;
-        let mut session = String::new();
-        session += &client.get(&format!("{RECORDS}?from=0&max=10")).await;
-        session += &client.post(RECORDS, "first").await;
+        let mut transcript = String::new();
+        transcript += &client.get(&format!("{RECORDS}?from=0&max=10")).await;
+        transcript += &client.post(RECORDS, "first").await;
         clock.advance(Duration::from_millis(250));
-        session += &client.post(RECORDS, "second").await;
-        session += &client
+        transcript += &client.post(RECORDS, "second").await;
+        transcript += &client
             .get(&format!("{RECORDS}?from=0&max=10&wait=5000"))
             .await;
-        session += &client.get(&format!("{RECORDS}?from=1&max=1")).await;
-        session += &client.get(&format!("{RECORDS}?from=2&wait=10")).await;
-        session += &client
+        transcript += &client.get(&format!("{RECORDS}?from=1&max=1")).await;
+        transcript += &client.get(&format!("{RECORDS}?from=2&wait=10")).await;
+        transcript += &client
             .post("/control", r#"{"stream":"contracts","trim_to":1}"#)
             .await;
-        session += &client.get(&format!("{RECORDS}?from=0")).await;
-        session += &client.get(&format!("{RECORDS}?from=1")).await;
-        session += &client.get("/v1/logs/a/b/records").await;
-        insta::assert_snapshot!(session);
+        transcript += &client.get(&format!("{RECORDS}?from=0")).await;
+        transcript += &client.get(&format!("{RECORDS}?from=1")).await;
+        transcript += &client.get("/v1/logs/a/b/records").await;
+        insta::assert_snapshot!(transcript);
     });
 }
 
 #[test]
-fn session_of_faults() {
-    run(async {
-        let (log, client, _clock) = start(LogStandinSettings::default()).await;
-        let mut session = String::new();
+fn modes_change_replies_to_appends_and_reads() {
+    run_test(async {
+        let (standin, client, _clock) = start(LogStandinSettings::default()).await;
+        let mut transcript = String::new();
         for mode in [
             "down",
             "unavailable",
@@ -58,72 +58,71 @@
             "lose-replies",
             "none",
         ] {
-            let _ = writeln!(session, "-- {mode}");
-            session += &client
+            let _ = writeln!(transcript, "-- {mode}");
+            transcript += &client
                 .post("/control", &format!(r#"{{"mode":"{mode}"}}"#))
                 .await;
-            session += &client.post(RECORDS, mode).await;
-            session += &client.get(&format!("{RECORDS}?from=0")).await;
+            transcript += &client.post(RECORDS, mode).await;
+            transcript += &client.get(&format!("{RECORDS}?from=0")).await;
         }
-        session += &client.post("/control", r#"{"mode":"slow","ms":1}"#).await;
-        log.set_mode(LogMode::Up);
-        let _ = writeln!(session, "{} appends took effect", log.append_count());
-        insta::assert_snapshot!(session);
+        transcript += &client.post("/control", r#"{"mode":"slow","ms":1}"#).await;
+        standin.set_mode(LogMode::Up);
+        let _ = writeln!(transcript, "{} appends took effect", standin.append_count());
+        insta::assert_snapshot!(transcript);
     });
 }
 
-/// The caller sees 429 with a time to come back; nothing is appended.
-/// Several nodes append at once, the limit of the log is used up, and time refills it.
+/// Appends above the rate limit get a 429 and append nothing; elapsed time refills the limit.
 #[test]
 fn appends_above_the_limit_are_refused() {
-    run(async {
+    run_test(async {
         let settings = LogStandinSettings {
             appends_per_second: 2,
             ..LogStandinSettings::default()
         };
         let (_log, client, clock) = start(settings).await;
-        let mut session = String::new();
+        let mut transcript = String::new();
         for _ in 0..3 {
-            session += &client.post(RECORDS, "x").await;
+            transcript += &client.post(RECORDS, "x").await;
         }
         clock.advance(Duration::from_millis(500));
-        session += &client.post(RECORDS, "x").await;
-        insta::assert_snapshot!(session);
+        transcript += &client.post(RECORDS, "x").await;
+        insta::assert_snapshot!(transcript);
     });
 }
 
 #[test]
 fn records_are_dropped_by_count_and_age() {
-    run(async {
+    run_test(async {
         let settings = LogStandinSettings {
             retain_records: 2,
             retain_age: Duration::from_mins(1),
             ..LogStandinSettings::default()
         };
         let (_log, client, clock) = start(settings).await;
-        let mut session = String::new();
+        let mut transcript = String::new();
         for text in ["a", "b", "c"] {
-            session += &client.post(RECORDS, text).await;
+            transcript += &client.post(RECORDS, text).await;
         }
-        session += &client.get(&format!("{RECORDS}?from=0")).await;
+        transcript += &client.get(&format!("{RECORDS}?from=0")).await;
         clock.advance(Duration::from_mins(2));
-        session += &client.get(&format!("{RECORDS}?from=1")).await;
-        session += &client.get(&format!("{RECORDS}?from=3")).await;
-        session += &client.post(RECORDS, "d").await;
-        insta::assert_snapshot!(session);
+        transcript += &client.get(&format!("{RECORDS}?from=1")).await;
+        transcript += &client.get(&format!("{RECORDS}?from=3")).await;
+        transcript += &client.post(RECORDS, "d").await;
+        insta::assert_snapshot!(transcript);
     });
 }
 
-/// A follower sees a new record as soon as it is there, and not at its next read.
+/// A long poll returns as soon as a record is appended, well before its timeout.
 #[test]
 fn long_poll_ends_with_the_append() {
-    run(async {
-        let (log, client, _clock) = start(LogStandinSettings::default()).await;
-        let other = TextClient::new(log.address());
+    run_test(async {
+        let (standin, client, _clock) = start(LogStandinSettings::default()).await;
+        let writer = TextClient::new(standin.address());
         let target = format!("{RECORDS}?from=0&wait=15000");
         let (read, _) = tokio::join!(client.get(&target), async {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            other.post(RECORDS, "late").await
+            writer.post(RECORDS, "late").await
         });
         insta::assert_snapshot!(read);
     });
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP/1.1 client that shows exchanges as text for snapshots.
+//! An HTTP/1.1 client that transcribes exchanges as text for snapshots.
 
 #![allow(dead_code, reason = "each test binary uses its part")]
 
@@ -15,10 +15,10 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// Bound on every wait.
-const WAIT_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit of a whole test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn run<F>(test: F)
+pub fn run_test<F>(test: F)
 where
     F: Future<Output = ()>,
 {
@@ -27,9 +27,9 @@
         .build()
         .unwrap();
     runtime.block_on(async {
-        tokio::time::timeout(WAIT_LIMIT, test)
+        tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("in time");
+            .expect("the test timed out");
     });
 }
 
@@ -37,7 +37,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Calls one server and shows what was said.
+/// Client of one server that returns exchanges as text.
 pub struct TextClient {
     client: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
@@ -62,14 +62,14 @@
         sent.map_err(|_| "connection closed".to_owned())
     }
 
-    /// Sends a request and shows status and body, or how the exchange broke off.
-    pub async fn show_request(&self, request: Request<Full<Bytes>>) -> String {
+    /// Sends a request and returns the status and the body, or how the exchange failed.
+    pub async fn transcribe(&self, request: Request<Full<Bytes>>) -> String {
         let line = format!(
             "{} {}",
             request.method(),
             request.uri().path_and_query().unwrap()
         );
-        let mut text = format!("> {line}\n");
+        let mut transcript = format!("> {line}\n");
         match self.send(request).await {
             Ok(response) => {
                 let status = response.status().as_u16();
@@ -79,24 +79,23 @@
                     Err(_) => "(cut short)".to_owned(),
                 };
                 let _ = match id {
-                    Some(id) => writeln!(text, "< {status} {id:?} {body}"),
-                    None => writeln!(text, "< {status} {body}"),
+                    Some(id) => writeln!(transcript, "< {status} {id:?} {body}"),
+                    None => writeln!(transcript, "< {status} {body}"),
                 };
             }
             Err(error) => {
-                let _ = writeln!(text, "< {error}");
+                let _ = writeln!(transcript, "< {error}");
             }
         }
-        text
+        transcript
     }
 
     pub async fn get(&self, target: &str) -> String {
-        self.show_request(self.request(Method::GET, target, ""))
-            .await
+        self.transcribe(self.request(Method::GET, target, "")).await
     }
 
     pub async fn post(&self, target: &str, body: &str) -> String {
-        self.show_request(self.request(Method::POST, target, body))
+        self.transcribe(self.request(Method::POST, target, body))
             .await
     }
 }
--- a/examples/measure/daemons.rs
+++ b/examples/measure/daemons.rs
@@ -1,4 +1,4 @@
-//! Time added by a hop and by none, processor time for each request, memory.
+//! Measures the latency that daemons add, the processor time per request, and memory.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -9,90 +9,96 @@
 use anyhow::{Context, Result, bail};
 use hdrhistogram::Histogram;
 
-/// Requests a second at each place.
-const RATE: u32 = 400;
-/// Connections that carry them.
-const CONNECTIONS: u32 = 8;
-/// How long each place is measured at a time.
-const ROUND: Duration = Duration::from_secs(5);
-/// Times that the places take turns, so that other load on the machine meets all alike.
+/// Request rate of the latency measurement at each target, in requests per second.
+const REQUESTS_PER_SECOND: u32 = 400;
+/// Connections that share this rate.
+const PACED_CONNECTIONS: u32 = 8;
+/// Duration of one latency round at one target.
+const ROUND_TIME: Duration = Duration::from_secs(5);
+/// Number of rounds. The targets alternate, so that other load on the machine affects all alike.
 const ROUNDS: usize = 4;
-/// Connections of the memory measurement.
+/// Open connections of the memory measurement.
 const IDLE_CONNECTIONS: usize = 390;
-/// How long the closed loop runs.
+/// Duration of the closed loop.
 const LOOP_TIME: Duration = Duration::from_secs(5);
-/// Callers of the closed loop.
+/// Concurrent callers of the closed loop, each of which sends as fast as replies arrive.
 const LOOP_CALLERS: u32 = 16;
-/// Rate of the contract, far above what is measured.
+/// Rate limit of the contract in requests per second, far above the measured rates.
 const CONTRACT_RATE: f64 = 1_000_000.0;
 
-/// Measures and prints a table.
+/// Runs all measurements and prints the results.
 pub fn measure_daemons() -> Result<()> {
     let fleet = MeasuredFleet::start()?;
-    let places = [
+    let targets = [
         ("direct", fleet.backend.address("address")?),
-        ("no hop", fleet.near.address("callers")?),
-        ("one hop", fleet.far.address("callers")?),
+        ("no hop", fleet.local_daemon.address("callers")?),
+        ("one hop", fleet.remote_daemon.address("callers")?),
     ];
-    println!("idle memory of a daemon: {} KiB", fleet.near.resident()?);
-    for (_, address) in &places {
-        run_rate(address, Duration::from_secs(2))?;
+    println!(
+        "idle memory of a daemon: {} KiB",
+        fleet.local_daemon.resident_memory()?
+    );
+    for (_, address) in &targets {
+        run_paced(address, Duration::from_secs(2))?;
     }
     let mut histograms = Vec::new();
-    for _ in &places {
+    for _ in &targets {
         histograms.push(Histogram::<u64>::new(3)?);
     }
     for _ in 0..ROUNDS {
-        for ((_, address), histogram) in places.iter().zip(&mut histograms) {
-            histogram.add(run_rate(address, ROUND)?)?;
+        for ((_, address), histogram) in targets.iter().zip(&mut histograms) {
+            histogram.add(run_paced(address, ROUND_TIME)?)?;
         }
     }
-    print!("{}", latency_table(&places, &histograms));
-    measure_processor(&fleet)?;
+    print!("{}", latency_table(&targets, &histograms));
+    measure_cpu(&fleet)?;
     measure_memory(&fleet)
 }
 
-fn latency_table(places: &[(&str, String)], histograms: &[Histogram<u64>]) -> String {
-    let mut table = format!("latency at {RATE} requests/s, in microseconds\n");
+fn latency_table(targets: &[(&str, String)], histograms: &[Histogram<u64>]) -> String {
+    let mut table = format!("latency at {REQUESTS_PER_SECOND} requests/s, in microseconds\n");
     let direct = &histograms[0];
-    for ((name, _), histogram) in places.iter().zip(histograms) {
+    for ((name, _), histogram) in targets.iter().zip(histograms) {
         let median = histogram.value_at_quantile(0.5);
         let p99 = histogram.value_at_quantile(0.99);
         let _ = writeln!(
             table,
             "{name:8} n={:6} median={median:6} p99={p99:6} added: median={:6} p99={:6}",
             histogram.len(),
-            signed(median, direct.value_at_quantile(0.5)),
-            signed(p99, direct.value_at_quantile(0.99)),
+            signed_difference(median, direct.value_at_quantile(0.5)),
+            signed_difference(p99, direct.value_at_quantile(0.99)),
         );
     }
     table
 }
 
-fn signed(value: u64, base: u64) -> i64 {
+fn signed_difference(value: u64, base: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX) - i64::try_from(base).unwrap_or(i64::MAX)
 }
 
-/// Processor time for each request, from which the requests a second of one core follow.
-fn measure_processor(fleet: &MeasuredFleet) -> Result<()> {
-    for (name, daemon) in [("no hop", &fleet.near), ("one hop, ingress", &fleet.far)] {
-        let before = daemon.processor_time()?;
+/// Measures the processor time per request and derives the requests per second of one core.
+fn measure_cpu(fleet: &MeasuredFleet) -> Result<()> {
+    for (name, daemon) in [
+        ("no hop", &fleet.local_daemon),
+        ("one hop, ingress", &fleet.remote_daemon),
+    ] {
+        let before = daemon.cpu_time()?;
         let address = daemon.address("callers")?;
-        let count = run_loop(&address)?;
-        let spent = daemon.processor_time()? - before;
-        let each = spent / f64::from(count);
+        let count = run_closed_loop(&address)?;
+        let cpu_used = daemon.cpu_time()? - before;
+        let per_request = cpu_used / f64::from(count);
         println!(
             "{name}: {count} requests in {LOOP_TIME:?} from {LOOP_CALLERS} callers, {:.0} us of \
              processor time each, {:.0} requests/s for one core",
-            each * 1e6,
-            1.0 / each,
+            per_request * 1e6,
+            1.0 / per_request,
         );
     }
     Ok(())
 }
 
 fn measure_memory(fleet: &MeasuredFleet) -> Result<()> {
-    let address = fleet.near.address("callers")?;
+    let address = fleet.local_daemon.address("callers")?;
     let mut open = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         let mut connection = CallerConnection::open(&address)?;
@@ -101,21 +107,20 @@
     }
     println!(
         "memory at {IDLE_CONNECTIONS} connections: {} KiB",
-        fleet.near.resident()?
+        fleet.local_daemon.resident_memory()?
     );
     Ok(())
 }
 
-/// Sends requests at the rate, each at its time whatever became of the others, and records how
-/// long after that time the reply was there.
-fn run_rate(address: &str, time: Duration) -> Result<Histogram<u64>> {
-    let step = Duration::from_secs(1) * CONNECTIONS / RATE;
+/// Sends requests at a fixed rate and records the time from each send to its reply.
+fn run_paced(address: &str, time: Duration) -> Result<Histogram<u64>> {
+    let interval = Duration::from_secs(1) * PACED_CONNECTIONS / REQUESTS_PER_SECOND;
     let start = Instant::now();
     let results: Vec<Result<Histogram<u64>>> = std::thread::scope(|scope| {
-        let callers: Vec<_> = (0..CONNECTIONS)
-            .map(|place| {
-                let first = start + step * place / CONNECTIONS;
-                scope.spawn(move || paced_caller(address, first, step, start + time))
+        let callers: Vec<_> = (0..PACED_CONNECTIONS)
+            .map(|index| {
+                let first = start + interval * index / PACED_CONNECTIONS;
+                scope.spawn(move || paced_caller(address, first, interval, start + time))
             })
             .collect();
         callers
@@ -133,7 +138,7 @@
 fn paced_caller(
     address: &str,
     first: Instant,
-    step: Duration,
+    interval: Duration,
     end: Instant,
 ) -> Result<Histogram<u64>> {
     let mut histogram = Histogram::new(3)?;
@@ -145,12 +150,12 @@
         connection.call()?;
         let micros = u64::try_from(sent.elapsed().as_micros())?;
         histogram.record(micros.max(1))?;
-        due += step;
+        due += interval;
     }
     Ok(histogram)
 }
 
-fn run_loop(address: &str) -> Result<u32> {
+fn run_closed_loop(address: &str) -> Result<u32> {
     let end = Instant::now() + LOOP_TIME;
     let results: Vec<Result<u32>> = std::thread::scope(|scope| {
         let callers: Vec<_> = (0..LOOP_CALLERS)
@@ -174,7 +179,7 @@
     results.into_iter().sum()
 }
 
-/// One kept connection of a caller.
+/// One persistent connection of a caller.
 struct CallerConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -203,9 +208,9 @@
                 bail!("the connection ended");
             }
             self.buffer.extend_from_slice(&chunk[..count]);
-            if let Some(whole) = whole_reply(&self.buffer)? {
-                if whole != 200 {
-                    bail!("status {whole}: {}", String::from_utf8_lossy(&self.buffer));
+            if let Some(status) = parse_status(&self.buffer)? {
+                if status != 200 {
+                    bail!("status {status}: {}", String::from_utf8_lossy(&self.buffer));
                 }
                 return Ok(());
             }
@@ -213,8 +218,8 @@
     }
 }
 
-/// Status of the reply once it is whole.
-fn whole_reply(bytes: &[u8]) -> Result<Option<u16>> {
+/// Returns the status of the reply, or `None` while the reply is incomplete.
+fn parse_status(bytes: &[u8]) -> Result<Option<u16>> {
     let Some(split) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else {
         return Ok(None);
     };
@@ -236,12 +241,12 @@
     Ok(Some(status))
 }
 
-/// The log, one backend server, the daemon beside it and one without any.
+/// The log, one backend server, its local daemon and a remote daemon without a backend server.
 struct MeasuredFleet {
     _log: MeasuredProcess,
     backend: MeasuredProcess,
-    near: MeasuredProcess,
-    far: MeasuredProcess,
+    local_daemon: MeasuredProcess,
+    remote_daemon: MeasuredProcess,
 }
 
 impl MeasuredFleet {
@@ -249,10 +254,10 @@
         let directory = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
         std::fs::create_dir_all(&directory)?;
         let log = MeasuredProcess::start("sycamorelink", &["stand-in", "log"])?;
-        let near = start_daemon(&directory, "near", &log.address("address")?, None)?;
-        let seed = near.address("gossip")?;
-        let far = start_daemon(&directory, "far", &log.address("address")?, Some(&seed))?;
-        let operators = near.address("operators")?;
+        let local_daemon = start_daemon(&directory, "near", &log.address("address")?, None)?;
+        let seed = local_daemon.address("gossip")?;
+        let remote_daemon = start_daemon(&directory, "far", &log.address("address")?, Some(&seed))?;
+        let operators = local_daemon.address("operators")?;
         let backend = MeasuredProcess::start(
             "sycamorelink",
             &[
@@ -267,20 +272,20 @@
             ],
         )?;
         publish(&operators, 0, CONTRACT_RATE)?;
-        for daemon in [&near, &far] {
-            wait_serving(&daemon.address("callers")?)?;
+        for daemon in [&local_daemon, &remote_daemon] {
+            wait_until_ready(&daemon.address("callers")?)?;
         }
         let _ = std::fs::remove_dir_all(&directory);
         Ok(Self {
             _log: log,
             backend,
-            near,
-            far,
+            local_daemon,
+            remote_daemon,
         })
     }
 }
 
-fn wait_serving(address: &str) -> Result<()> {
+fn wait_until_ready(address: &str) -> Result<()> {
     for _ in 0..500 {
         if let Ok(mut connection) = CallerConnection::open(address)
             && connection.call().is_ok()
--- a/examples/measure/main.rs
+++ b/examples/measure/main.rs
@@ -1,20 +1,21 @@
-//! Measures daemons as separate processes on loopback. Every figure in
-//! `docs/measurements-daemon.md` comes from it.
+//! Measures daemons as separate processes on loopback.
+//!
+//! All figures in `docs/measurements-daemon.md` come from this program.
 //!
 //! ```text
 //! cargo build --release --locked
 //! cargo run --release --locked --example measure             latency, processor time, memory
-//! cargo run --release --locked --example measure -- spread   contract changes
+//! cargo run --release --locked --example measure -- spread   propagation of contract changes
 //! ```
 
 mod daemons;
-mod spread;
+mod propagation;
 mod support;
 
 fn main() -> anyhow::Result<()> {
     match std::env::args().nth(1).as_deref() {
         None => daemons::measure_daemons(),
-        Some("spread") => spread::measure_spread(),
+        Some("spread") => propagation::measure_propagation(),
         Some(other) => anyhow::bail!("unknown measurement {other:?}: use none or \"spread\""),
     }
 }
--- a/examples/measure/support.rs
+++ b/examples/measure/support.rs
@@ -1,4 +1,4 @@
-//! Processes of ours, started and measured by the examples.
+//! Starts daemons and stand-ins as child processes and reads their resource usage.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -8,12 +8,12 @@
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
 
-/// Token of the operator.
-pub const OPERATOR: &str = "measure";
-/// Clock ticks a second, as `/proc` counts processor time on Linux.
-const TICKS: f64 = 100.0;
+/// Bearer token of the operator.
+pub const TOKEN: &str = "measure";
+/// Clock ticks per second, the unit of processor time in `/proc` on Linux.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// Starts a daemon with a failure domain of its own.
+/// Starts a daemon in its own failure domain.
 pub fn start_daemon(
     directory: &Path,
     name: &str,
@@ -28,7 +28,7 @@
         "fleet_keys": { "current": { "id": "k", "secret": "0123456789abcdef0123456789abcdef" } },
         "operators": [{
             "name": "measure",
-            "token_sha256": sycamorelink_contract::ContentDigest::of(OPERATOR.as_bytes()).to_string(),
+            "token_sha256": sycamorelink_contract::ContentDigest::of(TOKEN.as_bytes()).to_string(),
             "role": "admin",
         }],
     });
@@ -38,7 +38,8 @@
     MeasuredProcess::start("sycamorelinkd", &["--settings", &path])
 }
 
-/// Publishes the sample contract with these limits on a version and gives the new version.
+/// Publishes the sample contract with this rate limit, based on version `base`, and returns the new
+/// version.
 pub fn publish(operators: &str, base: u64, rate: f64) -> Result<u64> {
     let mut contract: Value =
         serde_json::from_str(&sycamorelink_contract::samples::brannock().to_json())?;
@@ -49,7 +50,7 @@
     let mut stream = TcpStream::connect(operators)?;
     write!(
         stream,
-        "PUT /v1/contracts/brannock HTTP/1.1\r\nhost: m\r\nauthorization: Bearer {OPERATOR}\r\n\
+        "PUT /v1/contracts/brannock HTTP/1.1\r\nhost: m\r\nauthorization: Bearer {TOKEN}\r\n\
          if-match: \"{base}\"\r\nidempotency-key: {key}\r\ncontent-length: {}\r\n\
          connection: close\r\n\r\n{body}",
         body.len(),
@@ -64,16 +65,16 @@
     body["version"].as_u64().context("the version is told")
 }
 
-/// A process of ours and the line that it printed.
+/// A child process and the JSON line that it printed on startup.
 pub struct MeasuredProcess {
     child: Child,
-    listening: Value,
+    startup_report: Value,
 }
 
 impl MeasuredProcess {
-    /// Starts a program of this workspace and reads its first line.
+    /// Starts a program of this workspace and reads the first line of its output.
     pub fn start(program: &str, args: &[&str]) -> Result<Self> {
-        let mut child = Command::new(program_path(program)?)
+        let mut child = Command::new(executable_path(program)?)
             .args(args)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -85,28 +86,28 @@
         BufReader::new(output).read_line(&mut line)?;
         Ok(Self {
             child,
-            listening: serde_json::from_str(&line)?,
+            startup_report: serde_json::from_str(&line)?,
         })
     }
 
-    /// An address from that line.
+    /// Returns the named address from the startup line.
     pub fn address(&self, name: &str) -> Result<String> {
-        Ok(self.listening[name]
+        Ok(self.startup_report[name]
             .as_str()
             .context("the address is told")?
             .to_owned())
     }
 
-    /// Resident memory in KiB.
-    pub fn resident(&self) -> Result<u64> {
+    /// Returns the resident memory in KiB.
+    pub fn resident_memory(&self) -> Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let text = line.context("the kernel tells the size")?;
         Ok(text.trim().trim_end_matches("kB").trim().parse()?)
     }
 
-    /// Processor time used so far, in seconds.
-    pub fn processor_time(&self) -> Result<f64> {
+    /// Returns the processor time used so far, in seconds.
+    pub fn cpu_time(&self) -> Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let (_, fields) = stat
             .rsplit_once(')')
@@ -114,7 +115,7 @@
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let user: f64 = fields[11].parse()?;
         let system: f64 = fields[12].parse()?;
-        Ok((user + system) / TICKS)
+        Ok((user + system) / CLOCK_TICKS_PER_SECOND)
     }
 }
 
@@ -125,7 +126,7 @@
     }
 }
 
-fn program_path(program: &str) -> Result<PathBuf> {
+fn executable_path(program: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let directory = own
         .parent()
