--- a/examples/measure/daemons.rs
+++ b/examples/measure/daemons.rs
@@ -125,7 +125,7 @@
             .collect();
         callers
             .into_iter()
-            .map(|caller| caller.join().expect("no caller panics"))
+            .map(|caller| caller.join().expect("caller thread panicked"))
             .collect()
     });
     let mut all = Histogram::new(3)?;
@@ -173,7 +173,7 @@
             .collect();
         callers
             .into_iter()
-            .map(|caller| caller.join().expect("no caller panics"))
+            .map(|caller| caller.join().expect("caller thread panicked"))
             .collect()
     });
     results.into_iter().sum()
@@ -227,7 +227,7 @@
     let length: usize = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length:"))
-        .context("the reply has a length")?
+        .context("the reply has no content-length")?
         .trim()
         .parse()?;
     if bytes.len() < split + 4 + length {
@@ -236,7 +236,7 @@
     let status = head
         .split(' ')
         .nth(1)
-        .context("the reply has a status")?
+        .context("the reply has no status")?
         .parse()?;
     Ok(Some(status))
 }
--- a/examples/measure/propagation.rs
+++ b/examples/measure/propagation.rs
@@ -80,7 +80,7 @@
             .collect();
         pollers
             .into_iter()
-            .map(|poller| poller.join().expect("no look panics"))
+            .map(|poller| poller.join().expect("poller thread panicked"))
             .collect()
     });
     results.into_iter().collect()
@@ -107,9 +107,11 @@
     )?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply)?;
-    let (_, body) = reply.split_once("\r\n\r\n").context("a whole reply")?;
+    let (_, body) = reply
+        .split_once("\r\n\r\n")
+        .context("the reply is incomplete")?;
     let body: Value = serde_json::from_str(body)?;
     body["contracts"]["head"]
         .as_u64()
-        .context("the head is told")
+        .context("the status has no contracts.head")
 }
--- a/examples/measure/support.rs
+++ b/examples/measure/support.rs
@@ -34,7 +34,10 @@
     });
     let path = directory.join(format!("{name}.json"));
     std::fs::write(&path, settings.to_string())?;
-    let path = path.to_str().context("a path in UTF-8")?.to_owned();
+    let path = path
+        .to_str()
+        .context("the settings path is not UTF-8")?
+        .to_owned();
     MeasuredProcess::start("sycamorelinkd", &["--settings", &path])
 }
 
@@ -57,12 +60,14 @@
     )?;
     let mut reply = String::new();
     stream.read_to_string(&mut reply)?;
-    let (head, body) = reply.split_once("\r\n\r\n").context("a whole reply")?;
+    let (head, body) = reply
+        .split_once("\r\n\r\n")
+        .context("the reply is incomplete")?;
     if !head.starts_with("HTTP/1.1 200") {
         bail!("the contract was not accepted: {reply}");
     }
     let body: Value = serde_json::from_str(body)?;
-    body["version"].as_u64().context("the version is told")
+    body["version"].as_u64().context("the reply has no version")
 }
 
 /// A child process and the JSON line that it printed on startup.
@@ -81,7 +86,7 @@
             .stderr(Stdio::null())
             .spawn()
             .with_context(|| format!("cannot start {program}; build it first"))?;
-        let output = child.stdout.take().context("output is piped")?;
+        let output = child.stdout.take().context("stdout is not piped")?;
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
         Ok(Self {
@@ -94,7 +99,7 @@
     pub fn address(&self, name: &str) -> Result<String> {
         Ok(self.startup_report[name]
             .as_str()
-            .context("the address is told")?
+            .context("the startup line lacks an address")?
             .to_owned())
     }
 
@@ -102,16 +107,14 @@
     pub fn resident_memory(&self) -> Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let text = line.context("the kernel tells the size")?;
+        let text = line.context("/proc status has no VmRSS line")?;
         Ok(text.trim().trim_end_matches("kB").trim().parse()?)
     }
 
     /// Returns the processor time used so far, in seconds.
     pub fn cpu_time(&self) -> Result<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        let (_, fields) = stat
-            .rsplit_once(')')
-            .context("the kernel tells the times")?;
+        let (_, fields) = stat.rsplit_once(')').context("/proc stat is malformed")?;
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let user: f64 = fields[11].parse()?;
         let system: f64 = fields[12].parse()?;
@@ -131,6 +134,6 @@
     let directory = own
         .parent()
         .and_then(Path::parent)
-        .context("examples have a directory")?;
+        .context("the executable has no target directory")?;
     Ok(directory.join(program))
 }
