--- a/crates/engine/src/agreement.rs
+++ b/crates/engine/src/agreement.rs
@@ -89,9 +89,9 @@
     /// time to converge.
     ///
     /// Guards against lists that differ forever, for example because a new node never learns of a
-    /// dead member, or one peer misses a departure. Without agreement the new node would refuse
-    /// every request for want of a share. Except for instances that left, the lists only grow by
-    /// this exchange, so they all become equal.
+    /// dead member, or one peer misses a departure. Without agreement the new node would get no
+    /// share and refuse every request. Except for instances that left, the lists only grow by this
+    /// exchange, so they all become equal.
     fn send_share_list(&mut self, to: InstanceId, out: &mut Vec<NodeCommand>) {
         if self.share_members.len() > MAX_DIGEST_MEMBERS {
             return;
--- a/crates/engine/src/announcing.rs
+++ b/crates/engine/src/announcing.rs
@@ -36,10 +36,10 @@
         if let Some(known) = &mut known {
             known.end_if_replaced(&announced);
         }
-        let ended = known.as_ref().map(|known| known.ended.clone());
-        let is_new = known.as_ref().is_none_or(|known| !known.up);
+        let ended_lives = known.as_ref().map(|known| known.ended_lives.clone());
+        let is_new = known.as_ref().is_none_or(|known| !known.available);
         let same = known.as_ref().is_some_and(|known| {
-            known.up
+            known.available
                 && known.announced.service == announced.service
                 && known.announced.slots == announced.slots
                 && known.announced.phase == announced.phase
@@ -53,21 +53,21 @@
         // Guards against new work for a leaving server after a restart of this node. The grace
         // period is for peers that do not know of the leaving yet; if the first announcement of an
         // incarnation says that it leaves, peers may have known for long.
-        let closes = if new_gate { now } else { now + CLOSE_GRACE };
+        let closes_at = if new_gate { now } else { now + CLOSE_GRACE };
         let mut upstream = existing.unwrap_or_else(|| self.new_upstream(now, &announced));
         // Kept across restarts of the server: a reset would refill its part of the bound on every
         // crash.
         upstream.repeats = repeats;
-        upstream.closes = match announced.phase {
-            UpstreamPhase::Leaving => upstream.closes.or(Some(closes)),
+        upstream.closes_at = match announced.phase {
+            UpstreamPhase::Leaving => upstream.closes_at.or(Some(closes_at)),
             UpstreamPhase::Starting | UpstreamPhase::Ready => None,
         };
-        if !upstream.up {
+        if !upstream.available {
             upstream.life += 1;
-            upstream.up = true;
+            upstream.available = true;
         }
         upstream.expires_at = expires_at;
-        upstream.ended = ended.unwrap_or_default();
+        upstream.ended_lives = ended_lives.unwrap_or_default();
         upstream.announced = announced;
         let facts = facts_of(&upstream.announced);
         let phase = upstream.announced.phase;
@@ -112,7 +112,7 @@
         let Some(known) = self.upstreams.get(&announced.slot) else {
             return Some(announced);
         };
-        if known.ended.contains(&life.id) {
+        if known.ended_lives.contains(&life.id) {
             return None;
         }
         let current = known.announced.life.as_ref();
@@ -149,7 +149,7 @@
             return self.on_withdrawn(now, slot, out);
         };
         let current = known.life_id();
-        let Some(current) = current.filter(|current| id.names(current)) else {
+        let Some(current) = current.filter(|current| id.matches(current)) else {
             known.end_life(id.clone());
             return;
         };
@@ -220,21 +220,21 @@
             gate: SlotGate::new(settings, now).warm_up_left(now, announced.warm_up),
             breaker: UpstreamBreaker::new(now)
                 .use_run_ages(self.settings.policy.is_on(PolicyMechanism::OpenRuns)),
-            told: None,
+            reported_health: None,
             repeats: None,
             expires_at: now,
-            closes: None,
+            closes_at: None,
             life: 0,
-            up: true,
-            ended: Vec::new(),
+            available: true,
+            ended_lives: Vec::new(),
         }
     }
 
     pub(crate) fn on_withdrawn(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
         if let Some(upstream) = self.upstreams.get_mut(&slot)
-            && upstream.up
+            && upstream.available
         {
-            upstream.up = false;
+            upstream.available = false;
             self.note_if_idle(slot, out);
             self.handle_roster_event(now, RosterEvent::UpstreamGone { slot }, out);
         }
@@ -245,7 +245,7 @@
         let gone = self
             .upstreams
             .get(&slot)
-            .is_some_and(|upstream| !upstream.up);
+            .is_some_and(|upstream| !upstream.available);
         if gone && !self.works.values().any(|work| work.offer.slot == slot) {
             self.note_upstream(slot, out, |id, service| NodeNote::UpstreamGone {
                 id,
@@ -304,7 +304,7 @@
         let expired: Vec<u16> = self
             .upstreams
             .iter()
-            .filter(|(_, upstream)| upstream.up && upstream.expires_at <= now)
+            .filter(|(_, upstream)| upstream.available && upstream.expires_at <= now)
             .map(|(slot, _)| *slot)
             .collect();
         for slot in expired {
@@ -330,11 +330,11 @@
 
     /// Records that an incarnation ended.
     pub(crate) fn end_life(&mut self, id: LifeId) {
-        if !self.ended.contains(&id) {
-            self.ended.push(id);
+        if !self.ended_lives.contains(&id) {
+            self.ended_lives.push(id);
         }
-        if self.ended.len() > MAX_ENDED_LIVES {
-            self.ended.remove(0);
+        if self.ended_lives.len() > MAX_ENDED_LIVES {
+            self.ended_lives.remove(0);
         }
     }
 
@@ -352,7 +352,7 @@
 /// Returns whether an announcement continues the known incarnation. A backend server that closed
 /// its gate and returns counts as a new one.
 fn is_same_life(known: &LocalUpstream, announced: &UpstreamAnnouncement) -> bool {
-    let reopened = known.closes.is_some() && announced.phase != UpstreamPhase::Leaving;
+    let reopened = known.closes_at.is_some() && announced.phase != UpstreamPhase::Leaving;
     let same = known.life_id().as_ref() == announced.life.as_ref().map(|life| &life.id);
     known.announced.slots == announced.slots && !reopened && same
 }
--- a/crates/engine/src/breaker.rs
+++ b/crates/engine/src/breaker.rs
@@ -23,7 +23,7 @@
 /// that was asked is suspect too.
 ///
 /// Such work may not be repeated, so a "not run" refusal serves the caller better than a run that
-/// is expected to end well less than half of the time.
+/// is expected to succeed well under half of the time.
 const MAX_FORCED_FAILURE_CHANCE: f64 = 0.75;
 
 /// Time after a failed call during which an error from the backend server that made the call is
@@ -36,8 +36,8 @@
 impl NodeEngine {
     /// Returns whether the breaker of the upstream lets the work run.
     ///
-    /// Under customers' contracts the breaker is not consulted: there, ejection relies on the
-    /// callers' view alone, and the tests of that mode measure exactly this.
+    /// Under per-customer contracts the breaker is not consulted: ejection then relies on the
+    /// callers' view alone, which is what the tests of that mode measure.
     pub(crate) fn passes_breaker(&mut self, now: Duration, work: WorkId) -> bool {
         if !self.uses_fleet_contract() {
             return true;
@@ -184,7 +184,7 @@
         let Some(upstream) = self.upstreams.get_mut(&slot) else {
             return;
         };
-        // A run in an earlier life of the server says nothing about the current one.
+        // A run in an earlier incarnation of the server says nothing about the current one.
         let kind = kind.filter(|_| life == upstream.life_id());
         if let Some(kind) = kind {
             upstream.breaker.ended(now, work.0, kind);
--- a/crates/engine/src/budgets.rs
+++ b/crates/engine/src/budgets.rs
@@ -13,8 +13,8 @@
 use crate::note::NodeNote;
 use crate::request::RequestState;
 
-/// Further nodes that are asked for a repeat after one refused it: each has its own part of the
-/// bound, and the parts are not used up at the same time.
+/// Number of further nodes that are asked for a repeat after one refused it: each has its own part
+/// of the bound, and the parts are not used up at the same time.
 const MAX_REPEAT_REFUSALS: u16 = 2;
 
 impl NodeEngine {
@@ -48,8 +48,8 @@
             };
             return state.repeats_refused <= MAX_REPEAT_REFUSALS;
         }
-        let turned_away = report.run == RunState::NotRun && report.kind == SampleKind::Refused;
-        if self.uses_fleet_contract() && turned_away {
+        let declined = report.run == RunState::NotRun && report.kind == SampleKind::Refused;
+        if self.uses_fleet_contract() && declined {
             // A resend follows a send that no backend server ran, so it repeats no calls of that
             // server and has a budget separate from that of repeats.
             return self.withdraw_from(now, id, |pair| &mut pair.resends, out);
@@ -106,12 +106,12 @@
     budgets.entry(key).or_insert_with(|| {
         let terms = &state.rule.terms;
         let retries = BudgetSettings {
-            percent: percent_of(terms.retry_budget.share),
+            percent: share_to_percent(terms.retry_budget.share),
             minimum_per_second: round_to_u32(terms.retry_budget.min_per_second),
             ..BudgetSettings::default()
         };
         let hedges = BudgetSettings {
-            percent: percent_of(terms.hedge_budget.share),
+            percent: share_to_percent(terms.hedge_budget.share),
             minimum_per_second: 0,
             ..BudgetSettings::default()
         };
@@ -129,7 +129,7 @@
     })
 }
 
-pub(crate) fn percent_of(share: f64) -> u32 {
+pub(crate) fn share_to_percent(share: f64) -> u32 {
     round_to_u32(share * 100.0)
 }
 
--- a/crates/engine/src/command.rs
+++ b/crates/engine/src/command.rs
@@ -62,8 +62,8 @@
     RunWork {
         /// Id of the work, as given by the daemon.
         work: WorkId,
-        /// Name of the backend server's life that must run the work; `None` if it announced no
-        /// name.
+        /// Name announced by the incarnation of the backend server that must run the work; `None`
+        /// if it announced no name.
         life: Option<Arc<str>>,
     },
     /// Refuse the work. The backend server was not sent the work and will not be.
@@ -87,7 +87,7 @@
     },
     /// Send a message over the peer protocol. The engine does not rely on its delivery.
     SendPeer {
-        /// The receiving instance; another life of the node must not get the message.
+        /// The receiving instance; another incarnation of the node must not get the message.
         to: InstanceId,
         /// Peer protocol address of the receiver.
         address: SocketAddr,
@@ -126,7 +126,7 @@
     /// Read the directory in which nodes register, and register this node there.
     FindMembers,
     /// Store an incarnation for the next start of this node and exit. Peers remember a higher
-    /// incarnation than that of this life, so the next one must begin above it.
+    /// incarnation than the current one, and the next start must use a number above theirs.
     RecordIncarnation(NodeIncarnation),
     /// Publish the newly compiled contracts to the request path.
     ContractsChanged,
@@ -145,8 +145,8 @@
     pub label: Arc<str>,
     /// Target of the attempt.
     pub upstream: UpstreamId,
-    /// The instance beside the upstream that must take the attempt; another life of that node must
-    /// not.
+    /// The instance beside the upstream that must run the attempt; another incarnation of that node
+    /// must not.
     pub executor: InstanceId,
     /// Peer protocol address of the executor; `None` when this node is the executor.
     pub address: Option<SocketAddr>,
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/completion.rs
@@ -107,16 +107,16 @@
         report: &AttemptReport,
         out: &mut Vec<NodeCommand>,
     ) {
-        let held_off = report.code == Some(RefusalCode::UpstreamSuspect);
-        if held_off {
+        let rejected = report.code == Some(RefusalCode::UpstreamSuspect);
+        if rejected {
             self.avoid_upstream(now, attempt.upstream);
         }
         let Some(state) = self.requests.get_mut(&id) else {
             return;
         };
         // One request can crash every backend server that runs it, and each retry would take down
-        // one more. After the second crash the request is not retried, regardless of
-        // what the executors have recorded.
+        // one more. After the second crash the request is not retried, regardless of what the
+        // executors have recorded.
         state.crashed_twice |= report.kind == SampleKind::Crashed
             && state
                 .last
@@ -132,10 +132,10 @@
             state.uncertain += 1;
         }
         let by_server = matches!(report.code, None | Some(RefusalCode::UpstreamFailed));
-        let turned_away = report.kind == SampleKind::Refused && by_server;
-        state.arrivals += u16::from(report.run != RunState::NotRun || turned_away);
+        let declined = report.kind == SampleKind::Refused && by_server;
+        state.arrivals += u16::from(report.run != RunState::NotRun || declined);
         state.repeats_refused += u16::from(report.code == Some(RefusalCode::RepeatsSpent));
-        if held_off {
+        if rejected {
             state.rejected_by.push(attempt.upstream);
         }
         if !state.open.is_empty() {
--- a/crates/engine/src/contracts.rs
+++ b/crates/engine/src/contracts.rs
@@ -187,7 +187,7 @@
         for (service, pool) in &mut self.pools {
             if let Some(rule) = self.table.service_rule(service.as_str()) {
                 pool.set_floor(rule.floor, rule.floor_count);
-                pool.apply(PoolSettings::for_leaning(leaning_of(rule.leaning)));
+                pool.apply(PoolSettings::for_leaning(pool_leaning(rule.leaning)));
             }
         }
     }
@@ -214,7 +214,7 @@
         let window = CarryWindow::new(
             self.own.instance.node,
             self.log_oldest,
-            self.wall + now,
+            self.wall_at_start + now,
             self.settings.log_retention,
         );
         let due = self.book.due_carries(&window);
@@ -253,7 +253,7 @@
     (rate * 1000.0).round().clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-pub(crate) fn leaning_of(leaning: DetectionLeaning) -> Leaning {
+pub(crate) fn pool_leaning(leaning: DetectionLeaning) -> Leaning {
     match leaning {
         DetectionLeaning::FewFalseEjections => Leaning::FewFalseEjections,
         DetectionLeaning::Balanced => Leaning::Balanced,
--- a/crates/engine/src/crash_requests.rs
+++ b/crates/engine/src/crash_requests.rs
@@ -20,7 +20,7 @@
         };
         state.phase = WorkPhase::AwaitingTurn;
         let signature = state.signature();
-        self.turns.insert(work.0, work);
+        self.awaiting_turn.insert(work.0, work);
         let mut commands = Vec::new();
         self.crash
             .request_turn(now, signature, work.0, &mut commands);
@@ -76,8 +76,8 @@
         };
         self.held_failures.entry(victim).or_default().push(work);
         let upstream_service = upstream.announced.service.clone();
-        let first = upstream.up;
-        upstream.up = false;
+        let first = upstream.available;
+        upstream.available = false;
         let running = self
             .works
             .values()
@@ -150,7 +150,7 @@
         retry_after: Duration,
         out: &mut Vec<NodeCommand>,
     ) {
-        let Some(work) = self.turns.remove(&ask) else {
+        let Some(work) = self.awaiting_turn.remove(&ask) else {
             return;
         };
         if granted {
--- a/crates/engine/src/meeting.rs
+++ b/crates/engine/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Repeats the lookup of other nodes in the directory of gossip addresses while a node is alone.
+//! Repeats the lookup of gossip addresses in the directory while a node knows no other member.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 /// The same in a fleet that starts for the first time, where the first query is spread over some
 /// time.
 const FIRST_DISCOVERY_DELAY: Duration = Duration::from_secs(5);
-/// Maximum interval between two queries of a node that remains alone.
+/// Maximum interval between two queries of a node that still knows no other member.
 const MAX_DISCOVERY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Schedule of the directory queries of a node that is alone.
+/// Schedule of the directory queries of a node that knows no other member.
 #[derive(Debug)]
 pub(crate) struct DiscoveryState {
     next_query: Duration,
@@ -36,9 +36,9 @@
 }
 
 impl NodeEngine {
-    /// Requests a directory query while this node is alone, with exponential backoff.
+    /// Requests a directory query while this node knows no other member, with exponential backoff.
     pub(crate) fn tick_discovery(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        let state = &mut self.meeting;
+        let state = &mut self.discovery;
         if self.roster.member_count() >= 2 {
             state.interval = DISCOVERY_DELAY;
             state.next_query = now + DISCOVERY_DELAY;
--- a/crates/engine/src/dispatch.rs
+++ b/crates/engine/src/dispatch.rs
@@ -28,14 +28,14 @@
 /// An attempt that may fail is better than a refusal, and each further upstream costs the caller a
 /// round trip.
 const FORCE_AFTER_REFUSALS: usize = 3;
-/// Time in which no new work goes to an instance with an overdue heartbeat answer.
+/// Time for which no new work goes to an instance with an overdue heartbeat answer.
 /// `PeerUnresponsive` events repeat while the answer is overdue.
 pub(crate) const OVERDUE_AVOIDANCE: Duration = Duration::from_millis(300);
-/// Time in which no new work goes to an instance that the membership suspects. Long enough for the
+/// Time for which no new work goes to an instance that the membership suspects. Long enough for the
 /// membership to find the instance dead or alive.
 pub(crate) const SUSPECT_AVOIDANCE: Duration = Duration::from_secs(2);
-/// Time in which an upstream that rejected work is not selected again, where upstreams are not
-/// selected by cost: half of the usual interval between two trials there.
+/// Time for which an upstream that rejected work is not selected again, where upstreams are not
+/// selected by cost: half of the usual interval between two trials of one upstream.
 const REJECTION_AVOIDANCE: Duration = Duration::from_millis(800);
 /// Fraction of the latency objective within which a run must start. A run takes a third of the
 /// objective on average.
@@ -85,7 +85,7 @@
         Some((upstream, executor))
     }
 
-    /// Returns whether upstreams are selected by expected cost. Under customers' contracts the
+    /// Returns whether upstreams are selected by expected cost. Under per-customer contracts the
     /// weights follow the callers' scores alone.
     fn chooses_by_cost(&self) -> bool {
         self.uses_fleet_contract() && self.settings.policy.is_on(PolicyMechanism::CostChoice)
@@ -306,8 +306,8 @@
 }
 
 /// Returns the maximum wait for a slot. A run must start well within the latency objective;
-/// otherwise the slot is better used for a request that can still meet it. Customers' contracts set
-/// no such limit, and only the deadline applies.
+/// otherwise the slot is better used for a request that can still meet it. Per-customer contracts
+/// set no such limit, and only the deadline applies.
 fn max_slot_wait(now: Duration, state: &RequestState) -> Option<Duration> {
     state.rule.attempts?;
     let latency = state.rule.objective?.latency;
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -87,7 +87,7 @@
     UpstreamWithdrawn {
         /// Number of the backend server on this node.
         slot: u16,
-        /// The life that withdraws; `None` if the server did not name one.
+        /// The incarnation that withdraws; `None` if the server did not name one.
         life: Option<LifeId>,
     },
     /// Records were read from the platform's log, in order.
@@ -135,7 +135,7 @@
     LogReachable(bool),
     /// The platform asked this node to leave.
     DrainRequested,
-    /// This node stops now. The engine notifies its peers.
+    /// This node stops now. The engine responds by notifying its peers.
     Departed,
 }
 
@@ -183,7 +183,7 @@
     pub body_length: Option<u64>,
     /// Whether the daemon can buffer the whole body and so send it again.
     pub replayable: bool,
-    /// Time that the caller allows for the answer; `None` if it did not say.
+    /// Time that the caller allows for the answer; `None` if the caller set no limit.
     pub time_left: Option<Duration>,
 }
 
@@ -286,7 +286,7 @@
     Replied,
     /// The backend server answered that it did not run the work.
     Declined,
-    /// Another life of the server, or another server, answered in place of the intended one.
+    /// Another incarnation of the server, or another server, answered in place of the intended one.
     Replaced,
     /// The backend server could not be connected to and never received the work.
     NotStarted,
@@ -313,44 +313,45 @@
     pub slots: u16,
     /// Whether the server is starting, ready or leaving.
     pub phase: UpstreamPhase,
-    /// Life of the server that sent the announcement; `None` if it did not name one.
+    /// Incarnation of the server that sent the announcement; `None` if it did not name one.
     pub life: Option<UpstreamLife>,
     /// Remaining time in which the server is slow after its start; `None` if not announced.
     pub warm_up: Option<Duration>,
 }
 
-/// Identity of one life of a backend server. A restarted server may reuse its name; the start times
-/// then tell the lives apart.
+/// Identity of one incarnation of a backend server. Identifiers call it a life, to distinguish it
+/// from the incarnation of a node. A restarted server may reuse its name; the start times then
+/// distinguish the incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LifeId {
     /// Name of the server.
     pub name: Arc<str>,
     /// Start time by the server's own clock, since the Unix epoch; `None` if not announced. Only
-    /// compared between lives of one name, which share a clock.
+    /// compared between incarnations of one name, which share a clock.
     pub started: Option<Duration>,
 }
 
 impl LifeId {
-    /// Returns whether this life began before another life of the same name. A life without a start
-    /// time counts as the earlier one.
+    /// Returns whether this incarnation began before another one of the same name. An incarnation
+    /// without a start time counts as the earlier one.
     #[must_use]
     pub fn is_earlier_than(&self, other: &Self) -> bool {
         self.name == other.name && self.started < other.started
     }
 
-    /// Returns whether this identity refers to the other life. A withdrawal may omit the start time
-    /// and then matches every life of the name.
+    /// Returns whether this identity refers to the other one. A withdrawal may omit the start time
+    /// and then matches every incarnation of the name.
     #[must_use]
-    pub fn names(&self, other: &Self) -> bool {
+    pub fn matches(&self, other: &Self) -> bool {
         self.name == other.name && (self.started.is_none() || self.started == other.started)
     }
 }
 
-/// Life of a backend server, with the order of its announcements.
+/// Incarnation of a backend server, with the order of its announcements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamLife {
-    /// Identity of the life.
+    /// Identity of the incarnation.
     pub id: LifeId,
-    /// Sequence number that grows with each announcement of this life; identifies late ones.
+    /// Sequence number that grows with each announcement of this incarnation; identifies late ones.
     pub order: u64,
 }
--- a/crates/engine/src/executor.rs
+++ b/crates/engine/src/executor.rs
@@ -1,9 +1,12 @@
 //! Executor: admission and execution of work for the backend servers beside this node.
 //!
 //! ```text
-//! offer ─ upstream there? ─ crash check ─ guard (keyed) ─ slot gate ─ run ─ end
-//!              └────────────┴───────────────┴───────────────┴─▶ refused as not run
+//! offer ─ repeats ─ upstream ─ fence ─ breaker ─ crashes ─ guard (keyed) ─ gate ─ run ─ end
+//!            └─────────┴─────────┴────────┴─────────┴─────────┴─────────────┴─▶ refused as not run
 //! ```
+//!
+//! `repeats` is the bound on repeats of the service, `fence` the record of attempts that must not
+//! start, and `crashes` the registry of requests that crash backend servers.
 
 use std::time::Duration;
 
@@ -96,8 +99,8 @@
     /// therefore compared with the service that runs here now.
     fn serves(&self, slot: u16, service: &ServiceName) -> bool {
         let upstream = self.upstreams.get(&slot);
-        let is_up =
-            upstream.is_some_and(|upstream| upstream.up && upstream.announced.service == *service);
+        let is_up = upstream
+            .is_some_and(|upstream| upstream.available && upstream.announced.service == *service);
         is_up && self.handover != HandoverState::Drained
     }
 
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Continues with keyed work that the guard permits to run here.
+    /// Offers keyed work to the slot gate after the guard granted it.
     pub(crate) fn on_work_granted(
         &mut self,
         now: Duration,
@@ -375,7 +378,7 @@
         let mut commands = Vec::new();
         let mut closed = Vec::new();
         for (slot, upstream) in &mut self.upstreams {
-            if upstream.closes.is_some_and(|at| at <= now) && !upstream.gate.is_closed() {
+            if upstream.closes_at.is_some_and(|at| at <= now) && !upstream.gate.is_closed() {
                 upstream.gate.close();
                 closed.push(*slot);
             }
--- a/crates/engine/src/fleet.rs
+++ b/crates/engine/src/fleet.rs
@@ -27,7 +27,7 @@
 
 use crate::command::NodeCommand;
 use crate::contact::ContactState;
-use crate::contracts::{HEAD_KEY, leaning_of};
+use crate::contracts::{HEAD_KEY, pool_leaning};
 use crate::event::CallerRequest;
 use crate::following::FollowState;
 use crate::message::{ContractAsk, PeerMessage};
@@ -59,9 +59,9 @@
 /// version from gossip, so the ancestors in the tree and other peers are asked first to spread the
 /// load.
 const ORIGIN_PULL_ROUND: u32 = 2;
-/// First ejection time under a fleet contract. The breaker of the node next to each server reacts
-/// while a fault lasts; the slower scores of the callers should not withhold capacity after the
-/// fault.
+/// First ejection time under a fleet contract. The breaker of the node beside each server reacts
+/// while a fault lasts; the slower scores of the callers would otherwise withhold capacity after
+/// the fault.
 const FLEET_EJECT_TIME: Duration = Duration::from_secs(3);
 /// Time that a new or returned upstream takes to reach its full share if it announces no warm-up
 /// time: the time that a process needs to fill its caches and pools.
@@ -320,7 +320,7 @@
     /// Returns the settings of the service pools under the fleet contract.
     pub(crate) fn fleet_pool_settings(&self) -> PoolSettings {
         let leaning = self.fleet.current.as_ref();
-        let leaning = leaning.map(|(contract, _)| leaning_of(contract.leaning));
+        let leaning = leaning.map(|(contract, _)| pool_leaning(contract.leaning));
         PoolSettings {
             eject_for: FLEET_EJECT_TIME,
             eject_longest: FLEET_EJECT_TIME * 4,
--- a/crates/engine/src/guarding.rs
+++ b/crates/engine/src/guarding.rs
@@ -13,7 +13,7 @@
 use sycamorelink_roster::UpstreamPhase;
 
 use crate::command::NodeCommand;
-use crate::ending::RequestEnd;
+use crate::completion::RequestEnd;
 use crate::event::AttemptReport;
 use crate::message::PeerMessage;
 use crate::node::{HandoverState, NodeEngine};
--- a/crates/engine/src/health.rs
+++ b/crates/engine/src/health.rs
@@ -1,13 +1,13 @@
 //! Health reports on local backend servers, and the handling of reports from other nodes.
 //!
 //! ```text
-//! breaker turns ──▶ queued work here is refused as not run
-//!             └───▶ report to callers' nodes ──▶ next selections, repeats of waiting requests
+//! breaker changes ─┬─▶ queued work here is refused as not run
+//!                  └─▶ report to callers' nodes ──▶ next selections, repeats of waiting requests
 //! ```
 //!
-//! When some servers of a service stop answering, a caller's node that finds out by sending
+//! When some servers of a service stop answering, a caller's node that detects this by sending
 //! requests loses an attempt each time, and the attempt of a non-idempotent request cannot be
-//! repeated. The node beside the server knows first, and its report takes a few bytes.
+//! repeated. The node beside the server detects the fault first, and its report takes a few bytes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -46,7 +46,8 @@
         upstream.map_or(0.0, |upstream| upstream.breaker.odds(self.now))
     }
 
-    /// Updates the health of local backend servers for runs that take long.
+    /// Rechecks the health of local backend servers, which declines without an event while a run
+    /// takes long.
     pub(crate) fn tick_health(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         if !self.uses_fleet_contract() {
             return;
@@ -140,27 +141,27 @@
         let Some(upstream) = self.upstreams.get_mut(&slot) else {
             return;
         };
-        let standing = ReportedHealth {
+        let health = ReportedHealth {
             suspect: upstream.breaker.is_suspect(now),
             chance: upstream.breaker.chance(now),
         };
-        let told = upstream.told.unwrap_or(ReportedHealth {
+        let reported = upstream.reported_health.unwrap_or(ReportedHealth {
             suspect: false,
             chance: 0.0,
         });
-        let suspicion_changed = standing.suspect != told.suspect;
-        let chance_changed = (standing.chance - told.chance).abs() >= REPORTED_CHANCE_STEP;
+        let suspicion_changed = health.suspect != reported.suspect;
+        let chance_changed = (health.chance - reported.chance).abs() >= REPORTED_CHANCE_STEP;
         if !suspicion_changed && !chance_changed {
             return;
         }
-        upstream.told = Some(standing);
+        upstream.reported_health = Some(health);
         let service = upstream.announced.service.clone();
         let id = upstream_id(self.own.instance, slot);
         if suspicion_changed {
             out.push(NodeCommand::Note(NodeNote::BreakerChanged {
                 id,
                 service: service.clone(),
-                suspect: standing.suspect,
+                suspect: health.suspect,
                 kind,
                 odds: self.odds_of(slot),
             }));
@@ -170,14 +171,14 @@
         if self.settings.policy.is_on(PolicyMechanism::ToldStandings) {
             self.send_health_to_callers(id, &service, load, out);
         }
-        if suspicion_changed && standing.suspect {
+        if suspicion_changed && health.suspect {
             self.refuse_suspect_queue(now, slot, out);
         }
     }
 
     /// Refuses work that waits for a slot of a server that turned suspect.
     ///
-    /// The time of such work would run out in the queue of a server that stopped answering. Refused
+    /// Such work would reach its deadline in the queue of a server that stopped answering. Refused
     /// as not run, the work can still go elsewhere. Work that was forced onto this server, because
     /// the others are as bad, stays.
     fn refuse_suspect_queue(&mut self, now: Duration, slot: u16, out: &mut Vec<NodeCommand>) {
@@ -195,10 +196,10 @@
 
     /// Sends a health report to the nodes that have work here, and only to them.
     ///
-    /// If the nodes of all callers received the report, all would avoid the server at once and long
-    /// after its recovery. The remaining servers would be full, and a tenth of the requests would
-    /// be refused. A node without work here gets the information with its next refusal, at the cost
-    /// of a round trip.
+    /// If the nodes of all callers received the report, all would avoid the server at the same time
+    /// and until long after its recovery. The remaining servers would be full, and a tenth of the
+    /// requests would be refused. A node without work here gets the information with its next
+    /// refusal, at the cost of a round trip.
     fn send_health_to_callers(
         &mut self,
         id: UpstreamId,
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -5,7 +5,7 @@
 //!                          └─ keyed ─ body ─ pick ─ grant ──────▶ dispatch ─┘
 //! ```
 //!
-//! The modules `dispatch`, `ending` and `budgets` handle the later steps.
+//! The modules `dispatch`, `completion` and `budgets` handle the later steps.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/engine/src/joining.rs
+++ b/crates/engine/src/joining.rs
@@ -73,7 +73,7 @@
     fn next_join_peer(&mut self) -> Option<InstanceId> {
         let queries = self.joining.queries;
         let any_peer = self.next_present_peer();
-        let turn = self.pull_turn;
+        let turn = self.peer_rotation;
         let domain_peer = self.domain_order().peer_at(turn);
         let domain_peer = domain_peer.and_then(|node| self.instance_of(node));
         domain_peer
--- a/crates/engine/src/leaving.rs
+++ b/crates/engine/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Replicates which backend servers are leaving, so that a restarted daemon learns it.
+//! Replication of leaving backend servers, so that a restarted daemon knows which ones leave.
 //!
 //! ```text
 //! daemon ── Leaves ──▶ three replicas
@@ -6,10 +6,10 @@
 //! restarted ── Ask ──▶ any two members ── Ask ──▶ replicas ── Leaving ──▶ restarted daemon
 //! ```
 //!
-//! The acknowledgement that a backend server leaves also binds the next incarnation of the daemon,
-//! which may first receive a delayed heartbeat from before the leaving. The restarted daemon
-//! therefore asks which of its local servers are leaving, and accepts no server as ready before the
-//! replies have arrived or a short timeout has passed.
+//! The next incarnation of the daemon must also honour the acknowledgement that a backend server is
+//! leaving, but may first receive a delayed heartbeat from before the server began to leave. The
+//! restarted daemon therefore asks which of its local servers are leaving, and accepts no server as
+//! ready before the replies have arrived or a short timeout has passed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -135,7 +135,7 @@
         life.is_some_and(|life| {
             let mut previous = self.previous.iter();
             previous
-                .any(|previous| previous.slot == announced.slot && previous.life.names(&life.id))
+                .any(|previous| previous.slot == announced.slot && previous.life.matches(&life.id))
         })
     }
 
@@ -163,29 +163,29 @@
     ) -> Option<UpstreamAnnouncement> {
         let leaves = announced.phase == UpstreamPhase::Leaving;
         if leaves {
-            self.leavings.lookup.held.remove(&announced.slot);
+            self.leaving_records.lookup.held.remove(&announced.slot);
             return Some(announced);
         }
-        if self.leavings.was_leaving(&announced) {
+        if self.leaving_records.was_leaving(&announced) {
             let phase = UpstreamPhase::Leaving;
             return Some(UpstreamAnnouncement { phase, ..announced });
         }
-        if self.leavings.lookup.is_done || announced.life.is_none() {
+        if self.leaving_records.lookup.is_done || announced.life.is_none() {
             return Some(announced);
         }
-        self.leavings.hold_announcement(announced);
+        self.leaving_records.hold_announcement(announced);
         None
     }
 
     /// Drops the held announcement of a server that withdrew.
     pub(crate) fn drop_held_announcement(&mut self, slot: u16, life: Option<&LifeId>) {
-        let held = self.leavings.lookup.held.get(&slot);
+        let held = self.leaving_records.lookup.held.get(&slot);
         let Some(held) = held.and_then(life_of).cloned() else {
             return;
         };
-        if life.is_none_or(|life| life.names(&held)) {
-            self.leavings.lookup.held.remove(&slot);
-            self.leavings
+        if life.is_none_or(|life| life.matches(&held)) {
+            self.leaving_records.lookup.held.remove(&slot);
+            self.leaving_records
                 .previous
                 .push(LeavingServer { slot, life: held });
         }
@@ -224,8 +224,8 @@
     }
 
     /// Asks a newly discovered member for leaving servers, unless enough members were asked.
-    pub(crate) fn query_leavings(&mut self, member: InstanceId, out: &mut Vec<NodeCommand>) {
-        let lookup = &mut self.leavings.lookup;
+    pub(crate) fn query_leaving_servers(&mut self, member: InstanceId, out: &mut Vec<NodeCommand>) {
+        let lookup = &mut self.leaving_records.lookup;
         if lookup.is_done || lookup.queries >= MAX_QUERIED_MEMBERS {
             return;
         }
@@ -240,9 +240,9 @@
 
     /// Removes expired records and, once the wait for replies is over, processes the held
     /// announcements.
-    pub(crate) fn tick_leavings(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        self.leavings.remove_expired(now);
-        let lookup = &mut self.leavings.lookup;
+    pub(crate) fn tick_leaving_servers(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
+        self.leaving_records.remove_expired(now);
+        let lookup = &mut self.leaving_records.lookup;
         let enough = lookup.replied.len() >= REQUIRED_REPLIES || now >= REPLY_TIMEOUT;
         if lookup.is_done || !enough {
             return;
@@ -261,16 +261,16 @@
         out: &mut Vec<NodeCommand>,
     ) {
         match message {
-            LeavingMessage::Leaves(leaving) => self.leavings.store(now, from.node, leaving),
+            LeavingMessage::Leaves(leaving) => self.leaving_records.store(now, from.node, leaving),
             LeavingMessage::Ask {
                 asker,
                 address,
                 handed_on: true,
-            } => self.send_leavings(now, asker, address, out),
+            } => self.send_leaving_servers(now, asker, address, out),
             LeavingMessage::Ask { asker, address, .. } => {
                 self.forward_query(now, asker, address, out);
             }
-            LeavingMessage::Leaving(lives) => self.on_leavings_reply(now, from, lives, out),
+            LeavingMessage::Leaving(servers) => self.on_leaving_reply(now, from, servers, out),
         }
     }
 
@@ -283,7 +283,7 @@
     ) {
         for replica in self.leaving_replicas(asker.node) {
             if replica == self.own.instance {
-                self.send_leavings(now, asker, address, out);
+                self.send_leaving_servers(now, asker, address, out);
                 continue;
             }
             let ask = LeavingMessage::Ask {
@@ -295,38 +295,38 @@
         }
     }
 
-    fn send_leavings(
+    fn send_leaving_servers(
         &self,
         now: Duration,
         asker: InstanceId,
         address: SocketAddr,
         out: &mut Vec<NodeCommand>,
     ) {
-        let lives = self.leavings.stored_for(now, asker.node);
+        let servers = self.leaving_records.stored_for(now, asker.node);
         // The membership of this node may not include the new incarnation yet, so the reply goes to
         // the address in the query.
         out.push(NodeCommand::SendPeer {
             to: asker,
             address,
-            message: PeerMessage::Leaving(LeavingMessage::Leaving(lives)),
+            message: PeerMessage::Leaving(LeavingMessage::Leaving(servers)),
         });
     }
 
-    fn on_leavings_reply(
+    fn on_leaving_reply(
         &mut self,
         now: Duration,
         from: InstanceId,
-        lives: Vec<LeavingServer>,
+        servers: Vec<LeavingServer>,
         out: &mut Vec<NodeCommand>,
     ) {
-        self.leavings.lookup.replied.insert(from.node);
-        for leaving in lives {
-            if !self.leavings.previous.contains(&leaving) {
-                self.leavings.previous.push(leaving.clone());
+        self.leaving_records.lookup.replied.insert(from.node);
+        for leaving in servers {
+            if !self.leaving_records.previous.contains(&leaving) {
+                self.leaving_records.previous.push(leaving.clone());
             }
             self.close_accepted(now, &leaving, out);
         }
-        self.tick_leavings(now, out);
+        self.tick_leaving_servers(now, out);
     }
 
     /// Marks a server as leaving that was accepted as ready before the reply arrived.
@@ -339,7 +339,7 @@
         let known = self.upstreams.get(&leaving.slot);
         let accepted = known.filter(|known| {
             let life = known.life_id();
-            known.up && life.is_some_and(|life| leaving.life.names(&life))
+            known.available && life.is_some_and(|life| leaving.life.matches(&life))
         });
         if let Some(announced) = accepted.map(|known| known.announced.clone()) {
             self.mark_leaving(now, announced, out);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -10,7 +10,7 @@
 //!                          └ membership ─ NodeRoster
 //! ```
 //!
-//! The daemon and the tests with recorded sessions run the same code: the time since the node
+//! The daemon and the simulated sessions of the tests run the same code: the time since the node
 //! started is an argument, and randomness comes from a seed.
 //!
 //! A request may arrive at any node. This ingress node finds the route, takes a share of the
@@ -23,11 +23,12 @@
 mod breaker;
 mod budgets;
 mod command;
+mod completion;
 mod contact;
 mod contracts;
 mod crash_requests;
+mod discovery;
 mod dispatch;
-mod ending;
 mod event;
 mod executor;
 mod fencing;
@@ -38,7 +39,6 @@
 mod ingress;
 mod joining;
 mod leaving;
-mod meeting;
 mod membership;
 mod message;
 mod node;
--- a/crates/engine/src/membership.rs
+++ b/crates/engine/src/membership.rs
@@ -148,7 +148,7 @@
         };
         self.share_members.insert(instance.node, member);
         self.handle_guard_event(now, GuardEvent::MemberUp { instance, domain }, out);
-        self.query_leavings(instance, out);
+        self.query_leaving_servers(instance, out);
         self.fleet.follow.members_changed();
         self.roster_changed(now, out);
     }
@@ -296,7 +296,7 @@
                 self.send_peer(from, PeerMessage::HeadReply { ask, offset }, out);
             }
             PeerMessage::HeadReply { offset, .. } => {
-                self.heads.insert(from.node, offset);
+                self.contract_offsets.insert(from.node, offset);
             }
             PeerMessage::ContractPull {
                 ask: ContractAsk::Fleet { newer_than },
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -96,7 +96,7 @@
     },
     /// Admitted requests of client accounts, and the parts of their quotas.
     Quota(QuotaMessage),
-    /// Leaving backend servers, remembered for the next life of the node beside them.
+    /// Leaving backend servers, stored for the next incarnation of the node beside them.
     Leaving(LeavingMessage),
     /// Reports that the source of the fleet contract was reached and had no contract.
     SourceSeen {
--- a/crates/engine/src/node.rs
+++ b/crates/engine/src/node.rs
@@ -17,6 +17,7 @@
 use sycamorelink_roster::{MemberFacts, NodeRoster, RosterEvent};
 
 use crate::command::NodeCommand;
+use crate::discovery::DiscoveryState;
 use crate::dispatch::OVERDUE_AVOIDANCE;
 use crate::event::{LifeId, NodeEvent, UpstreamAnnouncement};
 use crate::fencing::FenceMark;
@@ -24,7 +25,6 @@
 use crate::health::ReportedHealth;
 use crate::joining::JoinState;
 use crate::leaving::LeavingRecords;
-use crate::meeting::DiscoveryState;
 use crate::quotas::QuotaState;
 use crate::repeats::RepeatBudgets;
 use crate::request::{RequestState, WorkState};
@@ -33,14 +33,14 @@
 /// Interval of the periodic work.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in which gossip carries the departure of a node to every peer.
+/// Time within which gossip carries the departure of a node to every peer.
 pub(crate) const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 /// Time without caller requests after which a leaving node may stop.
 pub(crate) const LEAVE_QUIET_TIME: Duration = Duration::from_millis(500);
 /// Number of periodic runs, at ten per second, in which a leaving node tries to hand over its guard
 /// seats. Counting runs excludes time in which the process was paused.
 pub(crate) const HANDOVER_TICKS: u32 = 100;
-/// Time in which a leaving backend server accepts work from peers that still list it as ready.
+/// Time for which a leaving backend server accepts work from peers that still list it as ready.
 pub(crate) const CLOSE_GRACE: Duration = Duration::from_secs(1);
 
 /// Retry, resend and hedge budgets of one customer at one service.
@@ -61,17 +61,17 @@
     /// Budget of repeats that the server may be given; `None` before the first repeat.
     pub(crate) repeats: Option<RepeatBudgets>,
     /// Health last reported to the nodes of callers.
-    pub(crate) told: Option<ReportedHealth>,
+    pub(crate) reported_health: Option<ReportedHealth>,
     /// Time at which the announcement expires unless renewed.
     pub(crate) expires_at: Duration,
     /// Time from which a leaving backend server accepts no more work.
-    pub(crate) closes: Option<Duration>,
-    /// Number of lives of the backend server so far.
+    pub(crate) closes_at: Option<Duration>,
+    /// Number of incarnations of the backend server so far.
     pub(crate) life: u64,
-    /// Whether the server may be given work.
-    pub(crate) up: bool,
-    /// Lives that ended, oldest first.
-    pub(crate) ended: Vec<LifeId>,
+    /// Whether the server may be given work: announced, and neither withdrawn nor crashed.
+    pub(crate) available: bool,
+    /// Incarnations that ended, oldest first; at most `MAX_ENDED_LIVES`.
+    pub(crate) ended_lives: Vec<LifeId>,
 }
 
 /// Purpose of a request timer.
@@ -90,7 +90,7 @@
 /// Progress of a leaving node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HandoverState {
-    /// The node still holds its guard seats.
+    /// The node still holds its guard seats, the replicas of the at-most-once records.
     #[default]
     SeatsHeld,
     /// The guard seats are handed over.
@@ -109,10 +109,10 @@
     pub(crate) table: Arc<RouteTable>,
     pub(crate) in_force: BTreeMap<CustomerIndex, ContractVersion>,
     pub(crate) fleet: FleetState,
-    pub(crate) meeting: DiscoveryState,
+    pub(crate) discovery: DiscoveryState,
     pub(crate) joining: JoinState,
     pub(crate) quotas: QuotaState,
-    pub(crate) leavings: LeavingRecords,
+    pub(crate) leaving_records: LeavingRecords,
     pub(crate) roster: NodeRoster,
     pub(crate) guard: GuardNode,
     pub(crate) shares: ShareNode,
@@ -129,7 +129,8 @@
     pub(crate) avoided_upstreams: BTreeMap<UpstreamId, Duration>,
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
     pub(crate) works: BTreeMap<WorkId, WorkState>,
-    pub(crate) turns: BTreeMap<u64, WorkId>,
+    /// Work that waits for a turn to run, by the number of its request to the crash registry.
+    pub(crate) awaiting_turn: BTreeMap<u64, WorkId>,
     /// Work whose failure is reported once the other executors acknowledged the crash report.
     pub(crate) held_failures: BTreeMap<CrashVictim, Vec<WorkId>>,
     pub(crate) timers: BTreeSet<(Duration, TimerPurpose, RequestId)>,
@@ -139,10 +140,13 @@
     pub(crate) log_oldest: u64,
     pub(crate) contract_head: u64,
     pub(crate) next_carry: Duration,
-    pub(crate) pull_turn: usize,
+    /// Counter by which peers are asked in rotation.
+    pub(crate) peer_rotation: usize,
     pub(crate) assembly: Option<SnapshotAssembly>,
-    pub(crate) wall: Duration,
-    pub(crate) heads: BTreeMap<NodeId, u64>,
+    /// Wall-clock time since the Unix epoch at the node's own time zero.
+    pub(crate) wall_at_start: Duration,
+    /// Next contract offset of each peer, as last reported.
+    pub(crate) contract_offsets: BTreeMap<NodeId, u64>,
     pub(crate) share_members: BTreeMap<NodeId, ShareMember>,
     /// Instances that announced their departure. Kept so that a peer that missed the announcement
     /// does not add them again.
@@ -178,21 +182,26 @@
 impl NodeEngine {
     /// Returns an engine whose only member is the node itself.
     ///
-    /// `wall` is the wall-clock time since the Unix epoch at the node's own time zero.
+    /// `wall_at_start` is the wall-clock time since the Unix epoch at the node's own time zero.
     #[must_use]
-    pub fn new(own: MemberFacts, settings: EngineSettings, wall: Duration, seed: u64) -> Self {
+    pub fn new(
+        own: MemberFacts,
+        settings: EngineSettings,
+        wall_at_start: Duration,
+        seed: u64,
+    ) -> Self {
         let identity = GuardIdentity {
             instance: own.instance,
             domain: own.domain.clone(),
-            wall_at_start: wall,
+            wall_at_start,
         };
-        let first_asked = usize::try_from(own.instance.node.0 ^ seed).unwrap_or(0);
+        let first_peer = usize::try_from(own.instance.node.0 ^ seed).unwrap_or(0);
         let roster = NodeRoster::new(settings.roster.clone(), own.clone(), seed);
         let quotas = QuotaState::new(settings.quota, seed);
         let fleet = FleetState::new(settings.first_start, seed);
-        let meeting = DiscoveryState::new(settings.first_start);
-        let recalls = settings.contracts == ContractMode::Fleet && !settings.first_start;
-        let leavings = if recalls {
+        let discovery = DiscoveryState::new(settings.first_start);
+        let looks_up_leaving = settings.contracts == ContractMode::Fleet && !settings.first_start;
+        let leaving_records = if looks_up_leaving {
             LeavingRecords::default()
         } else {
             LeavingRecords::without_lookup()
@@ -209,10 +218,10 @@
             table: Arc::default(),
             in_force: BTreeMap::new(),
             fleet,
-            meeting,
+            discovery,
             joining: JoinState::default(),
             quotas,
-            leavings,
+            leaving_records,
             share_queue: BTreeMap::new(),
             pools: BTreeMap::new(),
             pool_used: BTreeMap::new(),
@@ -222,7 +231,7 @@
             avoided_upstreams: BTreeMap::new(),
             requests: BTreeMap::new(),
             works: BTreeMap::new(),
-            turns: BTreeMap::new(),
+            awaiting_turn: BTreeMap::new(),
             held_failures: BTreeMap::new(),
             timers: BTreeSet::new(),
             next_tick: Duration::ZERO,
@@ -233,10 +242,10 @@
             next_carry: Duration::ZERO,
             // Nodes that start together begin with different peers, which spreads their first
             // pulls.
-            pull_turn: first_asked,
+            peer_rotation: first_peer,
             assembly: None,
-            wall,
-            heads: BTreeMap::new(),
+            wall_at_start,
+            contract_offsets: BTreeMap::new(),
             share_members: BTreeMap::new(),
             departed_share_members: BTreeSet::new(),
             roster_version: 1,
@@ -330,8 +339,9 @@
 
     /// Returns the time at which the next `Tick` is due, as time since the node started.
     ///
-    /// After a departure the membership ignores ticks and would stay due forever, which would wake
-    /// the node in a loop until its process stops. A departed node therefore skips the membership.
+    /// The membership of a departed node ignores ticks and would stay due forever, so the daemon
+    /// would call the engine in a busy loop. The result therefore excludes the membership after a
+    /// departure.
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let timer = self.timers.first().map(|(at, ..)| *at);
@@ -410,7 +420,7 @@
         self.forget_fences(now);
         self.expire_upstreams(now, out);
         if self.uses_fleet_contract() {
-            self.tick_leavings(now, out);
+            self.tick_leaving_servers(now, out);
             self.tick_discovery(now, out);
             self.tick_joining(now, out);
             self.update_following(now, out);
@@ -456,10 +466,10 @@
     /// departure yet would send work that fails, and for [`LEAVE_QUIET_TIME`] without requests from
     /// callers.
     ///
-    /// A node that is alone or cut off finds no taker for its guard seats, and without a bound
-    /// would wait until the platform kills it. Alone it does not wait for a handover; otherwise it
-    /// gives up after [`HANDOVER_TICKS`], and the survivors strike its seats like those of a dead
-    /// node.
+    /// No other node can take over the guard seats of a node that is alone or cut off, and without
+    /// a bound the node would wait until the platform kills it. A node that is alone does not wait
+    /// for a handover; any other stops trying after [`HANDOVER_TICKS`], and the remaining nodes
+    /// remove its seats like those of a dead node.
     fn check_drained(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
         let Some(since) = self.draining else {
             return;
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -119,7 +119,7 @@
     Roster(RosterNote),
     /// This node continues under a higher incarnation.
     IncarnationRaised(InstanceId),
-    /// A newer life of this node runs elsewhere, and this one stops.
+    /// A newer incarnation of this node runs elsewhere, and this one stops.
     Superseded(InstanceId),
     /// A contract change was read from the log and is in force here.
     ContractAccepted {
@@ -189,7 +189,7 @@
         /// Time that the backend server took.
         took: Duration,
     },
-    /// The breaker beside an upstream began or ended to reject work.
+    /// The breaker beside an upstream started or stopped rejecting work.
     BreakerChanged {
         /// Id of the upstream.
         id: UpstreamId,
--- a/crates/engine/src/pools.rs
+++ b/crates/engine/src/pools.rs
@@ -14,7 +14,7 @@
 use sycamorelink_roster::UpstreamFacts;
 
 use crate::command::NodeCommand;
-use crate::contracts::leaning_of;
+use crate::contracts::pool_leaning;
 use crate::message::PeerMessage;
 use crate::node::NodeEngine;
 use crate::note::NodeNote;
@@ -83,7 +83,7 @@
         let seed = self.seed ^ name_hash(service.as_str());
         let rule = self.table.service_rule(service.as_str());
         let leaning = rule
-            .map(|rule| leaning_of(rule.leaning))
+            .map(|rule| pool_leaning(rule.leaning))
             .unwrap_or_default();
         let settings = if self.uses_fleet_contract() {
             self.fleet_pool_settings()
@@ -139,8 +139,8 @@
             }
             // Under a fleet contract the node beside an upstream observes all runs there, sooner
             // than callers do, and adds its findings to every reply. Exchanging the callers' own
-            // scores did not reduce failures, and with some hundred nodes each of them learns about
-            // an upstream only every half minute.
+            // scores did not reduce failures, and with some hundred nodes each of them gets new
+            // data about an upstream only every half minute.
             let report = if fleet { Vec::new() } else { pool.report(now) };
             if !report.is_empty() {
                 reports.push((service.clone(), report));
--- a/crates/engine/src/pulling.rs
+++ b/crates/engine/src/pulling.rs
@@ -83,8 +83,8 @@
         if peers.is_empty() {
             return None;
         }
-        self.pull_turn = self.pull_turn.wrapping_add(1);
-        Some(peers[self.pull_turn % peers.len()])
+        self.peer_rotation = self.peer_rotation.wrapping_add(1);
+        Some(peers[self.peer_rotation % peers.len()])
     }
 
     /// Sends the requested page of contracts to a peer, unless this node has no contracts.
@@ -153,7 +153,7 @@
                 let outcome = self.book.adopt(&snapshot);
                 self.on_contracts_adopted(now, from, &outcome, out);
             }
-            // The final reply is older than one of the pages, or too much newer: request all pages
+            // The final reply is older than one of the pages, or too far ahead: request all pages
             // again.
             Err(_) => self.assembly = None,
         }
--- a/crates/engine/src/quotas.rs
+++ b/crates/engine/src/quotas.rs
@@ -20,7 +20,7 @@
 /// Interval at which the list of present members is updated: a fraction of the time that the
 /// detection of a dead node takes.
 const MEMBER_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for which a fleet that has shrunk counts as its former size.
+/// Time for which a fleet that has shrunk still counts at its former size.
 ///
 /// Guards against each side of a partition admitting the whole quota after it declared the other
 /// side dead. Lost nodes are back or replaced within this time.
@@ -135,7 +135,7 @@
         }
         for (keeper, reports) in outgoing {
             if keeper == self.own.instance {
-                self.on_use_reports(now, reports);
+                self.on_usage_reports(now, reports);
             } else {
                 let message = PeerMessage::Quota(QuotaMessage::Report(reports));
                 self.send_peer(keeper, message, out);
@@ -145,17 +145,17 @@
     }
 
     fn send_quota_shares(&mut self, now: Duration, out: &mut Vec<NodeCommand>) {
-        let news = self.quotas.keeper.news(now);
-        if news.is_empty() {
+        let updates = self.quotas.keeper.news(now);
+        if updates.is_empty() {
             return;
         }
         for peer in self.quotas.members.clone() {
             if peer != self.own.instance {
-                let message = PeerMessage::Quota(QuotaMessage::Shares(news.clone()));
+                let message = PeerMessage::Quota(QuotaMessage::Shares(updates.clone()));
                 self.send_peer(peer, message, out);
             }
         }
-        self.on_quota_shares(now, self.own.instance, news);
+        self.on_quota_shares(now, self.own.instance, updates);
     }
 
     /// Returns this node's instance and those of all members that are not declared dead.
@@ -176,12 +176,12 @@
         message: QuotaMessage,
     ) {
         match message {
-            QuotaMessage::Report(reports) => self.on_use_reports(now, reports),
-            QuotaMessage::Shares(news) => self.on_quota_shares(now, from, news),
+            QuotaMessage::Report(reports) => self.on_usage_reports(now, reports),
+            QuotaMessage::Shares(updates) => self.on_quota_shares(now, from, updates),
         }
     }
 
-    fn on_use_reports(&mut self, now: Duration, reports: Vec<UsageReport>) {
+    fn on_usage_reports(&mut self, now: Duration, reports: Vec<UsageReport>) {
         let fraction = self.quotas.visible_fraction();
         for report in reports {
             // An account that is missing from this node's contract is either unknown and refused,
@@ -193,9 +193,9 @@
         }
     }
 
-    fn on_quota_shares(&mut self, now: Duration, keeper: InstanceId, news: Vec<ShareUpdate>) {
-        for news in news {
-            self.quotas.holder.told(now, keeper, news);
+    fn on_quota_shares(&mut self, now: Duration, keeper: InstanceId, updates: Vec<ShareUpdate>) {
+        for update in updates {
+            self.quotas.holder.told(now, keeper, update);
         }
     }
 }
--- a/crates/engine/src/repeats.rs
+++ b/crates/engine/src/repeats.rs
@@ -1,9 +1,9 @@
-//! The bound on repeats of a service, counted by the executors next to its backend servers.
+//! The bound on repeats of a service, counted by the executors beside its backend servers.
 //!
 //! ```text
-//! first arrival ──▶ adds its share to the budget of this server
-//! repeat ─────────▶ takes one from it, or is refused as not run ──▶ tried elsewhere
-//! call of a repeat ▶ adds its share, and takes one even if none is left
+//! first arrival ────▶ adds its share to the budget of this server
+//! repeat ───────────▶ takes one from it, or is refused as not run ──▶ tried elsewhere
+//! call of a repeat ─▶ adds its share, and takes one even if none is left
 //! ```
 //!
 //! The bound applies to the whole fleet. Divided among the sending nodes, each part would be a few
@@ -20,7 +20,7 @@
 use sycamorelink_limits::{BudgetPart, BudgetSettings, HolderCount, RetryBudget, WorkId};
 use sycamorelink_policy::{OpenWork, PolicyMechanism};
 
-use crate::budgets::percent_of;
+use crate::budgets::share_to_percent;
 use crate::event::{ArrivalKind, WorkOffer};
 use crate::node::NodeEngine;
 use crate::request::WorkPhase;
@@ -202,7 +202,7 @@
         let part = self.budget_part(now, &service);
         let (contract, _) = self.fleet.current.as_ref()?;
         let settings = BudgetSettings {
-            percent: percent_of(contract.retry_budget.share),
+            percent: share_to_percent(contract.retry_budget.share),
             minimum_per_second: 0,
             ..BudgetSettings::default()
         };
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -78,7 +78,7 @@
     pub share_next: Option<Duration>,
     /// Upstreams that refused the request because their breaker rejects work.
     pub rejected_by: Vec<UpstreamId>,
-    /// Whether one of them was forced to run the request.
+    /// Whether one of the upstreams in `rejected_by` was forced to run the request.
     pub was_forced: bool,
     /// Number of ended attempts that may have run at a backend server.
     pub uncertain: u16,
@@ -115,16 +115,16 @@
     pub fn has_reached_run_limit(&self) -> bool {
         let open = u16::try_from(self.open.len()).unwrap_or(u16::MAX);
         let runs = self.uncertain.saturating_add(open);
-        self.rule.attempts.is_some_and(|most| runs >= most)
+        self.rule.attempts.is_some_and(|limit| runs >= limit)
     }
 
     /// Removes an open attempt that ended; `None` if no open attempt has this number.
     pub fn close(&mut self, number: u16) -> Option<OpenAttempt> {
-        let place = self
+        let index = self
             .open
             .iter()
             .position(|attempt| attempt.number == number)?;
-        Some(self.open.remove(place))
+        Some(self.open.remove(index))
     }
 }
 
@@ -152,7 +152,7 @@
     pub offered: Duration,
     /// Time at which the work got its slot.
     pub started: Duration,
-    /// Life of the backend server that was given the work.
+    /// Incarnation of the backend server that was given the work.
     pub life: Option<LifeId>,
     /// Whether the work runs on a turn granted by the owner of its signature.
     pub on_turn: bool,
--- a/crates/engine/src/status.rs
+++ b/crates/engine/src/status.rs
@@ -123,7 +123,7 @@
             .into_iter()
             .map(|member| MemberStatus {
                 instance: member.facts.instance,
-                contract_offset: self.head_of(member.facts.instance.node),
+                contract_offset: self.contract_offset_of(member.facts.instance.node),
                 name: member.facts.name,
                 domain: member.facts.domain,
                 region: member.facts.region,
@@ -179,16 +179,16 @@
     pub fn local_upstreams(&self) -> Vec<(u16, UpstreamAnnouncement, LoadHint)> {
         self.upstreams
             .iter()
-            .filter(|(_, upstream)| upstream.up)
+            .filter(|(_, upstream)| upstream.available)
             .map(|(slot, upstream)| (*slot, upstream.announced.clone(), self.load_of(*slot)))
             .collect()
     }
 
-    fn head_of(&self, node: NodeId) -> Option<u64> {
+    fn contract_offset_of(&self, node: NodeId) -> Option<u64> {
         if node == self.own.instance.node {
             return Some(self.book.next_offset());
         }
-        self.heads.get(&node).copied()
+        self.contract_offsets.get(&node).copied()
     }
 
     fn name_of(&self, node: NodeId) -> Option<Arc<str>> {
--- a/crates/engine/tests/session/audit.rs
+++ b/crates/engine/tests/session/audit.rs
@@ -11,9 +11,9 @@
 
 /// Time past its deadline within which a request must be answered.
 const ANSWER_SLACK: Duration = Duration::from_millis(250);
-/// Time in which other nodes learn that a backend server leaves.
+/// Time within which all nodes know that a backend server is leaving.
 const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(2);
-/// Time in which state spreads again after a node or link was healed.
+/// Time within which state spreads again after a node or link has recovered.
 const HEAL_PROPAGATION_TIME: Duration = Duration::from_secs(6);
 /// Maximum time for which a pool may stay below its floor while upstreams are ejected.
 const MAX_TIME_BELOW_FLOOR: Duration = Duration::from_millis(500);
@@ -66,8 +66,8 @@
         &self.violations
     }
 
-    /// Adds a violation.
-    pub fn wrong(&mut self, text: String) {
+    /// Adds a violation if the checks were started.
+    pub fn add_violation(&mut self, text: String) {
         if self.checking {
             self.violations.push(text);
         }
@@ -99,14 +99,14 @@
         let refused_not_run = send.refused.is_some_and(|(_, run)| run == RunState::NotRun);
         let key = send.key.clone();
         if refused_not_run {
-            self.wrong(format!("{} runs after 'not run'", request.0));
+            self.add_violation(format!("{} runs after 'not run'", request.0));
         }
         if let Some(key) = key {
             let runs = self.key_runs.entry(Arc::clone(&key)).or_default();
             runs.push(request);
             if runs.len() > 1 {
                 let text = format!("key {key} runs again: {runs:?}");
-                self.wrong(text);
+                self.add_violation(text);
             }
         }
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Removes a node whose life ended, along with the expectations of its callers.
+    /// Removes a node that ended, along with the expectations of its callers.
     pub fn on_node_end(&mut self, id: NodeId) {
         let sends = &self.sends;
         self.open.retain(|request| sends[request].ingress != id);
@@ -172,7 +172,7 @@
                 };
                 send.refused = Some((refusal.code, refusal.run));
                 if refusal.run == RunState::NotRun && send.runs > 0 {
-                    self.wrong(format!("{} ran and is told 'not run'", request.0));
+                    self.add_violation(format!("{} ran and is told 'not run'", request.0));
                 }
             }
             NodeCommand::Deliver { attempt } => self.on_answer(attempt.request),
@@ -181,7 +181,7 @@
                 self.on_answer(*request);
                 let key = self.sends.get(request).and_then(|send| send.key.clone());
                 if key.and_then(|key| self.replies.get(&key)) != Some(reply) {
-                    self.wrong(format!("{} gets another reply", request.0));
+                    self.add_violation(format!("{} gets another reply", request.0));
                 }
             }
             NodeCommand::Dispatch(order) => self.on_dispatch(now, id, order),
@@ -197,7 +197,7 @@
                     self.open.remove(&summary.request);
                     if again || late {
                         let number = summary.request.0;
-                        self.wrong(format!("{number} settled again={again} late={late}"));
+                        self.add_violation(format!("{number} settled again={again} late={late}"));
                     }
                 }
             }
@@ -211,7 +211,7 @@
         };
         send.answers += 1;
         if send.answers > 1 || send.settled > 0 {
-            self.wrong(format!("{} answered again", request.0));
+            self.add_violation(format!("{} answered again", request.0));
         }
     }
 
@@ -221,7 +221,7 @@
         let late = late.is_some_and(|since| now > *since + LEAVE_PROPAGATION_TIME);
         if late && !self.is_outdated(now, id) && !self.is_outdated(now, executor) {
             let number = order.attempt.request.0;
-            self.wrong(format!("{number} goes to a backend server that left"));
+            self.add_violation(format!("{number} goes to a backend server that left"));
         }
     }
 
@@ -231,8 +231,8 @@
             .is_some_and(|until| now < *until)
     }
 
-    /// Marks the state of a node as possibly outdated: until it is healed, or for
-    /// [`HEAL_PROPAGATION_TIME`] after that.
+    /// Marks the state of a node as possibly outdated: without end while its fault lasts, and for
+    /// [`HEAL_PROPAGATION_TIME`] more once it is `healed`.
     pub fn mark_outdated(&mut self, now: Duration, id: NodeId, healed: bool) {
         let until = if healed {
             now + HEAL_PROPAGATION_TIME
@@ -253,7 +253,7 @@
             now > send.answer_due && !frozen(send.ingress)
         });
         if let Some(late) = late.copied() {
-            self.wrong(format!("{} has no answer at its deadline", late.0));
+            self.add_violation(format!("{} has no answer at its deadline", late.0));
         }
         for (id, engine) in engines {
             self.check_versions(*id, engine);
@@ -269,7 +269,7 @@
         let before = self.versions.insert(id, version).unwrap_or_default();
         if version < before {
             let name = &engine.status().name;
-            self.wrong(format!("{name}: version {} after {}", version.0, before.0));
+            self.add_violation(format!("{name}: version {} after {}", version.0, before.0));
         }
     }
 
@@ -282,7 +282,7 @@
         let since = *self.below_floor_since.entry(id).or_insert(now);
         if now > since + MAX_TIME_BELOW_FLOOR {
             let name = &engine.status().name;
-            self.wrong(format!("{name}: ejected below the floor: {floor:?}"));
+            self.add_violation(format!("{name}: ejected below the floor: {floor:?}"));
         }
     }
 
@@ -296,7 +296,7 @@
         !self.open.contains(&request)
     }
 
-    /// Returns the record of a send in readable form, for failure messages.
+    /// Returns the record of a send as text, for failure messages.
     pub fn end_of(&self, request: RequestId) -> String {
         format!("{:?}", self.sends.get(&request))
     }
--- a/crates/engine/tests/session/contract_spread.rs
+++ b/crates/engine/tests/session/contract_spread.rs
@@ -7,7 +7,7 @@
 use sycamorelink_core::NodeId;
 use sycamorelink_engine::NodeEvent;
 
-use crate::fleet_form::contract;
+use crate::fleet_contract::contract;
 use crate::world::{SessionWorld, name_of, node};
 
 const FLEET_SIZE: u8 = 24;
@@ -20,8 +20,8 @@
 fn isolate(world: &mut SessionWorld, isolated: &BTreeSet<String>) {
     for name in isolated {
         for other in (0..FLEET_SIZE).map(name_of) {
-            world.wire.cuts.insert((node(name), node(&other)));
-            world.wire.cuts.insert((node(&other), node(name)));
+            world.network.cuts.insert((node(name), node(&other)));
+            world.network.cuts.insert((node(&other), node(name)));
         }
     }
 }
@@ -33,7 +33,7 @@
         let behind = world.engines()[&node(&name)].fleet_version() < version;
         let served = behind && world.followers.contains(&node(&name)) && !unserved.contains(&name);
         if served {
-            world.tell(&name, NodeEvent::FleetContract(Arc::clone(&newest)));
+            world.send_event(&name, NodeEvent::FleetContract(Arc::clone(&newest)));
         }
     }
 }
@@ -106,7 +106,7 @@
             .partition(|name| world.followers.contains(&node(name)));
         let (cut_off, refused) = followers.split_at(followers.len() / 2);
         for name in refused {
-            world.tell(name, NodeEvent::LogReachable(false));
+            world.send_event(name, NodeEvent::LogReachable(false));
         }
         let isolated: BTreeSet<String> = cut_off.iter().chain(&others[..3]).cloned().collect();
         isolate(&mut world, &isolated);
--- a/crates/engine/tests/session/faults.rs
+++ b/crates/engine/tests/session/faults.rs
@@ -19,7 +19,7 @@
 /// Time within which a fleet must serve again after all faults have ended.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(75);
 /// Time within which the last requests must end.
-const REST: Duration = Duration::from_secs(20);
+const IDLE_LIMIT: Duration = Duration::from_secs(20);
 
 /// A session and the random generator that produces its steps.
 struct FaultSession {
@@ -27,7 +27,7 @@
     rng: SmallRng,
     count: u8,
     next_request: u128,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     draining: Vec<NodeId>,
     keys: Vec<String>,
 }
@@ -45,7 +45,7 @@
             rng,
             count,
             next_request: 1,
-            lives: vec![1; usize::from(count)],
+            incarnations: vec![1; usize::from(count)],
             draining: Vec::new(),
             keys: Vec::new(),
         }
@@ -147,7 +147,7 @@
             let request = RequestId(request);
             if self.is_alive(node(&name_of(number))) {
                 self.world
-                    .tell(&name_of(number), NodeEvent::CallerGone { request });
+                    .send_event(&name_of(number), NodeEvent::CallerGone { request });
             }
         }
     }
@@ -165,14 +165,14 @@
             6 => self.restore_links(),
             7 => self.degrade_network(),
             8 => self.restore_network(),
-            9 => self.world.set_log(false),
-            10 => self.world.set_log(true),
-            11 => self.world.wire.twice = self.rng.random_range(0..60),
-            12 => self.script_random(),
+            9 => self.world.set_log_reachable(false),
+            10 => self.world.set_log_reachable(true),
+            11 => self.world.network.duplicated_appends = self.rng.random_range(0..60),
+            12 => self.change_random_backend(),
             13 => self.drain_random_backend(),
             14 => self.restore_random_backend(),
             15 => self.drain_random(),
-            _ => self.amend_or_poison(),
+            _ => self.amend_or_send_crashing_request(),
         }
     }
 
@@ -195,12 +195,12 @@
         if self.is_alive(id) {
             self.end_node(number);
         }
-        let life = &mut self.lives[usize::from(number)];
-        *life += 1;
-        let life = *life;
+        let incarnation = &mut self.incarnations[usize::from(number)];
+        *incarnation += 1;
+        let incarnation = *incarnation;
         self.world
-            .note(&format!("{}: life {life}", name_of(number)));
-        self.world.add_node(number, life);
+            .note(&format!("{}: incarnation {incarnation}", name_of(number)));
+        self.world.add_node(number, incarnation);
         let now = self.world.now();
         self.world.audit.mark_outdated(now, id, true);
     }
@@ -234,7 +234,7 @@
             if other != to && (all || other == from) {
                 self.world
                     .note(&format!("cut {} to {}", name_of(number), to.0 % 1000));
-                self.world.wire.cuts.insert((other, to));
+                self.world.network.cuts.insert((other, to));
             }
         }
         let now = self.world.now();
@@ -243,9 +243,9 @@
     }
 
     fn restore_links(&mut self) {
-        if !self.world.wire.cuts.is_empty() {
+        if !self.world.network.cuts.is_empty() {
             self.world.note("cuts healed");
-            self.world.wire.cuts.clear();
+            self.world.network.cuts.clear();
             self.mark_reachable();
         }
     }
@@ -253,7 +253,7 @@
     /// Starts the grace period after which all nodes that are not frozen must agree again, unless
     /// messages are still lost.
     fn mark_reachable(&mut self) {
-        if self.world.wire.loss > 0 || !self.world.wire.cuts.is_empty() {
+        if self.world.network.loss > 0 || !self.world.network.cuts.is_empty() {
             return;
         }
         let now = self.world.now();
@@ -265,11 +265,11 @@
     }
 
     fn degrade_network(&mut self) {
-        self.world.wire.loss = self.rng.random_range(0..30);
-        self.world.wire.jitter = self.rng.random_range(0..200);
+        self.world.network.loss = self.rng.random_range(0..30);
+        self.world.network.jitter = self.rng.random_range(0..200);
         let text = format!(
             "wire loses {}%, adds {}ms",
-            self.world.wire.loss, self.world.wire.jitter
+            self.world.network.loss, self.world.network.jitter
         );
         self.world.note(&text);
         let now = self.world.now();
@@ -281,13 +281,13 @@
     }
 
     fn restore_network(&mut self) {
-        self.world.wire.loss = 0;
-        self.world.wire.jitter = 0;
-        self.world.note("wire healed");
+        self.world.network.loss = 0;
+        self.world.network.jitter = 0;
+        self.world.note("network restored");
         self.mark_reachable();
     }
 
-    fn script_random(&mut self) {
+    fn change_random_backend(&mut self) {
         let id = self.random_node();
         let mut script = BackendScript::default();
         match self.rng.random_range(0..5) {
@@ -303,7 +303,10 @@
 
     fn drain_random_backend(&mut self) {
         let id = self.random_node();
-        if self.is_alive(id) && !self.world.is_frozen(id) && !self.world.down.contains(&id) {
+        if self.is_alive(id)
+            && !self.world.is_frozen(id)
+            && !self.world.crashed_backends.contains(&id)
+        {
             self.world.note("a backend server leaves");
             self.world.announce(id, UpstreamPhase::Leaving);
         }
@@ -327,7 +330,8 @@
         let id = node(&name_of(number));
         if self.is_alive(id) && !self.world.is_frozen(id) && !self.draining.contains(&id) {
             self.draining.push(id);
-            self.world.tell(&name_of(number), NodeEvent::DrainRequested);
+            self.world
+                .send_event(&name_of(number), NodeEvent::DrainRequested);
         }
     }
 
@@ -337,14 +341,14 @@
             let name = name_of(number);
             let id = node(&name);
             if self.world.audit.drained.contains(&id) && !self.world.is_frozen(id) {
-                self.world.tell(&name, NodeEvent::Departed);
+                self.world.send_event(&name, NodeEvent::Departed);
                 self.world.run_for(Duration::from_millis(100));
                 self.end_node(number);
             }
         }
     }
 
-    fn amend_or_poison(&mut self) {
+    fn amend_or_send_crashing_request(&mut self) {
         if self.chance(60) {
             let change = u128::from(self.rng.random::<u64>());
             let concurrency = 100 + self.rng.random_range(0..50);
@@ -354,9 +358,13 @@
             }
         } else {
             let number = self.random_number();
-            self.world.poison.insert(RequestId(self.next_request));
+            self.world
+                .crashing_requests
+                .insert(RequestId(self.next_request));
             if self.call(number, "/prices/poison", None).is_none() {
-                self.world.poison.remove(&RequestId(self.next_request));
+                self.world
+                    .crashing_requests
+                    .remove(&RequestId(self.next_request));
             }
         }
     }
@@ -401,8 +409,8 @@
         self.thaw_all();
         self.restore_links();
         self.restore_network();
-        self.world.wire.twice = 0;
-        self.world.set_log(true);
+        self.world.network.duplicated_appends = 0;
+        self.world.set_log_reachable(true);
         for number in 0..self.count {
             let id = node(&name_of(number));
             if !self.is_alive(id) {
@@ -412,7 +420,7 @@
         }
         self.run_checked(RECOVERY_LIMIT);
         self.check_serving();
-        self.run_checked(REST);
+        self.run_checked(IDLE_LIMIT);
         self.check_idle();
     }
 
@@ -436,7 +444,7 @@
                     let end = self.world.audit.end_of(request);
                     let name = name_of(number);
                     let text = format!("healed, and {target} through {name} ends as {end}");
-                    self.world.audit.wrong(text);
+                    self.world.audit.add_violation(text);
                 }
             }
         }
@@ -461,8 +469,8 @@
                 violations.push(format!("{}: slots left in use: {load:?}", status.name));
             }
         }
-        for wrong in violations {
-            self.world.audit.wrong(wrong);
+        for violation in violations {
+            self.world.audit.add_violation(violation);
         }
     }
 }
@@ -483,10 +491,10 @@
     session
 }
 
-// Guards against invariants that hold under a single fault but fail under two faults at the same
-// time, or when the same fault repeats.
+// Guards against violations that occur only under two faults at the same time, or when the same
+// fault repeats.
 #[test]
-fn what_must_hold_holds_under_faults_together_and_twice() {
+fn invariants_hold_under_combined_and_repeated_faults() {
     let seeds = setting("SESSION_SEEDS").unwrap_or(SEEDS);
     let steps = setting("SESSION_STEPS").and_then(|steps| u32::try_from(steps).ok());
     let steps = steps.unwrap_or(STEPS);
@@ -495,8 +503,8 @@
     let mut failures = Vec::new();
     for seed in seeds {
         let session = run(seed, steps);
-        if let Some(wrong) = session.world.audit.violations().first() {
-            failures.push(format!("seed {seed}, {} nodes: {wrong}", session.count));
+        if let Some(violation) = session.world.audit.violations().first() {
+            failures.push(format!("seed {seed}, {} nodes: {violation}", session.count));
             if chosen.is_some() {
                 println!("{}", session.world.trace());
             }
--- a/crates/engine/tests/session/fleet_form.rs
+++ b/crates/engine/tests/session/fleet_contract.rs
@@ -14,8 +14,10 @@
 use crate::world::{BackendScript, SessionWorld, name_of, node};
 
 /// Time after which every session is idle.
-const REST: Duration = Duration::from_secs(4);
+const IDLE_TIME: Duration = Duration::from_secs(4);
 
+/// Returns a contract with a route for idempotent requests below the path prefix `prices` and one
+/// for bookings at all other paths.
 pub fn contract(version: u64, prices: &str) -> FleetContract {
     let route = |name: &str, prefix: &str, repeat: RepeatClass| FleetRoute {
         name: Arc::from(name),
@@ -69,7 +71,7 @@
     }
 }
 
-/// Returns the number of trace lines that contain all of these words.
+/// Returns the number of trace lines that contain all of these strings.
 fn count_trace_lines(world: &SessionWorld, words: &[&str]) -> usize {
     let trace = world.trace();
     let with = |line: &&str| words.iter().all(|word| line.contains(word));
@@ -87,26 +89,27 @@
         slot: 0,
         life: None,
     };
-    world.tell("a", gone);
-    world.run_for(REST);
+    world.send_event("a", gone);
+    world.run_for(IDLE_TIME);
     world
 }
 
 /// Sends a booking through `a` while these directed links are cut for a second.
 fn book_during_cuts(world: &mut SessionWorld, cuts: &[(&str, &str)]) {
     for (from, to) in cuts {
-        world.wire.cuts.insert((node(from), node(to)));
+        world.network.cuts.insert((node(from), node(to)));
     }
     world.call("a", 1, "POST", "/bookings", None);
     world.run_for(Duration::from_secs(1));
-    world.wire.cuts.clear();
-    world.run_for(REST);
+    world.network.cuts.clear();
+    world.run_for(IDLE_TIME);
 }
 
-// A booking is lost on the way to the executor. After the link recovers, the connection counts as
-// lost and the executor confirms that the booking did not start. It runs once, at another server.
+// The connection that carries a booking to its executor is cut. After the link recovers, the
+// connection counts as lost and the executor confirms that the booking did not start. It runs once,
+// at another server.
 #[test]
-fn a_booking_lost_on_the_way_runs_once() {
+fn lost_booking_runs_once() {
     let mut world = fleet_with_empty_node(2);
     book_during_cuts(&mut world, &[("a", "b"), ("a", "c")]);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
@@ -116,7 +119,7 @@
 // A booking runs and its reply is lost. The executor reports that it started the booking, so the
 // caller is informed that the booking may have run, and it does not run again.
 #[test]
-fn a_booking_whose_reply_is_lost_is_not_run_again() {
+fn booking_with_lost_reply_does_not_run_again() {
     let mut world = fleet_with_empty_node(1);
     book_during_cuts(&mut world, &[("b", "a")]);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
@@ -126,11 +129,11 @@
 // The executor cannot be asked whether it started the booking. The caller is informed promptly that
 // the booking may have run.
 #[test]
-fn a_booking_that_nobody_can_tell_of_may_have_run() {
+fn booking_at_unreachable_executor_has_unknown_outcome() {
     let mut world = fleet_with_empty_node(1);
-    world.wire.cuts.insert((node("a"), node("b")));
+    world.network.cuts.insert((node("a"), node("b")));
     world.call("a", 1, "POST", "/bookings", None);
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(world.runs.get(&RequestId(1)), None);
     insta::assert_snapshot!(world.trace());
 }
@@ -138,16 +141,16 @@
 // Only one node receives a newer contract from the source, as when the source refuses the others.
 // The others pull it from that node, and none returns to an older contract that arrives late.
 #[test]
-fn a_newer_contract_reaches_every_node_and_none_goes_back() {
+fn newer_contract_reaches_every_node_and_is_not_downgraded() {
     let mut world = SessionWorld::start_fleet(4, contract(3, "/prices/"));
     let newer = Arc::new(contract(7, "/rates/"));
-    world.tell("b", NodeEvent::FleetContract(newer));
+    world.send_event("b", NodeEvent::FleetContract(newer));
     world.run_for(Duration::from_secs(2));
     for name in ["a", "b", "c", "d"] {
         assert_eq!(world.engines()[&node(name)].fleet_version(), 7, "{name}");
     }
     let older = Arc::new(contract(5, "/old/"));
-    world.tell("c", NodeEvent::FleetContract(older));
+    world.send_event("c", NodeEvent::FleetContract(older));
     world.run_for(Duration::from_secs(2));
     assert_eq!(world.engines()[&node("c")].fleet_version(), 7);
 }
@@ -157,10 +160,10 @@
 #[test]
 fn contract_of_unreachable_publisher_is_pulled_from_others() {
     let mut world = SessionWorld::start_fleet(4, contract(3, "/prices/"));
-    world.wire.cuts.insert((node("b"), node("d")));
-    world.wire.cuts.insert((node("d"), node("b")));
+    world.network.cuts.insert((node("b"), node("d")));
+    world.network.cuts.insert((node("d"), node("b")));
     let newer = Arc::new(contract(7, "/rates/"));
-    world.tell("b", NodeEvent::FleetContract(newer));
+    world.send_event("b", NodeEvent::FleetContract(newer));
     world.run_for(Duration::from_secs(2));
     assert_eq!(world.engines()[&node("d")].fleet_version(), 7);
 }
@@ -172,7 +175,7 @@
     let nodes: Vec<String> = (0..12).map(name_of).collect();
     let names: Vec<&str> = nodes.iter().map(String::as_str).collect();
     let mut world = SessionWorld::start_fleet(12, contract_with_repeats(6));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     fail_backends_of(&mut world, &names);
     for (name, number) in names.iter().zip(1..) {
         world.call(name, number, "GET", "/prices/a", None);
@@ -188,7 +191,7 @@
 #[test]
 fn refused_callers_do_not_delay_a_drain() {
     let mut world = fleet_with_empty_node(2);
-    world.tell("a", NodeEvent::DrainRequested);
+    world.send_event("a", NodeEvent::DrainRequested);
     for number in 1..=70 {
         world.call("a", number, "GET", "/prices/a", None);
         world.run_for(Duration::from_millis(100));
@@ -196,7 +199,7 @@
     assert_eq!(count_trace_lines(&world, &["a -> drained"]), 1);
 }
 
-/// Starts a fleet whose backend server at `a` hangs after answering 120 such calls.
+/// Starts a fleet whose backend server at `a` hangs after 120 such calls were made.
 fn fleet_with_hanging_server(method: &str, target: &str) -> SessionWorld {
     let mut world = SessionWorld::start_fleet(4, contract(1, "/prices/"));
     for number in 1..=120 {
@@ -230,8 +233,9 @@
     );
 }
 
-// The same server hangs while it receives bookings, which must not run twice. Bookings that reach
-// it before the detection are lost; later ones go to other servers, and none runs a second time.
+// The local backend server hangs while it receives bookings, which must not run twice. Bookings
+// that reach it before the detection are lost; later ones go to other servers, and none runs a
+// second time.
 #[test]
 fn bookings_avoid_a_hanging_server() {
     let mut world = fleet_with_hanging_server("POST", "/bookings");
@@ -245,9 +249,9 @@
     assert!(world.runs.values().all(|runs| *runs <= 1));
 }
 
-// The same server keeps hanging and receives a price request as a trial every other second. Its
-// state does not change, so nothing is announced, but the executor reports the late run and the
-// caller is answered by another server.
+// The local backend server keeps hanging and receives a price request as a trial every other
+// second. Its state does not change, so nothing is announced, but the executor reports the late run
+// and the caller is answered by another server.
 #[test]
 fn trial_prices_at_a_hanging_server_are_answered_elsewhere() {
     let mut world = fleet_with_hanging_server("GET", "/prices/a");
@@ -282,7 +286,7 @@
         slot: 0,
         life: None,
     };
-    world.tell(name, gone);
+    world.send_event(name, gone);
     let announced = UpstreamAnnouncement {
         slot: 0,
         service: ServiceName::new("files"),
@@ -291,7 +295,7 @@
         life: None,
         warm_up: None,
     };
-    world.tell(name, NodeEvent::UpstreamAnnounced(announced));
+    world.send_event(name, NodeEvent::UpstreamAnnounced(announced));
 }
 
 /// Returns how often a request to `files` runs when it fails, after a price request that ran at `b`
@@ -301,7 +305,7 @@
     let mut world = SessionWorld::start_fleet(4, contract_with_files(12));
     replace_by_files_server(&mut world, "c");
     replace_by_files_server(&mut world, "d");
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     let slow = BackendScript {
         time: Duration::from_secs(4),
         ..BackendScript::default()
@@ -325,7 +329,7 @@
 // calls count as repeats at the called service and use up its bound, so later failures there are
 // not repeated. Calls of a first run do not count.
 #[test]
-fn calls_of_a_repeated_run_take_from_the_bound_of_what_they_call() {
+fn calls_of_a_repeated_run_count_as_repeats_of_the_called_service() {
     assert_eq!(count_runs_after_calls(true), 1);
     assert_eq!(count_runs_after_calls(false), 2);
 }
@@ -352,7 +356,7 @@
     let followers = world.followers.clone();
     for name in (0..48).map(name_of) {
         if followers.contains(&node(&name)) {
-            world.tell(&name, NodeEvent::FleetContract(Arc::clone(&newer)));
+            world.send_event(&name, NodeEvent::FleetContract(Arc::clone(&newer)));
         }
     }
 }
@@ -361,9 +365,9 @@
 // domain follow it. After all three followers of one domain end, other nodes replace them, and a
 // contract that only the followers receive is in force everywhere.
 #[test]
-fn a_few_nodes_of_each_failure_domain_follow_the_source() {
+fn few_nodes_of_each_failure_domain_follow_the_source() {
     let mut world = SessionWorld::start_fleet_in(3, 24, contract(3, "/prices/"));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(followers_by_domain(&world), [3, 3, 3]);
     let ended: Vec<String> = (0..24)
         .map(name_of)
@@ -386,7 +390,7 @@
 #[test]
 fn contract_pulls_are_spread_over_the_followers() {
     let mut world = SessionWorld::start_fleet_in(3, 48, contract(3, "/prices/"));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.pulls.clear();
     deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_millis(500));
@@ -400,10 +404,10 @@
 // fleet restarts; here all gossip is lost. The followers announce a contract in their failure
 // domain, and it is in force everywhere within a second.
 #[test]
-fn a_contract_does_not_wait_for_gossip() {
+fn contract_spreads_without_gossip() {
     let mut world = SessionWorld::start_fleet_in(3, 24, contract(3, "/prices/"));
-    world.run_for(REST);
-    world.wire.gossip_lost = true;
+    world.run_for(IDLE_TIME);
+    world.network.gossip_lost = true;
     deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_secs(1));
     let engines = world.engines();
@@ -415,15 +419,15 @@
 #[test]
 fn version_missing_at_all_peers_is_read_from_the_source() {
     let mut world = SessionWorld::start_fleet_in(1, 14, contract(3, "/prices/"));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     let before = world.followers.len();
     for number in (0..14).filter(|number| *number != 1) {
         for other in 0..14 {
-            let way = (node(&name_of(number)), node(&name_of(other)));
-            world.wire.cuts.insert(way);
+            let link = (node(&name_of(number)), node(&name_of(other)));
+            world.network.cuts.insert(link);
         }
     }
-    world.tell(
+    world.send_event(
         "b",
         NodeEvent::FleetContract(Arc::new(contract(7, "/rates/"))),
     );
@@ -440,32 +444,32 @@
 // A node receives neither announcements of its followers nor gossip, as before other nodes know it.
 // The node checks for a newer contract every second and receives it.
 #[test]
-fn a_node_that_is_told_nothing_asks_for_a_newer_contract() {
+fn unannounced_contract_is_found_by_periodic_check() {
     let mut world = SessionWorld::start_fleet_in(1, 14, contract(3, "/prices/"));
-    world.run_for(REST);
-    let out_of_reach = (0..14)
+    world.run_for(IDLE_TIME);
+    let unreached = (0..14)
         .map(name_of)
         .find(|name| !world.followers.contains(&node(name)))
         .expect("not all follow");
-    world.wire.gossip_lost = true;
+    world.network.gossip_lost = true;
     for id in world.followers.clone() {
-        world.wire.cuts.insert((id, node(&out_of_reach)));
+        world.network.cuts.insert((id, node(&unreached)));
     }
     deliver_to_followers(&mut world, 7);
     world.run_for(Duration::from_millis(50));
-    world.wire.cuts.clear();
+    world.network.cuts.clear();
     world.run_for(Duration::from_millis(1500));
-    let version = world.engines()[&node(&out_of_reach)].fleet_version();
+    let version = world.engines()[&node(&unreached)].fleet_version();
     assert_eq!(version, 7);
 }
 
-// The same while the followers of the node's failure domain are dead and not yet detected as such.
-// The node receives the contract from nodes of another domain.
+// The followers of a failure domain are dead but not yet detected as such, and all gossip is lost.
+// The remaining nodes of the domain receive a newer contract from nodes of other domains.
 #[test]
 fn node_with_dead_followers_pulls_from_other_domains() {
     let mut world = SessionWorld::start_fleet_in(3, 48, contract(3, "/prices/"));
-    world.run_for(REST);
-    world.wire.gossip_lost = true;
+    world.run_for(IDLE_TIME);
+    world.network.gossip_lost = true;
     let name_of_node = |id| (0..48).map(name_of).find(|name| node(name) == id);
     let followers = world.followers.clone();
     let followers = followers.into_iter().filter_map(name_of_node);
@@ -476,7 +480,7 @@
     }
     let newer = Arc::new(contract(7, "/rates/"));
     for name in &left {
-        world.tell(name, NodeEvent::FleetContract(Arc::clone(&newer)));
+        world.send_event(name, NodeEvent::FleetContract(Arc::clone(&newer)));
     }
     world.run_for(Duration::from_millis(2500));
     let engines = world.engines();
--- a/crates/engine/tests/session/joining.rs
+++ b/crates/engine/tests/session/joining.rs
@@ -2,7 +2,7 @@
 
 use sycamorelink_core::ServiceName;
 
-use crate::fleet_form::contract;
+use crate::fleet_contract::contract;
 use crate::world::SessionWorld;
 
 /// Number of nodes that start at the same time.
@@ -14,7 +14,7 @@
 // Guards against work being sent to the few servers that are known while others are idle: gossip
 // alone takes minutes to inform all nodes of a large fleet of each other.
 #[test]
-fn nodes_that_start_together_learn_all_servers() {
+fn nodes_that_start_together_discover_all_servers() {
     let world = SessionWorld::start_fleet_with_gossip(NODES, contract(1, "/prices/"), GOSSIP_BYTES);
     let orders = ServiceName::new("orders");
     for (id, engine) in world.engines() {
--- a/crates/engine/tests/session/leaving.rs
+++ b/crates/engine/tests/session/leaving.rs
@@ -8,7 +8,7 @@
 use sycamorelink_engine::{LifeId, NodeEvent, UpstreamAnnouncement, UpstreamLife};
 use sycamorelink_policy::UpstreamPhase;
 
-use crate::fleet_form::contract;
+use crate::fleet_contract::contract;
 use crate::world::{SessionWorld, name_of, node};
 
 /// Number of nodes in the fleet.
@@ -18,10 +18,15 @@
 /// Limit for accepting a server that is not leaving: a fraction of the interval between heartbeats.
 const ACCEPT_LIMIT: Duration = Duration::from_millis(700);
 
-fn announced(life: &str, born: u64, order: u64, phase: UpstreamPhase) -> UpstreamAnnouncement {
+fn announced(
+    name: &str,
+    started_ms: u64,
+    order: u64,
+    phase: UpstreamPhase,
+) -> UpstreamAnnouncement {
     let id = LifeId {
-        name: Arc::from(life),
-        started: Some(Duration::from_millis(born)),
+        name: Arc::from(name),
+        started: Some(Duration::from_millis(started_ms)),
     };
     UpstreamAnnouncement {
         slot: 0,
@@ -35,7 +40,7 @@
 
 fn announce(world: &mut SessionWorld, life: (&str, u64), order: u64, phase: UpstreamPhase) {
     let announced = announced(life.0, life.1, order, phase);
-    world.tell("a", NodeEvent::UpstreamAnnounced(announced));
+    world.send_event("a", NodeEvent::UpstreamAnnounced(announced));
 }
 
 /// Returns the phase of the local server of `a`, or `None` if the node has not accepted it.
@@ -61,10 +66,10 @@
     world.start_node(0, 2);
 }
 
-// Guards against work for a server whose leaving the previous incarnation of the daemon
-// acknowledged.
+// Guards against sending work to a server although the previous incarnation of the daemon has
+// acknowledged that the server is leaving.
 #[test]
-fn the_next_life_takes_no_late_announcement_of_a_server_that_leaves() {
+fn restarted_daemon_ignores_delayed_announcement_of_leaving_server() {
     for wait in [0, 30, 400, 1_000] {
         let mut world = fleet_with_leaving_server();
         restart(&mut world);
@@ -79,9 +84,10 @@
     }
 }
 
-// Guards against the same failure while two of the three replicas end at the same time.
+// Guards against sending work to a leaving server after two of the three replicas of its record
+// ended at the same time.
 #[test]
-fn one_keeper_is_enough() {
+fn leaving_record_survives_loss_of_two_replicas() {
     for first in 1..NODES {
         let mut world = fleet_with_leaving_server();
         for number in [first, first % (NODES - 1) + 1] {
@@ -104,7 +110,7 @@
         name: Arc::from("t"),
         started: None,
     });
-    world.tell("a", NodeEvent::UpstreamWithdrawn { slot: 0, life });
+    world.send_event("a", NodeEvent::UpstreamWithdrawn { slot: 0, life });
     world.run_for(Duration::from_secs(2));
     assert_ne!(phase_of(&world), Some(UpstreamPhase::Ready));
 }
@@ -124,7 +130,10 @@
 fn isolated_daemon_accepts_its_server_after_the_timeout() {
     let mut world = fleet_with_leaving_server();
     for number in 1..NODES {
-        world.wire.cuts.insert((node("a"), node(&name_of(number))));
+        world
+            .network
+            .cuts
+            .insert((node("a"), node(&name_of(number))));
     }
     restart(&mut world);
     announce(&mut world, ("t", 2_000), 1, UpstreamPhase::Ready);
--- a/crates/engine/tests/session/main.rs
+++ b/crates/engine/tests/session/main.rs
@@ -4,7 +4,7 @@
 mod audit;
 mod contract_spread;
 mod faults;
-mod fleet_form;
+mod fleet_contract;
 mod joining;
 mod leaving;
 mod regressions;
--- a/crates/engine/tests/session/regressions.rs
+++ b/crates/engine/tests/session/regressions.rs
@@ -10,8 +10,8 @@
 
 use crate::world::{BackendScript, SessionWorld, node};
 
-// A node that joins under a new name after another one died for good has no record of the dead
-// node. Price checks through the new node must be served.
+// A node that joins under a new name after another one was lost permanently has no record of the
+// dead node. Price checks through the new node must be served.
 #[test]
 fn node_joins_after_permanent_loss_of_another() {
     let mut world = SessionWorld::start(3);
@@ -35,13 +35,13 @@
     for pause in [0, 100, 500, 1_000, 2_500, 6_000, 20_000] {
         let mut world = SessionWorld::start(3);
         world.audit.begin();
-        world.tell("c", NodeEvent::DrainRequested);
+        world.send_event("c", NodeEvent::DrainRequested);
         let mut waits = 0;
         while world.audit.drained.is_empty() && waits < 150 {
             world.run_for(Duration::from_millis(100));
             waits += 1;
         }
-        world.tell("c", NodeEvent::Departed);
+        world.send_event("c", NodeEvent::Departed);
         world.run_for(Duration::from_millis(100));
         world.kill("c");
         world.run_for(Duration::from_millis(pause));
@@ -59,13 +59,13 @@
     }
 }
 
-// A node that is alone has no taker for its guard seats. It must be drained once its callers are
-// quiet, without waiting for a handover.
+// A node that is alone has no peer that could take over its guard seats. It must be drained once
+// its callers are quiet, without waiting for a handover.
 #[test]
 fn lone_node_drains_without_handover() {
     let mut world = SessionWorld::start(1);
     world.call("a", 1, "GET", "/prices/bulk", None);
-    world.tell("a", NodeEvent::DrainRequested);
+    world.send_event("a", NodeEvent::DrainRequested);
     world.run_for(Duration::from_secs(4));
     assert_snapshot!(world.trace());
 }
@@ -97,7 +97,7 @@
 #[test]
 fn leaving_node_stops_using_leaving_backend() {
     let mut world = SessionWorld::start(1);
-    world.tell("a", NodeEvent::DrainRequested);
+    world.send_event("a", NodeEvent::DrainRequested);
     world.announce(node("a"), UpstreamPhase::Leaving);
     world.run_for(Duration::from_millis(1_500));
     world.call("a", 1, "GET", "/prices/bulk", None);
@@ -114,7 +114,7 @@
     world.run_for(Duration::from_millis(1));
     assert_eq!(world.engines()[&node("a")].load_of(0).in_use, 1);
     let work = WorkId(1);
-    world.tell("a", NodeEvent::WorkCancelled { work });
+    world.send_event("a", NodeEvent::WorkCancelled { work });
     world.run_for(Duration::from_secs(2));
     assert_eq!(world.engines()[&node("a")].load_of(0).in_use, 0);
 }
--- a/crates/engine/tests/session/repeat_bound.rs
+++ b/crates/engine/tests/session/repeat_bound.rs
@@ -8,7 +8,7 @@
 use sycamorelink_engine::{LifeId, NodeEvent, UpstreamAnnouncement, UpstreamLife, WorkEnd};
 use sycamorelink_policy::UpstreamPhase;
 
-use crate::fleet_form::{contract_with_repeats, fail_backends_of};
+use crate::fleet_contract::{contract_with_repeats, fail_backends_of};
 use crate::world::{BackendScript, SessionWorld, name_of, node};
 
 /// Number of nodes, each with one backend server.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Announces a new life of a node's backend server under a new name.
+/// Announces a new incarnation of a node's backend server under a new name.
 fn restart_backend(world: &mut SessionWorld, name: &str, round: u32) {
     let id = LifeId {
         name: Arc::from(format!("{name}-{round}")),
@@ -59,7 +59,7 @@
         life: Some(UpstreamLife { id, order: 1 }),
         warm_up: None,
     };
-    world.tell(name, NodeEvent::UpstreamAnnounced(announced));
+    world.send_event(name, NodeEvent::UpstreamAnnounced(announced));
 }
 
 /// Sends requests to the nodes and records when they are repeated.
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The largest number of repeats within any [`WINDOW`].
+    /// Returns the largest number of repeats within any [`WINDOW`].
     fn max_repeats_in_window(&self) -> usize {
         let count_from = |start: Duration| {
             let window = start..start + WINDOW;
@@ -156,7 +156,7 @@
     for from in 0..NODES {
         for to in (0..NODES).filter(|to| to % 2 != from % 2) {
             let link = (node(&name_of(from)), node(&name_of(to)));
-            world.wire.cuts.insert(link);
+            world.network.cuts.insert(link);
         }
     }
     world.run_for(Duration::from_secs(30));
--- a/crates/engine/tests/session/scenarios.rs
+++ b/crates/engine/tests/session/scenarios.rs
@@ -11,9 +11,9 @@
 /// An idempotency key whose timestamp is the start of virtual time.
 const KEY: &str = "01a0c450-8b40-7000-8000-000000000001";
 /// Time after which every session is idle.
-const REST: Duration = Duration::from_secs(3);
+const IDLE_TIME: Duration = Duration::from_secs(3);
 
-fn all_backends(world: &mut SessionWorld, names: &[&str], script: BackendScript) {
+fn set_backends(world: &mut SessionWorld, names: &[&str], script: BackendScript) {
     for name in names {
         world.scripts.insert(node(name), script);
     }
@@ -24,11 +24,11 @@
 fn resent_booking_gets_stored_reply() {
     let mut world = SessionWorld::start(3);
     world.call("a", 1, "GET", "/prices/bulk", None);
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.call("a", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.call("b", 3, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(world.runs.get(&RequestId(2)), Some(&1));
     assert_eq!(world.runs.get(&RequestId(3)), None);
     assert_snapshot!(world.trace());
@@ -43,13 +43,13 @@
         status: 500,
         ..BackendScript::default()
     };
-    all_backends(&mut world, &["a", "b", "c"], failing);
+    set_backends(&mut world, &["a", "b", "c"], failing);
     world.call("a", 1, "GET", "/prices/bulk", None);
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.call("a", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.call("c", 3, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(world.runs.get(&RequestId(2)), Some(&1));
     assert_eq!(world.runs.get(&RequestId(3)), None);
     assert_snapshot!(world.trace());
@@ -64,12 +64,12 @@
         end: WorkEnd::Crashed,
         ..BackendScript::default()
     };
-    all_backends(&mut world, &["a", "b", "c"], crashing);
+    set_backends(&mut world, &["a", "b", "c"], crashing);
     world.call("a", 1, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
-    all_backends(&mut world, &["a", "b", "c"], BackendScript::default());
+    world.run_for(IDLE_TIME);
+    set_backends(&mut world, &["a", "b", "c"], BackendScript::default());
     world.call("b", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(world.runs.get(&RequestId(2)), None);
     assert_snapshot!(world.trace());
 }
@@ -83,11 +83,11 @@
         time: Duration::from_secs(12),
         ..BackendScript::default()
     };
-    all_backends(&mut world, &["a", "b", "c"], slow);
+    set_backends(&mut world, &["a", "b", "c"], slow);
     world.call("a", 1, "POST", "/bookings", Some(KEY));
     world.run_for(Duration::from_secs(9));
     world.call("b", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST * 2);
+    world.run_for(IDLE_TIME * 2);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
     assert_eq!(world.runs.get(&RequestId(2)), None);
     assert_snapshot!(world.trace());
@@ -99,13 +99,13 @@
     let mut world = SessionWorld::start(2);
     world.call("a", 1, "GET", "/prices/bulk", None);
     world.run_for(Duration::from_millis(5));
-    world.tell(
+    world.send_event(
         "a",
         NodeEvent::CallerGone {
             request: RequestId(1),
         },
     );
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_snapshot!(world.trace());
 }
 
@@ -114,32 +114,32 @@
 #[test]
 fn node_leaves_with_work_in_flight() {
     let mut world = SessionWorld::start(4);
-    world.set_log(false);
+    world.set_log_reachable(false);
     world.call("b", 1, "POST", "/bookings", Some(KEY));
     world.run_for(Duration::from_millis(10));
-    world.tell("a", NodeEvent::DrainRequested);
+    world.send_event("a", NodeEvent::DrainRequested);
     world.run_for(Duration::from_secs(6));
     world.kill("a");
     world.call("c", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_eq!(world.runs.get(&RequestId(1)), Some(&1));
     assert_eq!(world.runs.get(&RequestId(2)), None);
     assert_snapshot!(world.trace());
 }
 
-// A node is killed while the log is down. Once its guard seats are struck, bookings through the
+// A node is killed while the log is down. Once its guard seats are removed, bookings through the
 // other nodes must continue, each within its deadline.
 #[test]
 fn bookings_continue_with_log_down_and_node_killed() {
     let mut world = SessionWorld::start(4);
-    world.set_log(false);
+    world.set_log_reachable(false);
     world.kill("d");
     for number in 0..8_u128 {
         let key = format!("01a0c450-8b40-7000-8000-0000000001{number:02}");
         world.call("a", 100 + number, "POST", "/bookings", Some(&key));
         world.run_for(Duration::from_millis(700));
     }
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     let ran = (100..108)
         .filter(|number| world.runs.get(&RequestId(*number)) == Some(&1))
         .count();
@@ -154,9 +154,9 @@
 fn refused_resend_gets_stored_reply() {
     let mut world = SessionWorld::start(3);
     world.call("a", 1, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     for name in ["a", "b", "c"] {
-        world.tell(
+        world.send_event(
             name,
             NodeEvent::UpstreamWithdrawn {
                 slot: 0,
@@ -164,12 +164,12 @@
             },
         );
     }
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     world.call("b", 2, "POST", "/bookings", Some(KEY));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     let fresh = "01a0c450-8b40-7000-8000-000000000002";
     world.call("b", 3, "POST", "/bookings", Some(fresh));
-    world.run_for(REST);
+    world.run_for(IDLE_TIME);
     assert_snapshot!(world.trace());
 }
 
@@ -185,7 +185,7 @@
         time: Duration::from_secs(2),
         ..BackendScript::default()
     };
-    all_backends(&mut world, &["a", "b", "c"], slow);
+    set_backends(&mut world, &["a", "b", "c"], slow);
     world.freeze(node("b"));
     world.freeze(node("c"));
     for number in 1..=40 {
--- a/crates/engine/tests/session/world.rs
+++ b/crates/engine/tests/session/world.rs
@@ -39,7 +39,7 @@
 pub const WALL: Duration = Duration::from_secs(1_790_000_000);
 /// Datagrams that the socket of a frozen node buffers.
 const SOCKET_DATAGRAMS: u32 = 20;
-/// Number of steps at one moment from which a node counts as waking itself in a loop.
+/// Maximum number of steps at one moment; more mean that a node wakes itself in a busy loop.
 const MAX_STEPS_AT_ONCE: u32 = 20_000;
 /// Time without any byte after which a connection counts as lost.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -81,7 +81,7 @@
     sent: Duration,
     keyed: bool,
     started: bool,
-    arrives: Duration,
+    arrives_at: Duration,
 }
 
 /// Injected faults of the network and the log.
@@ -95,8 +95,8 @@
     pub jitter: u64,
     /// Whether gossip datagrams are lost.
     pub gossip_lost: bool,
-    /// Percentage of appends that are made twice because their reply was lost.
-    pub twice: u32,
+    /// Percentage of appends that are repeated because their reply was lost.
+    pub duplicated_appends: u32,
 }
 
 /// Simulated nodes with their network, log and backend servers.
@@ -110,13 +110,13 @@
     works: BTreeMap<(NodeId, WorkId), RunningWork>,
     next_work: u64,
     logs: BTreeMap<LogStream, Vec<Arc<[u8]>>>,
-    log_up: bool,
+    log_reachable: bool,
     /// Behaviour of each node's backend server.
     pub scripts: BTreeMap<NodeId, BackendScript>,
     /// Number of runs of each request, counted at the backend servers.
     pub runs: BTreeMap<RequestId, u32>,
     /// Injected faults.
-    pub wire: NetworkFaults,
+    pub network: NetworkFaults,
     /// Number of contract requests that each node received.
     pub pulls: BTreeMap<NodeId, u32>,
     /// Nodes that follow the source of the fleet contract.
@@ -127,22 +127,22 @@
     first_start: bool,
     /// Gossip limit of each node in bytes per second; `None` for the default.
     gossip_bytes: Option<u32>,
-    /// The fleet contract that nodes start with; `None` when customers' contracts are in the log.
+    /// The fleet contract that nodes start with; `None` when per-customer contracts are in the log.
     fleet: Option<Arc<FleetContract>>,
     /// Frozen nodes, with the events that wait for them.
     frozen: BTreeMap<NodeId, Vec<NodeEvent>>,
-    /// When each node's present life began.
+    /// When the current incarnation of each node started.
     started_at: BTreeMap<NodeId, Duration>,
     cursors: BTreeMap<(NodeId, LogStream), usize>,
     /// Backend servers that crashed and have not restarted.
-    pub down: BTreeSet<NodeId>,
+    pub crashed_backends: BTreeSet<NodeId>,
     /// Requests that crash every backend server that runs them.
-    pub poison: BTreeSet<RequestId>,
+    pub crashing_requests: BTreeSet<RequestId>,
     /// Checks of the invariants.
     pub audit: SessionAudit,
     /// Work whose failure is withheld until its engine releases it.
-    crashed: BTreeMap<(NodeId, WorkId), (RunningWork, AttemptReport)>,
-    released: Vec<WorkId>,
+    withheld_failures: BTreeMap<(NodeId, WorkId), (RunningWork, AttemptReport)>,
+    released_works: Vec<WorkId>,
     rng: SmallRng,
     trace_paused: bool,
     trace: Vec<String>,
@@ -213,10 +213,10 @@
             works: BTreeMap::new(),
             next_work: 1,
             logs: BTreeMap::new(),
-            log_up: true,
+            log_reachable: true,
             scripts: BTreeMap::new(),
             runs: BTreeMap::new(),
-            wire: NetworkFaults::default(),
+            network: NetworkFaults::default(),
             pulls: BTreeMap::new(),
             followers: BTreeSet::new(),
             domains,
@@ -226,11 +226,11 @@
             frozen: BTreeMap::new(),
             started_at: BTreeMap::new(),
             cursors: BTreeMap::new(),
-            down: BTreeSet::new(),
-            poison: BTreeSet::new(),
+            crashed_backends: BTreeSet::new(),
+            crashing_requests: BTreeSet::new(),
             audit: SessionAudit::default(),
-            crashed: BTreeMap::new(),
-            released: Vec::new(),
+            withheld_failures: BTreeMap::new(),
+            released_works: Vec::new(),
             rng: SmallRng::seed_from_u64(u64::from(count)),
             trace_paused: true,
             trace: Vec::new(),
@@ -284,16 +284,16 @@
         }
         let engine = NodeEngine::new(facts, settings, wall, seed);
         self.started_at.insert(id, self.now);
-        self.down.remove(&id);
+        self.crashed_backends.remove(&id);
         self.cursors.retain(|(node, _), _| *node != id);
         self.engines.insert(id, engine.seeds(seeds));
         self.names.insert(id, name);
         self.addresses.insert(gossip, id);
         self.feed(id, NodeEvent::Tick);
-        self.feed(id, NodeEvent::LogReachable(self.log_up));
+        self.feed(id, NodeEvent::LogReachable(self.log_reachable));
         match self.fleet.clone() {
             Some(contract) => self.feed(id, NodeEvent::FleetContract(contract)),
-            None if self.log_up && !self.first_start => self.read_logs(id),
+            None if self.log_reachable && !self.first_start => self.read_logs(id),
             None => {}
         }
     }
@@ -320,7 +320,7 @@
 
     /// Announces the backend server beside a node.
     pub fn announce(&mut self, id: NodeId, phase: UpstreamPhase) {
-        self.down.remove(&id);
+        self.crashed_backends.remove(&id);
         self.audit.on_announcement(self.now, id, phase);
         let announced = UpstreamAnnouncement {
             slot: 0,
@@ -478,7 +478,8 @@
             NodeCommand::Dispatch(order) => self.offer(id, *order),
             NodeCommand::RunWork { work, .. } => {
                 let script = self.script(id);
-                let starts = !self.down.contains(&id) && script.end != WorkEnd::NotStarted;
+                let starts =
+                    !self.crashed_backends.contains(&id) && script.end != WorkEnd::NotStarted;
                 if let Some(running) = self.works.get_mut(&(id, work)) {
                     running.started = starts;
                     if starts {
@@ -503,7 +504,7 @@
                 }
             }
             NodeCommand::ReleaseWork { work } => {
-                self.released.push(work);
+                self.released_works.push(work);
                 self.release(id);
             }
             NodeCommand::CancelAttempt { attempt } => self.cancel(id, attempt),
@@ -511,10 +512,10 @@
                 if matches!(message, PeerMessage::ContractPull { .. }) {
                     *self.pulls.entry(to.node).or_default() += 1;
                 }
-                let lives = self.engines.get(&to.node).map(NodeEngine::own_instance);
+                let current = self.engines.get(&to.node).map(NodeEngine::own_instance);
                 let Some(delay) = self
                     .link_delay(id, to.node, true)
-                    .filter(|_| lives == Some(to))
+                    .filter(|_| current == Some(to))
                 else {
                     return;
                 };
@@ -528,7 +529,7 @@
                 let from = self.addresses.iter().find(|(_, node)| **node == id);
                 let from = from.map(|(address, _)| *address);
                 if let (Some(from), Some(&receiver)) = (from, self.addresses.get(&to))
-                    && !self.wire.gossip_lost
+                    && !self.network.gossip_lost
                     && let Some(delay) = self.link_delay(id, receiver, true)
                 {
                     let event = NodeEvent::DatagramReceived { from, message };
@@ -545,7 +546,7 @@
             NodeCommand::AppendContract { bytes } => self.append(LogStream::Contracts, bytes),
             NodeCommand::RereadContracts => {
                 self.cursors.remove(&(id, LogStream::Contracts));
-                if self.log_up {
+                if self.log_reachable {
                     self.read_log(id, LogStream::Contracts);
                 }
             }
@@ -554,13 +555,15 @@
     }
 
     fn append(&mut self, stream: LogStream, bytes: Vec<u8>) {
-        if !self.log_up {
+        if !self.log_reachable {
             return;
         }
         let bytes: Arc<[u8]> = Arc::from(bytes);
         let log = self.logs.entry(stream).or_default();
         log.push(Arc::clone(&bytes));
-        if self.wire.twice > 0 && self.rng.random_range(0..100) < self.wire.twice {
+        if self.network.duplicated_appends > 0
+            && self.rng.random_range(0..100) < self.network.duplicated_appends
+        {
             log.push(bytes);
         }
         let ids: Vec<NodeId> = self.engines.keys().copied().collect();
--- a/crates/engine/tests/session/world/actions.rs
+++ b/crates/engine/tests/session/world/actions.rs
@@ -4,17 +4,17 @@
 
 impl SessionWorld {
     /// Passes an event to a node.
-    pub fn tell(&mut self, name: &str, event: NodeEvent) {
+    pub fn send_event(&mut self, name: &str, event: NodeEvent) {
         self.feed(node(name), event);
     }
 
     /// Makes the log reachable or unreachable for all nodes.
-    pub fn set_log(&mut self, up: bool) {
-        self.log_up = up;
+    pub fn set_log_reachable(&mut self, reachable: bool) {
+        self.log_reachable = reachable;
         let ids: Vec<NodeId> = self.engines.keys().copied().collect();
         for id in ids {
-            self.feed(id, NodeEvent::LogReachable(up));
-            if up {
+            self.feed(id, NodeEvent::LogReachable(reachable));
+            if reachable {
                 self.read_logs(id);
             }
         }
@@ -35,9 +35,9 @@
         for running in BTreeMap::into_values(lost) {
             self.lose_connection(running, LINK_DELAY);
         }
-        let crashed = std::mem::take(&mut self.crashed);
+        let crashed = std::mem::take(&mut self.withheld_failures);
         let (lost, kept) = crashed.into_iter().partition(|((at, _), _)| *at == id);
-        self.crashed = kept;
+        self.withheld_failures = kept;
         for (running, _) in BTreeMap::into_values(lost) {
             self.lose_connection(running, LINK_DELAY);
         }
--- a/crates/engine/tests/session/world/work.rs
+++ b/crates/engine/tests/session/world/work.rs
@@ -17,11 +17,12 @@
         if from == to {
             return Some(LINK_DELAY);
         }
-        let lost = message && self.wire.loss > 0 && self.rng.random_range(0..100) < self.wire.loss;
-        if lost || self.wire.cuts.contains(&(from, to)) {
+        let lost =
+            message && self.network.loss > 0 && self.rng.random_range(0..100) < self.network.loss;
+        if lost || self.network.cuts.contains(&(from, to)) {
             return None;
         }
-        let extra = match self.wire.jitter {
+        let extra = match self.network.jitter {
             0 => 0,
             jitter => self.rng.random_range(0..=jitter),
         };
@@ -59,7 +60,7 @@
             NodeEvent::WorkCancelled { work }
         };
         // A connection preserves order, so the cancellation arrives after the offer.
-        let after = delay.max(running.arrives.saturating_sub(self.now));
+        let after = delay.max(running.arrives_at.saturating_sub(self.now));
         self.schedule(after, QueuedItem::Event(executor, Box::new(event)));
     }
 
@@ -77,7 +78,7 @@
             self.lose_connection(running, CONNECTION_TIMEOUT);
             return;
         };
-        running.arrives = self.now + delay;
+        running.arrives_at = self.now + delay;
         self.works.insert((executor, work), running);
         let offer = WorkOffer {
             label: Arc::clone(&order.label),
@@ -115,7 +116,7 @@
             sent: self.now,
             keyed: order.ticket.is_some(),
             started: false,
-            arrives: self.now,
+            arrives_at: self.now,
         }
     }
 
@@ -128,8 +129,9 @@
             return;
         };
         let mut script = self.script(id);
-        let first_crash = self.poison.contains(&running.attempt.request) && running.started;
-        if first_crash || (running.started && self.down.contains(&id)) {
+        let first_crash =
+            self.crashing_requests.contains(&running.attempt.request) && running.started;
+        if first_crash || (running.started && self.crashed_backends.contains(&id)) {
             script.end = WorkEnd::Crashed;
         } else if !running.started {
             script.end = WorkEnd::NotStarted;
@@ -137,7 +139,7 @@
             script.end = WorkEnd::Replied;
         }
         if script.end == WorkEnd::Crashed && self.audit.is_checking() {
-            self.down.insert(id);
+            self.crashed_backends.insert(id);
         }
         let reply = (script.end == WorkEnd::Replied)
             .then(|| Arc::from(self.audit.reply_of(running.attempt.request)));
@@ -164,7 +166,7 @@
         report.status = (script.end == WorkEnd::Replied).then_some(script.status);
         report.service_time = Some(script.time);
         if script.end == WorkEnd::Crashed {
-            self.crashed.insert((id, work), (running, report));
+            self.withheld_failures.insert((id, work), (running, report));
             self.release(id);
         } else {
             self.answer(id, &running, report);
@@ -173,11 +175,11 @@
 
     /// Reports the failures of crashed work that their engine released.
     pub(super) fn release(&mut self, id: NodeId) {
-        let released = std::mem::take(&mut self.released);
+        let released = std::mem::take(&mut self.released_works);
         for work in released {
-            match self.crashed.remove(&(id, work)) {
+            match self.withheld_failures.remove(&(id, work)) {
                 Some((running, report)) => self.answer(id, &running, report),
-                None => self.released.push(work),
+                None => self.released_works.push(work),
             }
         }
     }
