--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Clock that advances only through [`ManualClock::advance`], for tests and golden sessions.
+/// Clock that advances only through [`ManualClock::advance`], for tests.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     now: Mutex<Duration>,
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -150,7 +150,7 @@
 
 /// One incarnation of one node.
 ///
-/// A restart loses everything that an earlier incarnation promised, such as leases.
+/// Guarantees that an incarnation gave, such as leases, end when its node restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId {
     /// Id of the node, the same across restarts.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! This package does no I/O. The packages with decision logic take the time as a
 //! [`std::time::Duration`] since the node started (see [`clock::NodeClock`]) and randomness as a
-//! seed, so that the same code runs in the daemon, in golden sessions and in benchmarks.
+//! seed, so that the same code runs in the daemon, in deterministic tests and in benchmarks.
 
 pub mod clock;
 pub mod finding;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -14,7 +14,7 @@
     NotRun,
     /// A backend server ran the request to completion.
     Ran,
-    /// The request may have run, so it is never sent again.
+    /// The request may have run. Only an idempotent request may be sent again in this state.
     Unknown,
 }
 
--- a/crates/daemon/src/border/caller.rs
+++ b/crates/daemon/src/border/caller.rs
@@ -7,8 +7,8 @@
 use sycamorelink_core::{CustomerName, RefusalCode, RequestId, RequestRefusal, RunState};
 use sycamorelink_engine::CallerRequest;
 
-use crate::callers::{forwarded_headers, read_head, refusal_answer, reply_head_answer};
-use crate::part::ReplyHead;
+use crate::callers::{forwarded_headers, forwarded_response_head, read_head, refusal_response};
+use crate::reply::ReplyHead;
 
 /// Protocol in which callers send requests and receive responses.
 pub trait CallerAdapter: Debug + Send + Sync {
@@ -63,10 +63,10 @@
     }
 
     fn refusal(&self, request: RequestId, refusal: &RequestRefusal) -> Response<Bytes> {
-        refusal_answer(request, refusal)
+        refusal_response(request, refusal)
     }
 
     fn reply(&self, request: RequestId, head: &ReplyHead) -> Response<()> {
-        reply_head_answer(request, head, RunState::Ran)
+        forwarded_response_head(request, head, RunState::Ran)
     }
 }
--- a/crates/daemon/src/border/mod.rs
+++ b/crates/daemon/src/border/mod.rs
@@ -1,9 +1,9 @@
 //! Adapter traits between the daemon and the systems around it.
 //!
 //! ```text
-//!  callers ──── CallerAdapter ───────┐          ┌── BackendAdapter ──── backend servers
-//!  backend servers ─ AnnouncementAdapter ─▶ daemon ┤
-//!  operators ── ContractSource ─────┘          └── MemberDirectory ── other nodes' addresses
+//!  callers ───────── CallerAdapter ───────┐            ┌─ BackendAdapter ── backend servers
+//!  backend servers ─ AnnouncementAdapter ─┼─▶ daemon ──┤
+//!  operators ─────── ContractSource ──────┘            └─ MemberDirectory ─ other nodes' addresses
 //! ```
 //!
 //! The native protocols are the defaults. Other implementations only translate between protocols:
--- a/crates/daemon/src/callers/exchange.rs
+++ b/crates/daemon/src/callers/exchange.rs
@@ -20,13 +20,13 @@
 use tokio::sync::{mpsc, oneshot};
 use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
 
-use super::answer::{replay_answer, unavailable_reply_answer};
 use super::head::request_target;
+use super::response::{replay_response, reply_unavailable_response};
 use super::socket::{CallerSocket, wait_for_disconnect};
 use super::stream::{StreamedReply, stream_body};
 use super::{COMMAND_DEPTH, CallerCommand, CallerContext};
 use crate::inbox::DecisionInput;
-use crate::part::{
+use crate::reply::{
     BODY_DEPTH, BodyReceiver, BodySender, BodyTruncated, REPLY_DEPTH, ReplyEnd, ReplyHead,
     ReplyPart, buffered_body,
 };
@@ -56,12 +56,12 @@
         Ok(caller) => caller,
         Err(code) => return refuse(&context, id, &RequestRefusal::not_run(code)),
     };
-    let (port, commands) = mpsc::channel(COMMAND_DEPTH);
+    let (command_sender, commands) = mpsc::channel(COMMAND_DEPTH);
     let replayable = caller.replayable;
     let declared = caller.body_length;
     if context
         .inbox
-        .try_send(DecisionInput::Request(caller, port))
+        .try_send(DecisionInput::Request(caller, command_sender))
         .is_err()
     {
         let refusal =
@@ -150,13 +150,13 @@
                     let Some(command) = command else {
                         return self.refuse_request(&RequestRefusal::unknown(RefusalCode::Draining));
                     };
-                    if let Some(answer) = self.on_command(command).await {
-                        return answer;
+                    if let Some(response) = self.on_command(command).await {
+                        return response;
                     }
                 }
                 Some((number, part)) = self.parts.recv() => {
-                    if let Some(answer) = self.on_part(number, part).await {
-                        return answer;
+                    if let Some(response) = self.on_part(number, part).await {
+                        return response;
                     }
                 }
             }
@@ -175,11 +175,11 @@
             CallerCommand::Deliver(number) => self.deliver(number),
             CallerCommand::Replay(reply) => {
                 self.answered = true;
-                Some(replay_answer(self.id, &reply).map(ResponseBody::bytes))
+                Some(replay_response(self.id, &reply).map(ResponseBody::bytes))
             }
             CallerCommand::ReplyUnavailable => {
                 self.answered = true;
-                Some(unavailable_reply_answer(self.id).map(ResponseBody::bytes))
+                Some(reply_unavailable_response(self.id).map(ResponseBody::bytes))
             }
         }
     }
@@ -191,8 +191,8 @@
 
     /// Buffers the body and sends its fingerprint to the decision thread.
     async fn read_body(&mut self, limit: u64) -> Option<Response<ResponseBody>> {
-        if let Some(answer) = self.buffer_body(limit).await {
-            return Some(answer);
+        if let Some(response) = self.buffer_body(limit).await {
+            return Some(response);
         }
         let bytes = self.buffered_body.clone().unwrap_or_default();
         let fingerprint = KeyFingerprint::of(&self.method, &self.target, &bytes);
@@ -215,8 +215,8 @@
     async fn start_attempt(&mut self, order: Box<AttemptOrder>) -> Option<Response<ResponseBody>> {
         if self.buffered_body.is_none() && self.replayable {
             let limit = order.max_body.min(self.context.replay_limit());
-            if let Some(answer) = self.buffer_body(limit).await {
-                return Some(answer);
+            if let Some(response) = self.buffer_body(limit).await {
+                return Some(response);
             }
         }
         let (body, length) = match &self.buffered_body {
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -2,28 +2,29 @@
 //!
 //! ```text
 //!  caller ──HTTP──▶ exchange ──RequestArrived──▶ decision thread
-//!                      ▲  ◀──Dispatch, Refuse, Deliver──┘
-//!                      │ reply parts
-//!                   work thread ◀──attempt── exchange
+//!                    │  ▲  ▲                             │
+//!            attempt │  │  └── Dispatch, Refuse, Deliver ┘
+//!                    ▼  │ reply parts
+//!                   work thread
 //! ```
 //!
 //! An exchange is one request and its response. The exchange only reads, forwards and responds; the
 //! decision thread makes every decision.
 
-mod answer;
 mod exchange;
 mod head;
+mod response;
 mod server;
 mod socket;
 mod stream;
 
-pub use answer::{
-    REQUEST_ID_HEADER, StoredReply, plain_head_answer, refusal_answer, reply_head_answer,
-};
 pub use head::{
     TIMEOUT_HEADER, declared_body_length, forwarded_headers, is_hop_by_hop_header, read_head,
     request_target,
 };
+pub use response::{
+    REQUEST_ID_HEADER, StoredReply, forwarded_response_head, plain_response_head, refusal_response,
+};
 pub use server::{CallerContext, serve_callers};
 pub use socket::CallerSockets;
 
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/response.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use sycamorelink_core::{RefusalCode, RequestId, RequestRefusal, RunState};
 
-use crate::part::ReplyHead;
+use crate::reply::ReplyHead;
 
 /// Header of every response with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
@@ -47,7 +47,7 @@
 
 /// Builds the response to a refused request.
 #[must_use]
-pub fn refusal_answer(request: RequestId, refusal: &RequestRefusal) -> Response<Bytes> {
+pub fn refusal_response(request: RequestId, refusal: &RequestRefusal) -> Response<Bytes> {
     let code = refusal.code;
     let body = json!({
         "type": format!("urn:sycamorelink:refusal:{code}"),
@@ -58,9 +58,9 @@
         "request_id": request,
         "retry_after_ms": refusal.retry_after.map(millis),
     });
-    let mut answer = Response::new(Bytes::from(body.to_string()));
-    *answer.status_mut() = status_of(code);
-    let headers = answer.headers_mut();
+    let mut response = Response::new(Bytes::from(body.to_string()));
+    *response.status_mut() = status_of(code);
+    let headers = response.headers_mut();
     headers.insert(
         CONTENT_TYPE,
         HeaderValue::from_static("application/problem+json"),
@@ -68,13 +68,13 @@
     if let Some(wait) = refusal.retry_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(wait)));
     }
-    insert_run_headers(&mut answer, request, refusal.run);
-    answer
+    insert_run_headers(&mut response, request, refusal.run);
+    response
 }
 
 /// Builds the response to a resend whose reply is not stored.
 #[must_use]
-pub fn unavailable_reply_answer(request: RequestId) -> Response<Bytes> {
+pub fn reply_unavailable_response(request: RequestId) -> Response<Bytes> {
     let body = json!({
         "type": "urn:sycamorelink:reply-gone",
         "title": "An earlier send of this key ran to its end; its reply is no longer kept",
@@ -83,20 +83,20 @@
         "run": RunState::Ran,
         "request_id": request,
     });
-    let mut answer = Response::new(Bytes::from(body.to_string()));
-    answer.headers_mut().insert(
+    let mut response = Response::new(Bytes::from(body.to_string()));
+    response.headers_mut().insert(
         CONTENT_TYPE,
         HeaderValue::from_static("application/problem+json"),
     );
-    insert_run_headers(&mut answer, request, RunState::Ran);
-    answer
+    insert_run_headers(&mut response, request, RunState::Ran);
+    response
 }
 
 /// Builds the response to a resend from the stored reply.
 #[must_use]
-pub fn replay_answer(request: RequestId, bytes: &[u8]) -> Response<Bytes> {
+pub fn replay_response(request: RequestId, bytes: &[u8]) -> Response<Bytes> {
     let Some(reply) = StoredReply::decode(bytes) else {
-        return unavailable_reply_answer(request);
+        return reply_unavailable_response(request);
     };
     let body = Bytes::from(reply.body);
     let head = ReplyHead {
@@ -104,45 +104,49 @@
         headers: reply.headers,
         body_length: Some(body.len() as u64),
     };
-    let mut answer = reply_answer(request, &head, body);
-    answer.headers_mut().insert(
+    let mut response = forwarded_response(request, &head, body);
+    response.headers_mut().insert(
         HeaderName::from_static(REPLAYED_HEADER),
         HeaderValue::from_static("true"),
     );
-    answer
+    response
 }
 
 /// Builds the response that forwards a backend server's reply.
 #[must_use]
-pub fn reply_answer<B>(request: RequestId, head: &ReplyHead, body: B) -> Response<B> {
-    reply_head_answer(request, head, RunState::Ran).map(|()| body)
+pub fn forwarded_response<B>(request: RequestId, head: &ReplyHead, body: B) -> Response<B> {
+    forwarded_response_head(request, head, RunState::Ran).map(|()| body)
 }
 
 /// Builds the head of such a response, with the request's id and run state.
 #[must_use]
-pub fn reply_head_answer(request: RequestId, head: &ReplyHead, run: RunState) -> Response<()> {
-    let mut answer = plain_head_answer(head);
-    insert_run_headers(&mut answer, request, run);
-    answer
+pub fn forwarded_response_head(
+    request: RequestId,
+    head: &ReplyHead,
+    run: RunState,
+) -> Response<()> {
+    let mut response = plain_response_head(head);
+    insert_run_headers(&mut response, request, run);
+    response
 }
 
 /// Builds a response head with only the status and headers of a backend server's reply.
 #[must_use]
-pub fn plain_head_answer(head: &ReplyHead) -> Response<()> {
-    let mut answer = Response::new(());
-    *answer.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
+pub fn plain_response_head(head: &ReplyHead) -> Response<()> {
+    let mut response = Response::new(());
+    *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &head.headers {
         let name = HeaderName::try_from(name.as_str());
         let value = HeaderValue::from_bytes(value);
         if let (Ok(name), Ok(value)) = (name, value) {
-            answer.headers_mut().append(name, value);
+            response.headers_mut().append(name, value);
         }
     }
-    answer
+    response
 }
 
-fn insert_run_headers<B>(answer: &mut Response<B>, request: RequestId, run: RunState) {
-    let headers = answer.headers_mut();
+fn insert_run_headers<B>(response: &mut Response<B>, request: RequestId, run: RunState) {
+    let headers = response.headers_mut();
     if let Ok(value) = HeaderValue::try_from(request.to_string()) {
         headers.insert(HeaderName::from_static(REQUEST_ID_HEADER), value);
     }
--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -36,8 +36,8 @@
     pub sockets: CallerSockets,
     /// Protocol in which callers send requests and receive responses.
     pub adapter: Arc<dyn CallerAdapter>,
-    /// Set while the daemon drains; responses then carry `Connection: close`, so that callers open a
-    /// new connection.
+    /// Set while the daemon drains; responses then carry `Connection: close`, so that callers open
+    /// a new connection.
     pub leaving: Arc<AtomicBool>,
 }
 
@@ -64,19 +64,19 @@
     context: Arc<CallerContext>,
 ) -> PortServer {
     let tracked = TrackedListener::new(listener, context.sockets.clone());
-    let answer = move |request: WebRequest| {
+    let handler = move |request: WebRequest| {
         let context = Arc::clone(&context);
         let peer = *request.body().socket_addr();
         let request = request.map(|ext| ext.replace_body(()).1);
         async move {
             let leaving = Arc::clone(&context.leaving);
-            let mut answer = answer_request(context, request, peer).await;
+            let mut response = answer_request(context, request, peer).await;
             if leaving.load(Ordering::Relaxed) {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(CONNECTION, close);
+                response.headers_mut().insert(CONNECTION, close);
             }
-            answer
+            response
         }
     };
-    server.port("callers", tracked, answer)
+    server.port("callers", tracked, handler)
 }
--- a/crates/daemon/src/callers/stream.rs
+++ b/crates/daemon/src/callers/stream.rs
@@ -13,7 +13,7 @@
 use super::exchange::NumberedPart;
 use super::socket::CallerSocket;
 use crate::inbox::DecisionInput;
-use crate::part::{BodyTruncated, ReplyPart};
+use crate::reply::{BodyTruncated, ReplyPart};
 use crate::ring::RingSender;
 
 /// A streamed reply, which outlives its exchange.
@@ -95,6 +95,7 @@
 }
 
 impl Drop for StreamedReply {
+    /// Reports that the caller is gone, unless the attempt has ended, which closes `cancel`.
     fn drop(&mut self) {
         if self.cancel.is_closed() {
             return;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -86,7 +86,7 @@
         if contracts.is_some() {
             engine_settings.contracts = ContractMode::Fleet;
         }
-        let gate = OperatorAuthenticator::new(&settings.operators)
+        let authenticator = OperatorAuthenticator::new(&settings.operators)
             .context("the operators' accounts have findings")?;
         let (inbox, receiver) = bounded_ring(INBOX_DEPTH);
         let shared = SharedParts::new(&settings, clock, inbox, facts.instance, adapters);
@@ -142,7 +142,7 @@
         let mut auxiliary = serve_operators(
             PortServer::new(1),
             sockets.operators,
-            Arc::new(shared.operator_context(gate, &addresses)),
+            Arc::new(shared.operator_context(authenticator, &addresses)),
         );
         if let (Some(listener), Some(page)) = (sockets.metrics, shared.telemetry.page.clone()) {
             auxiliary = serve_metrics_page(auxiliary, listener, page);
@@ -272,15 +272,15 @@
 
     fn operator_context(
         &self,
-        gate: OperatorAuthenticator,
+        authenticator: OperatorAuthenticator,
         addresses: &DaemonAddresses,
     ) -> OperatorContext {
         OperatorContext {
             inbox: self.inbox.clone(),
             log: Arc::clone(&self.adapters.log),
-            announcement: self.adapters.announcement.clone(),
+            announcement_adapter: self.adapters.announcement.clone(),
             stream: Arc::clone(&self.stream),
-            gate,
+            authenticator,
             clock: Arc::clone(&self.clock),
             directory: self.directory.clone(),
             ready: Arc::clone(&self.ready),
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -41,7 +41,7 @@
 pub struct DecisionOutputs {
     /// Messages to peers, sent by the work thread.
     pub messages: mpsc::Sender<OutboundMessage>,
-    /// Commands to the thread that reads and appends to the platform's log.
+    /// Commands to the log thread, or to the source thread when contracts come from a source.
     pub log_commands: mpsc::Sender<LogCommand>,
     /// Socket for gossip datagrams to peers.
     pub gossip: UdpSocket,
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 struct WorkChannel {
     slot: u16,
-    port: mpsc::Sender<WorkCommand>,
+    commands: mpsc::Sender<WorkCommand>,
 }
 
 impl DecisionLoop {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Runs until it receives [`DecisionInput::Stop`].
+    /// Handles inputs until [`DecisionInput::Stop`] arrives.
     pub fn run(mut self) {
         loop {
             let mut handled = 0;
@@ -136,11 +136,11 @@
     fn handle_input(&mut self, input: DecisionInput) -> bool {
         match input {
             DecisionInput::Event(event) => self.handle_event(event),
-            DecisionInput::Request(caller, port) => {
-                self.callers.insert(caller.id, port);
+            DecisionInput::Request(caller, commands) => {
+                self.callers.insert(caller.id, commands);
                 self.handle_event(NodeEvent::RequestArrived(caller));
             }
-            DecisionInput::Offer(offer, port) => self.on_work_offer(offer, port),
+            DecisionInput::Offer(offer, commands) => self.on_work_offer(offer, commands),
             DecisionInput::Query(query, reply) => {
                 let now = self.clock.now();
                 let directory = &self.outputs.directory;
@@ -152,9 +152,10 @@
         true
     }
 
-    fn on_work_offer(&mut self, offer: WorkOffer, port: mpsc::Sender<WorkCommand>) {
+    fn on_work_offer(&mut self, offer: WorkOffer, commands: mpsc::Sender<WorkCommand>) {
         let slot = offer.slot;
-        self.works.insert(offer.work, WorkChannel { slot, port });
+        self.works
+            .insert(offer.work, WorkChannel { slot, commands });
         self.handle_event(NodeEvent::WorkOffered(offer));
         self.publish_load(slot);
     }
@@ -173,8 +174,8 @@
             self.execute(now, command);
         }
         self.commands = commands;
-        if let Some(port) = ended.and_then(|work| self.works.remove(&work)) {
-            self.publish_load(port.slot);
+        if let Some(channel) = ended.and_then(|work| self.works.remove(&work)) {
+            self.publish_load(channel.slot);
         }
         self.outputs
             .ready
@@ -231,7 +232,7 @@
                     message,
                 };
                 if self.outputs.messages.try_send(outbound).is_err() {
-                    self.outputs.telemetry.ring_full("messages");
+                    self.outputs.telemetry.record_ring_full("messages");
                 }
             }
             NodeCommand::SendDatagram { to, message } => self.send_datagram(to, &message),
@@ -258,7 +259,7 @@
             NodeCommand::ContractsChanged => self.notes.refresh_objectives(self.engine.table()),
             NodeCommand::Drained => self.outputs.drained.store(true, Ordering::Release),
             NodeCommand::Note(note) => {
-                if let Some(request) = self.notes.take(now, &note) {
+                if let Some(request) = self.notes.record(now, &note) {
                     self.callers.remove(&request);
                 }
             }
@@ -266,22 +267,22 @@
     }
 
     fn send_to_caller(&self, request: RequestId, command: CallerCommand) {
-        if let Some(port) = self.callers.get(&request) {
-            let _ = port.try_send(command);
+        if let Some(commands) = self.callers.get(&request) {
+            let _ = commands.try_send(command);
         }
     }
 
     fn send_to_work(&self, work: WorkId, command: WorkCommand) {
-        if let Some(port) = self.works.get(&work) {
-            let _ = port.port.try_send(command);
+        if let Some(channel) = self.works.get(&work) {
+            let _ = channel.commands.try_send(command);
         }
     }
 
     /// Sends the last command to work whose backend server crashed, and forgets the work.
     fn release_work(&mut self, work: WorkId) {
         self.send_to_work(work, WorkCommand::Release);
-        if let Some(port) = self.works.remove(&work) {
-            self.publish_load(port.slot);
+        if let Some(channel) = self.works.remove(&work) {
+            self.publish_load(channel.slot);
         }
     }
 
@@ -297,7 +298,7 @@
 
     fn send_log(&self, command: LogCommand) {
         if self.outputs.log_commands.try_send(command).is_err() {
-            self.outputs.telemetry.ring_full("appends");
+            self.outputs.telemetry.record_ring_full("appends");
         }
     }
 }
--- a/crates/daemon/src/gossip.rs
+++ b/crates/daemon/src/gossip.rs
@@ -59,7 +59,7 @@
                     received.add(length as u64);
                     let event = NodeEvent::DatagramReceived { from, message };
                     if inbox.try_send(DecisionInput::Event(event)).is_err() {
-                        telemetry.ring_full("decision");
+                        telemetry.record_ring_full("decision");
                     }
                 }
                 Err(error) => {
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -46,17 +46,17 @@
         Self { builder }
     }
 
-    /// Adds a bound listener whose requests `answer` handles.
+    /// Adds a bound listener whose requests `handler` handles.
     #[must_use]
-    pub fn port<L, F, Fut>(self, name: &str, listener: L, answer: F) -> Self
+    pub fn port<L, F, Fut>(self, name: &str, listener: L, handler: F) -> Self
     where
         L: IntoListener + 'static,
         F: Fn(WebRequest) -> Fut + Clone + Send + Sync + 'static,
         Fut: Future<Output = Response<ResponseBody>> + 'static,
     {
         let service = fn_service(move |request: WebRequest| {
-            let answer = answer.clone();
-            async move { Ok::<_, std::convert::Infallible>(answer(request).await) }
+            let handler = handler.clone();
+            async move { Ok::<_, std::convert::Infallible>(handler(request).await) }
         });
         let config = HttpServiceConfig::new()
             .request_head_timeout(HEAD_TIMEOUT)
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -10,6 +10,9 @@
 //!
 //! Each thread has one responsibility, and bounded rings connect them. The decision thread runs
 //! [`sycamorelink_engine::NodeEngine`], which makes every decision; the other threads only do I/O.
+//!
+//! When the fleet contract comes from a [`border::ContractSource`], the source thread takes the
+//! place of the log thread.
 
 pub mod border;
 mod callers;
@@ -25,8 +28,8 @@
 mod metrics_thread;
 mod notes;
 mod operators;
-pub mod part;
 mod ready;
+pub mod reply;
 mod ring;
 pub mod settings;
 mod sockets;
@@ -34,6 +37,8 @@
 mod startup;
 mod work;
 
-pub use callers::{declared_body_length, is_hop_by_hop_header, plain_head_answer, request_target};
+pub use callers::{
+    declared_body_length, is_hop_by_hop_header, plain_response_head, request_target,
+};
 pub use daemon::{Daemon, DaemonHandle};
 pub use sockets::DaemonAddresses;
--- a/crates/daemon/src/log_thread.rs
+++ b/crates/daemon/src/log_thread.rs
@@ -242,7 +242,7 @@
             }
             command @ (LogCommand::FindMembers | LogCommand::RecordIncarnation { .. }) => {
                 tracing::debug!(
-                    ?command,
+                    order = ?command,
                     "ignored a member directory command: contracts come from the log"
                 );
             }
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -31,8 +31,8 @@
 /// Number of entries below which a node always writes its own, and weight of the probability above
 /// it: with `n` nodes the directory grows to `sqrt(2 * ENTRY_WEIGHT * n)` entries.
 const ENTRY_WEIGHT: f64 = 3.0;
-/// Number of entries found from which a node that wrote its own skips the second read: through
-/// these nodes, nodes that start at the same time learn of each other.
+/// Number of entries of other nodes that a node must find when it starts to skip the second read.
+/// Nodes that start at the same time learn of each other through the nodes of these entries.
 const SUFFICIENT_ENTRIES: usize = 3;
 /// Interval over which the nodes of a fleet that starts for the first time spread their first read,
 /// so that later nodes find the entries of earlier ones.
@@ -41,11 +41,11 @@
 /// copy.
 const RESTORE_SPREAD: Duration = Duration::from_secs(1);
 /// Time that a node follows the source of contracts before it writes an entry. While nodes join,
-/// some follow the source for a short time although they are not among its followers.
+/// the choice of followers changes, and some nodes follow the source only for a short time.
 const LISTING_DELAY: Duration = Duration::from_secs(1);
 /// Probability that a node that reached no other node writes an entry at its first retry. Each
-/// retry multiplies the probability by [`ISOLATED_CHANCE_GROWTH`], so that a fleet whose listed
-/// nodes are all lost does not write all at once.
+/// retry multiplies the probability by [`ISOLATED_CHANCE_GROWTH`], so that the remaining nodes of a
+/// fleet whose listed nodes are all lost do not write all at once.
 const ISOLATED_CHANCE: f64 = 1.0 / 64.0;
 /// Growth factor of [`ISOLATED_CHANCE`] per retry.
 const ISOLATED_CHANCE_GROWTH: f64 = 4.0;
@@ -116,7 +116,7 @@
     pub find: Arc<Notify>,
     /// Incarnation to write to the directory for the next start, set when the roster finds the
     /// current one too low.
-    pub recorded: watch::Sender<Option<u64>>,
+    pub incarnation: watch::Sender<Option<u64>>,
 }
 
 /// Task that keeps this node's directory entry and finds other nodes.
@@ -163,7 +163,7 @@
         mut following: watch::Receiver<bool>,
         leave: &AtomicBool,
     ) {
-        let mut recorded = signals.recorded.subscribe();
+        let mut incarnations = signals.incarnation.subscribe();
         self.start_discovery().await;
         let directory = Arc::clone(&self.directory);
         loop {
@@ -171,8 +171,8 @@
                 Ok(()) = following.changed() => self.on_following_changed(&mut following).await,
                 () = signals.find.notified() => self.retry_discovery().await,
                 () = directory.restored() => self.on_directory_restored().await,
-                Ok(()) = recorded.changed() => {
-                    let incarnation = *recorded.borrow_and_update();
+                Ok(()) = incarnations.changed() => {
+                    let incarnation = *incarnations.borrow_and_update();
                     self.record_incarnation(incarnation).await;
                     leave.store(true, Ordering::Release);
                 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -104,7 +104,7 @@
 
     /// Records that an item for another thread was dropped because its ring was full. Drops happen
     /// only under load, and looking up the counter on each costs less than the dropped work.
-    pub fn ring_full(&self, ring: &'static str) {
+    pub fn record_ring_full(&self, ring: &'static str) {
         let tags = MetricTags::new().with("ring", ring);
         self.registry.counter(MetricName::RingFull, &tags).add(1);
         self.events
--- a/crates/daemon/src/notes.rs
+++ b/crates/daemon/src/notes.rs
@@ -35,8 +35,8 @@
 pub struct NoteRecorder {
     burn: BurnLedger,
     objectives: ObjectiveTable,
-    burn_watch: AlertTracker,
-    reach: PartitionMonitor,
+    alert_tracker: AlertTracker,
+    partitions: PartitionMonitor,
     events: EventPort,
     metrics: MetricTable,
     /// When a service last refused a request because of overload.
@@ -57,8 +57,8 @@
         Self {
             burn: BurnLedger::new(instance, wall_at_start),
             objectives: ObjectiveTable::default(),
-            burn_watch: AlertTracker::default(),
-            reach: PartitionMonitor::default(),
+            alert_tracker: AlertTracker::default(),
+            partitions: PartitionMonitor::default(),
             events: telemetry.events.clone(),
             metrics: MetricTable::new(telemetry.registry.clone()),
             last_shed: BTreeMap::new(),
@@ -74,14 +74,14 @@
         self.objectives = ObjectiveTable::of(table);
     }
 
-    /// Returns the burn of the requests that this node took from callers.
+    /// Returns the error budget burn of the requests that this node took from callers.
     #[must_use]
     pub fn burn_report(&self, now: Duration, query: &BurnQuery) -> BurnReport {
         self.burn.query(now, query, &self.objectives)
     }
 
     /// Records a note. Returns the request if the note reports its end.
-    pub fn take(&mut self, now: Duration, note: &NodeNote) -> Option<RequestId> {
+    pub fn record(&mut self, now: Duration, note: &NodeNote) -> Option<RequestId> {
         match note {
             NodeNote::RequestSettled(summary) => {
                 self.record_settled(now, summary);
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Missing contracts are requested twice a second, so each log head is reported only once.
+    /// Reports each log head only once, because missing contracts are requested twice a second.
     fn record_lag(&mut self, offset: u64, head: u64) {
         self.metrics.set(
             SeriesKey::of(MetricName::ContractLag),
--- a/crates/daemon/src/notes/periodic.rs
+++ b/crates/daemon/src/notes/periodic.rs
@@ -33,7 +33,7 @@
         self.emit_ended_overloads(now);
         if now >= self.next_slow_check {
             self.next_slow_check = now + SLOW_CHECK_PERIOD;
-            self.reach.expire_lost(now);
+            self.partitions.expire_lost(now);
             self.update_member_gauges(engine);
             self.update_upstream_gauges(engine);
             self.check_burn_alerts(now);
@@ -103,7 +103,7 @@
 
     fn check_burn_alerts(&mut self, now: Duration) {
         let report = self.burn_report(now, &BurnQuery::default());
-        for change in self.burn_watch.update(&report) {
+        for change in self.alert_tracker.update(&report) {
             if let Some(code) = change.event() {
                 let fields = EventFields::new()
                     .customer(&change.customer)
--- a/crates/daemon/src/notes/roster.rs
+++ b/crates/daemon/src/notes/roster.rs
@@ -1,5 +1,5 @@
-//! Records membership changes: other daemons that join, leave or fail, and this daemon's own
-//! standing.
+//! Records membership changes: other daemons that join, leave or fail, and changes of this daemon's
+//! own state as its peers see it.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
         match note {
             NodeNote::MemberUp(peer) => {
                 self.emit_peer(EventCode::MemberUp, peer);
-                let change = self.reach.up(peer.node);
-                self.emit_reach_change(change);
+                let change = self.partitions.up(peer.node);
+                self.emit_partition_change(change);
             }
             NodeNote::MemberDown { instance, cause } => {
                 self.emit_peer(down_event(*cause), instance);
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Updates the reach watch. A daemon that restarted (`DownCause::Replaced`) does not count as
-    /// lost.
+    /// Updates the partition monitor. A daemon that restarted (`DownCause::Replaced`) does not
+    /// count as lost.
     fn record_member_down(&mut self, now: Duration, instance: &InstanceId, cause: DownCause) {
         match cause {
             DownCause::Dead => {
-                let change = self.reach.lost(now, instance.node);
-                self.emit_reach_change(change);
+                let change = self.partitions.lost(now, instance.node);
+                self.emit_partition_change(change);
             }
-            DownCause::Left | DownCause::LostWhileLeaving => self.reach.left(instance.node),
+            DownCause::Left | DownCause::LostWhileLeaving => self.partitions.left(instance.node),
             DownCause::Replaced => {}
         }
     }
 
-    fn emit_reach_change(&self, change: Option<PartitionChange>) {
+    fn emit_partition_change(&self, change: Option<PartitionChange>) {
         match change {
             Some(PartitionChange::Detected { lost, known }) => {
                 let fields = EventFields::new().count(&lost).limit(&known);
--- a/crates/daemon/src/operators/route.rs
+++ b/crates/daemon/src/operators/route.rs
@@ -68,7 +68,10 @@
 
 /// Records a call in the audit trail. Runs for every call, so that no route can miss it.
 async fn audit(context: &OperatorContext, call: &OperatorCall, reply: &Response<Bytes>) {
-    let account = context.gate.authenticate(&call.headers, call.peer).ok();
+    let account = context
+        .authenticator
+        .authenticate(&call.headers, call.peer)
+        .ok();
     let path = canonical_path(call.uri.path());
     let audited = AuditCall {
         method: &call.method,
@@ -101,7 +104,7 @@
         ("DELETE", ["v1", "local", "upstreams", slot]) => withdraw(context, call, slot).await,
         (_, ["v1", rest @ ..]) => {
             let account = context
-                .gate
+                .authenticator
                 .authenticate(&call.headers, call.peer)
                 .map_err(|denial| {
                     ApiProblem::new(StatusCode::UNAUTHORIZED, "unauthorized", denial)
@@ -177,7 +180,7 @@
     context: &OperatorContext,
     call: &OperatorCall,
 ) -> Option<Response<Bytes>> {
-    let adapter = context.announcement.as_ref()?;
+    let adapter = context.announcement_adapter.as_ref()?;
     let answer = adapter.read(AnnouncementCall {
         method: &call.method,
         path: call.uri.path(),
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -37,8 +37,8 @@
     pub log: Arc<dyn LogClient>,
     /// Name of the stream of contract changes.
     pub stream: Arc<str>,
-    /// Accounts that may call the port.
-    pub gate: OperatorAuthenticator,
+    /// Authenticator of calls, with the accounts that may call the port.
+    pub authenticator: OperatorAuthenticator,
     /// Clock for the stamps of changes and for timeouts.
     pub clock: Arc<dyn NodeClock>,
     /// Addresses of the backend servers of this instance.
@@ -47,8 +47,9 @@
     pub ready: Arc<AtomicBool>,
     /// Set when an operator requests a drain.
     pub drain_requested: Arc<AtomicBool>,
-    /// Adapter for announcements in the platform's own protocol, if there is one.
-    pub announcement: Option<Arc<dyn AnnouncementAdapter>>,
+    /// Adapter for announcements in the platform's own protocol; `None` when backend servers use
+    /// only the native one.
+    pub announcement_adapter: Option<Arc<dyn AnnouncementAdapter>>,
     /// Address that this port listens on; calls from it count as local.
     pub listen_ip: IpAddr,
 }
--- a/crates/daemon/src/ready.rs
+++ b/crates/daemon/src/ready.rs
@@ -19,17 +19,17 @@
     listener: TcpListener,
     ready: Arc<AtomicBool>,
 ) -> PortServer {
-    let answer = move |_: WebRequest| {
+    let handler = move |_: WebRequest| {
         let ready = ready.load(Ordering::Relaxed);
         async move {
-            let mut answer = Response::new(ResponseBody::empty());
+            let mut response = Response::new(ResponseBody::empty());
             if !ready {
-                *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+                *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             }
-            answer
+            response
         }
     };
-    server.port("ready", listener, answer)
+    server.port("ready", listener, handler)
 }
 
 /// Media type of the metrics page.
@@ -41,14 +41,14 @@
     listener: TcpListener,
     page: MetricPage,
 ) -> PortServer {
-    let answer = move |_: WebRequest| {
+    let handler = move |_: WebRequest| {
         let text = page.text();
         async move {
-            let mut answer = Response::new(ResponseBody::bytes(Bytes::from(text)));
+            let mut response = Response::new(ResponseBody::bytes(Bytes::from(text)));
             let kind = HeaderValue::from_static(METRICS_TYPE);
-            answer.headers_mut().insert(CONTENT_TYPE, kind);
-            answer
+            response.headers_mut().insert(CONTENT_TYPE, kind);
+            response
         }
     };
-    server.port("metrics", listener, answer)
+    server.port("metrics", listener, handler)
 }
--- a/crates/daemon/src/part.rs
+++ b/crates/daemon/src/reply.rs
@@ -1,4 +1,5 @@
-//! Messages between the exchange, the attempts and the executor of one request.
+//! Parts of a reply and channels for bodies, which connect the exchange, the attempts and the
+//! executor of one request.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/source_thread.rs
+++ b/crates/daemon/src/source_thread.rs
@@ -122,10 +122,10 @@
             }
             LogCommand::FindMembers => signals.find.notify_one(),
             LogCommand::RecordIncarnation { incarnation } => {
-                signals.recorded.send_replace(Some(incarnation));
+                signals.incarnation.send_replace(Some(incarnation));
             }
             command => tracing::debug!(
-                ?command,
+                order = ?command,
                 "ignored a log command: contracts come from a source"
             ),
         }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -92,7 +92,7 @@
 
 /// Builds and validates the engine's settings from the sections of the daemon's settings.
 pub fn engine_settings(settings: &DaemonSettings) -> anyhow::Result<EngineSettings> {
-    let mut parts = EngineSettings {
+    let mut engine = EngineSettings {
         first_start: settings.first_start,
         leave_serving: settings.drain.serving,
         roster: section("roster", &settings.roster)?,
@@ -101,25 +101,25 @@
         ..EngineSettings::default()
     };
     if let Some(share) = settings.limits.get("share") {
-        parts.share = section("limits.share", share)?;
+        engine.share = section("limits.share", share)?;
     }
     if let Some(crash) = settings.limits.get("crash") {
-        parts.crash = section("limits.crash", crash)?;
+        engine.crash = section("limits.crash", crash)?;
     }
     if let Some(gate) = settings.limits.get("gate") {
-        parts.gate = section("limits.gate", gate)?;
+        engine.gate = section("limits.gate", gate)?;
     }
     if let Some(quota) = settings.limits.get("quota") {
-        parts.quota = section("limits.quota", quota)?;
+        engine.quota = section("limits.quota", quota)?;
     }
-    // The roster fills datagrams up to this size before they are sealed.
-    let datagram = &mut parts.roster.datagram_bytes;
+    // The roster fills datagrams up to this size, before the wire protocol adds its prefix and MAC.
+    let datagram = &mut engine.roster.datagram_bytes;
     *datagram = (*datagram).min(DATAGRAM_PAYLOAD);
-    parts
+    engine
         .validate()
         .into_result()
         .context("the settings have findings")?;
-    Ok(parts)
+    Ok(engine)
 }
 
 fn section<T>(place: &str, value: &serde_json::Value) -> anyhow::Result<T>
--- a/crates/daemon/src/work/attempt.rs
+++ b/crates/daemon/src/work/attempt.rs
@@ -17,7 +17,7 @@
 
 use super::executor::{ExecutorTask, execute};
 use super::{AttemptTask, ReplySink, WorkContext};
-use crate::part::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
+use crate::reply::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
 
 /// Longest time since a peer's last reply for which the peer gets work without a liveness probe.
 /// Connections with work on them complete a round trip every 250 ms.
@@ -30,7 +30,8 @@
 pub struct WorkExtras {
     /// Proof of the guards' grants, for a request that must not run twice.
     pub ticket: Option<DispatchTicket>,
-    /// Reply header in which the backend server must repeat the request id.
+    /// Reply header in which the backend server must repeat the request id; `None` when the
+    /// contract names none.
     pub reply_id_header: Option<String>,
     /// The caller's id of the request, or the fleet's id if the caller sent none.
     pub label: Arc<str>,
--- a/crates/daemon/src/work/backend.rs
+++ b/crates/daemon/src/work/backend.rs
@@ -21,7 +21,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-use crate::part::{BodyReceiver, BodyTruncated};
+use crate::reply::{BodyReceiver, BodyTruncated};
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/work/executor.rs
+++ b/crates/daemon/src/work/executor.rs
@@ -23,7 +23,7 @@
 use crate::border::{BackendRequest, ReplyExpectation, ReplyVerdict, RequestSpec};
 use crate::callers::{StoredReply, is_hop_by_hop_header};
 use crate::inbox::DecisionInput;
-use crate::part::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
+use crate::reply::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
 
 /// Capacity of the command channel of one piece of work.
 const COMMAND_DEPTH: usize = 4;
@@ -50,7 +50,8 @@
     pub body: BodyReceiver,
     /// Length of the body in bytes; `None` when unknown.
     pub body_length: Option<u64>,
-    /// Reply header in which the backend server must repeat the request id.
+    /// Reply header in which the backend server must repeat the request id; `None` when the
+    /// contract names none.
     pub reply_id_header: Option<String>,
     /// Channel for the reply.
     pub reply: ReplySink,
@@ -60,9 +61,9 @@
 
 /// Requests a slot for the task and runs it.
 pub async fn execute(context: WorkContext, task: ExecutorTask) {
-    let (port, mut commands) = mpsc::channel(COMMAND_DEPTH);
+    let (command_sender, mut commands) = mpsc::channel(COMMAND_DEPTH);
     let work = task.offer.work;
-    let input = DecisionInput::Offer(task.offer.clone(), port);
+    let input = DecisionInput::Offer(task.offer.clone(), command_sender);
     if context.inbox.try_send(input).is_err() {
         let refusal = RequestRefusal::not_run(RefusalCode::Overloaded);
         refuse(&task.reply, &refusal, None).await;
@@ -211,6 +212,7 @@
     work: WorkId,
     slot: u16,
     request_id: String,
+    /// Whether the work must not run twice, so that its reply is stored for a resend.
     keyed: bool,
     request: Option<(Request<super::backend::BackendBody>, ReplyExpectation)>,
     reply: ReplySink,
--- a/crates/daemon/src/work/mod.rs
+++ b/crates/daemon/src/work/mod.rs
@@ -25,7 +25,7 @@
 use sycamorelink_policy::LoadHint;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::part::{BodyReceiver, ReplyPart};
+use crate::reply::{BodyReceiver, ReplyPart};
 
 /// One attempt, sent from the exchange to the work thread.
 #[derive(Debug)]
--- a/crates/daemon/src/work/serving.rs
+++ b/crates/daemon/src/work/serving.rs
@@ -19,7 +19,7 @@
 use super::executor::{ExecutorTask, execute};
 use super::{ReplySink, WorkContext};
 use crate::inbox::DecisionInput;
-use crate::part::{
+use crate::reply::{
     AttemptFailure, BODY_DEPTH, BodySender, BodyTruncated, REPLY_DEPTH, ReplyHead, ReplyPart,
 };
 
@@ -105,8 +105,8 @@
         refuse_malformed(reply, attempt).await;
         return;
     };
-    let (parts_in, parts) = mpsc::channel(REPLY_DEPTH);
-    let (body_in, body_out) = mpsc::channel(BODY_DEPTH);
+    let (part_sender, parts) = mpsc::channel(REPLY_DEPTH);
+    let (body_sender, body_receiver) = mpsc::channel(BODY_DEPTH);
     let (cancel, cancelled) = oneshot::channel();
     let reply_id_header = extras.reply_id_header.clone();
     let offer = work_offer(&context, peer, &head, extras);
@@ -115,10 +115,10 @@
         method: head.method,
         target: head.target,
         headers: head.headers,
-        body: body_out,
+        body: body_receiver,
         body_length: head.body_length,
         reply_id_header,
-        reply: ReplySink::new(attempt.number, parts_in),
+        reply: ReplySink::new(attempt.number, part_sender),
         cancelled,
     };
     let relay = ReplyRelay {
@@ -126,7 +126,7 @@
         attempt,
         slot,
     };
-    tokio::task::spawn_local(forward_body(body, body_in));
+    tokio::task::spawn_local(forward_body(body, body_sender));
     tokio::task::spawn_local(execute(context, task));
     relay.run(parts, reply, cancel).await;
 }
--- a/crates/daemon/tests/telemetry/metrics.rs
+++ b/crates/daemon/tests/telemetry/metrics.rs
@@ -71,7 +71,8 @@
     let callers = node.handle.addresses().callers;
     let mut stream = TcpStream::connect(callers).expect("the daemon listens");
     let head = format!(
-        "GET /documents/7 HTTP/1.1\r\nhost: {callers}\r\nauthorization: Bearer {BRANNOCK_TOKEN}\r\n\r\n"
+        "GET /documents/7 HTTP/1.1\r\nhost: {callers}\r\n\
+         authorization: Bearer {BRANNOCK_TOKEN}\r\n\r\n"
     );
     stream
         .write_all(head.as_bytes())
--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads arguments, runs one daemon, turns its end into an exit code.
+//! Daemon binary: parses the arguments, runs one daemon, and reports errors through the exit code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,18 +19,18 @@
     settings: PathBuf,
 }
 
-/// The borders that the settings ask for.
-fn borders(settings: &DaemonSettings) -> Result<DaemonAdapters, FindingList> {
+/// Returns the adapters for the protocols that the settings select.
+fn adapters(settings: &DaemonSettings) -> Result<DaemonAdapters, FindingList> {
     match settings.interface {
         InterfaceProtocol::Own => Ok(DaemonAdapters::native(settings)),
-        InterfaceProtocol::Platform => sycamorelink_platform::borders(settings),
+        InterfaceProtocol::Platform => sycamorelink_platform::adapters(settings),
     }
 }
 
 fn main() -> ExitCode {
     let args = DaemonArgs::parse();
     let mut context = ShellContext::builder(ToolSettings::default()).build();
-    match serve_daemon(&mut context, &args.settings, &borders) {
+    match serve_daemon(&mut context, &args.settings, &adapters) {
         Ok(()) => ExitKind::Success.code().into(),
         Err(error) => {
             context.error(&error);
