--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -23,7 +23,7 @@
 fn build_adapters(settings: &DaemonSettings) -> Result<DaemonAdapters, FindingList> {
     match settings.interface {
         InterfaceProtocol::Own => Ok(DaemonAdapters::native(settings)),
-        InterfaceProtocol::Platform => sycamorelink_platform::borders(settings),
+        InterfaceProtocol::Platform => sycamorelink_platform::adapters(settings),
     }
 }
 
