--- a/crates/guard/src/contest.rs
+++ b/crates/guard/src/contest.rs
@@ -12,7 +12,7 @@
 //!   |<-- Withdrawn(9) --------------|
 //!   |-- Contest(9, mine 7) ----x        no answer
 //!   |-- Inquire(9, fence) --------------------------------->|  never seen: fenced
-//!   |<-- Fenced ---------------------------------------------|
+//!   |<-- Fenced --------------------------------------------|
 //! ```
 
 use sycamorelink_core::{AttemptId, InstanceId, RefusalCode, RequestId};
--- a/crates/guard/src/custody.rs
+++ b/crates/guard/src/custody.rs
@@ -168,7 +168,7 @@
         context.send(from, chunk);
     }
 
-    /// Notes that a source does not hold the records.
+    /// Records that a source does not hold the records.
     pub(crate) fn on_custody_none(
         &mut self,
         from: InstanceId,
@@ -211,7 +211,7 @@
         seat.request_custody(context, from);
     }
 
-    /// Tells a retired seat whether this one holds the records.
+    /// Replies to a retired seat whether this one holds the records.
     pub(crate) fn on_ready_ask(
         &mut self,
         context: &mut GuardContext<'_>,
--- a/crates/limits/src/crash/registry.rs
+++ b/crates/limits/src/crash/registry.rs
@@ -69,8 +69,9 @@
 
     /// Requests the turn for a signature on probation. `ask` must be unique on this node.
     ///
-    /// The result follows as [`CrashCommand::Turn`], if the owner does not answer then from
-    /// [`Self::tick`] after `turn_wait`.
+    /// The result follows as [`CrashCommand::Turn`]: at once if this node has no evidence or is
+    /// the owner, otherwise with the owner's answer. If the owner does not answer within
+    /// `turn_wait`, [`Self::tick`] denies the turn.
     pub fn request_turn(
         &mut self,
         now: Duration,
--- a/crates/limits/src/crash/settings.rs
+++ b/crates/limits/src/crash/settings.rs
@@ -15,17 +15,21 @@
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub remember: Duration,
-    /// Signatures remembered at most; the oldest of one crash go first.
+    /// Maximum number of remembered signatures. A full registry drops the signature with the fewest
+    /// counted crashes, and the oldest of those.
     pub capacity: u32,
-    /// How long a turn lasts before the owner may give the next. No request may run longer.
+    /// How long a turn lasts unless it is returned earlier. A turn is the exclusive permission to
+    /// run a request that is suspected of a crash; no request may run longer.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub turn: Duration,
-    /// How long failed answers wait for the executors to acknowledge the report of a crash.
+    /// Maximum time for which the failed answers after a crash are held back until all executors
+    /// have acknowledged the report of the crash.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub report_wait: Duration,
-    /// How long the asker waits for the owner.
+    /// How long a node waits for the owner's answer to its request for a turn. After that, the
+    /// suspected request is refused as not run.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub turn_wait: Duration,
--- a/crates/limits/src/quota/settings.rs
+++ b/crates/limits/src/quota/settings.rs
@@ -24,18 +24,18 @@
 /// Maximum report interval. Demand that is a second old predicts little about the next second.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far beyond its quota an account may get in a window, as the operator of the fleet states it.
+/// Amount by which an account may exceed its quota in a window, set by the operator of the fleet.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuotaSettings {
-    /// Length of the window.
+    /// Length of the window over which admitted requests are compared with the quota.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub window: Duration,
-    /// Part of the quota of a window by which it may be exceeded.
+    /// Fraction of the quota of a window by which the quota may be exceeded: 0.1 allows 10 % more.
     pub overage: f64,
-    /// Requests in a window by which it may be exceeded besides.
+    /// Number of requests in a window by which the quota may be exceeded in addition to `overage`.
     pub slack: f64,
 }
 
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -1,10 +1,10 @@
 //! Retry budget: limits retries to a share of first tries, so that retries cannot outlast the fault
 //! that caused them.
 //!
-//! Each first try deposits `percent` of a token, a minimum accrues with time, and each retry
-//! withdraws one token. Deposits older than the window no longer count. One budget belongs to one
-//! customer and service. Hedges have a separate budget, so that hedges for slow replies cannot use
-//! up the retries for failed requests.
+//! Each first try deposits `percent` of a token, a minimum accrues with time, and each repeat (a
+//! retry or a hedge) withdraws one token. Deposits older than the window no longer count. One
+//! budget belongs to one customer and service. Hedges have a separate budget, so that hedges for
+//! slow replies cannot use up the retries for failed requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/limits/src/share/active.rs
+++ b/crates/limits/src/share/active.rs
@@ -38,7 +38,9 @@
     base_blocks: u32,
     base_slots: u32,
     rights_end: Duration,
+    /// Requests since the last plan that lacked a token or a slot.
     shortage_count: u32,
+    /// Whether a request may wait for the next grant.
     has_waiting: bool,
     mean_finish_interval: Duration,
     finished_at: Duration,
@@ -172,14 +174,14 @@
             self.demand.offered(now);
         }
         self.bucket.fill(now, settings.burst);
-        let slot = self.in_flight() < self.slots;
-        if slot && self.bucket.take() {
+        let has_free_slot = self.in_flight() < self.slots;
+        if has_free_slot && self.bucket.take() {
             self.demand.started(now);
             return Admission::Admitted;
         }
         let shortage = ShareShortage {
             token: self.bucket.next_token() != Some(Duration::ZERO),
-            slot: !slot,
+            slot: !has_free_slot,
         };
         self.record_shortage(shortage);
         match self.wait_until(now, settings, shortage) {
@@ -212,9 +214,9 @@
         if !shortage.slot && next.is_some_and(|next| next <= last) && self.shortage_count <= 1 {
             return next;
         }
-        let asked = self.leases.iter().any(ShareLease::is_ask_pending);
+        let ask_pending = self.leases.iter().any(ShareLease::is_ask_pending);
         let may_gain = self.leases.iter().any(|lease| lease.may_grant(now));
-        (asked || may_gain).then_some(last)
+        (ask_pending || may_gain).then_some(last)
     }
 
     /// Returns the time after which a refused caller may retry.
--- a/crates/limits/src/share/mod.rs
+++ b/crates/limits/src/share/mod.rs
@@ -4,7 +4,8 @@
 //! base share, which all members divide among themselves. The units belong to keepers, one or two
 //! in each failure domain, which are selected from the roster by rendezvous hashing of the
 //! customer. A holder is a daemon with callers of the customer. It requests leases from the keepers
-//! according to its demand; such a request is called an ask.
+//! according to its demand; such a request is called an ask. The rights of a node are the rate and
+//! slots that it may use: its base share and its leases.
 //!
 //! ```text
 //! caller -> CustomerShare::admit -> Admitted | Refused | Wait
--- a/crates/limits/src/share/node.rs
+++ b/crates/limits/src/share/node.rs
@@ -14,7 +14,7 @@
 };
 
 /// Maximum number of rounds of asks and grants between a node and itself in one call. Each round
-/// moves on to the next keeper place, of which there are fewer.
+/// moves on to the next keeper place, and there are fewer places than rounds.
 const MAX_LOCAL_ROUNDS: usize = 64;
 
 /// Participant of one node in the fleet-wide limits.
--- a/crates/limits/src/share/pool.rs
+++ b/crates/limits/src/share/pool.rs
@@ -47,7 +47,7 @@
 impl PoolHolding {
     /// Updates the need from an ask. The need of a holder that requests nothing counts as zero,
     /// because the holder does not ask again for a while and the value would become stale.
-    fn need(&mut self, ask: &AskEntry) {
+    fn update_need(&mut self, ask: &AskEntry) {
         self.need_rate = if ask.want_rate > 0 {
             u64::from(ask.need_rate)
         } else {
@@ -210,7 +210,7 @@
             holding.ends = holding.newest_ends;
         }
         holding.number = ask.number;
-        holding.need(ask);
+        holding.update_need(ask);
         let mut sums = self.sums;
         sums.add(holding);
         let free = PoolSize {
--- a/crates/limits/src/share/settings.rs
+++ b/crates/limits/src/share/settings.rs
@@ -11,24 +11,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShareSettings {
-    /// Share of the rate that all members divide evenly and use without asking, in percent.
+    /// Base share of a contract, in percent: the part of the rate and concurrency that all members
+    /// divide among themselves and use without a lease.
     pub base_percent: u32,
-    /// Length of a lease on a contract that is much used.
+    /// Minimum length of a lease; applies while more than half of a contract is leased.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub lease: Duration,
-    /// Length of a lease on a contract of which no more than half is leased. Such leases block
-    /// nobody, and most are of this kind, so they are renewed seldom.
+    /// Maximum length of a lease. Leases have this length while no more than half of a contract is
+    /// leased: they take nothing that another node needs. Most leases are of this kind, so the
+    /// greater length saves many renewals.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub long_lease: Duration,
-    /// Margin for clocks that run at different speed, in percent of the lease.
+    /// Allowed difference in speed between the clocks of two nodes, in percent. A keeper waits for
+    /// the length of a lease plus this margin before it leases the same part of a contract again.
     pub drift_percent: u32,
     /// Largest burst, as time at the full rate.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub burst: Duration,
-    /// Shortest time between two asks for the same lease.
+    /// Minimum time between two requests for the same lease.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub ask_interval: Duration,
@@ -36,8 +39,9 @@
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub first_wait: Duration,
-    /// How long a node that cannot make sure of its place in the roster keeps its rights, and how
-    /// long a lost node's rights stay unused.
+    /// How long a node may use its leases and base share after it last confirmed that all members
+    /// still list it. A silent member is removed from the roster no sooner, so its part of each
+    /// contract stays unused for at least this time.
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub right_hold: Duration,
@@ -59,8 +63,8 @@
 }
 
 impl ShareSettings {
-    /// Returns the time after its last sign of life at which a silent member may be removed from
-    /// the roster. By then its rights have ended by its own clock, within the allowed drift.
+    /// Returns how long after its last message a silent member may be removed from the roster. By
+    /// then its rights have ended by its own clock, within the allowed drift.
     #[must_use]
     pub fn removal_wait(&self) -> Duration {
         let drift = self.right_hold * self.drift_percent / 100;
--- a/crates/limits/tests/crash.rs
+++ b/crates/limits/tests/crash.rs
@@ -285,21 +285,21 @@
         ..CrashSettings::default()
     };
     let mut registry = CrashRegistry::new(instance(0), settings);
-    let victim = |life| CrashVictim {
+    let victim = |incarnation| CrashVictim {
         upstream: UpstreamId {
             node: instance(0).node,
             slot: 0,
         },
-        incarnation: NodeIncarnation(life),
+        incarnation: NodeIncarnation(incarnation),
     };
     let mut out = Vec::new();
-    for life in 0..2 {
+    for incarnation in 0..2 {
         let event = CrashEvent::Crashed {
             service: ServiceName::new("quotes"),
-            victim: victim(life),
+            victim: victim(incarnation),
             running: vec![crashing_request()],
         };
-        registry.handle(Duration::from_secs(life), event, &mut out);
+        registry.handle(Duration::from_secs(incarnation), event, &mut out);
     }
     for number in 0..100 {
         let event = CrashEvent::Crashed {
--- a/crates/limits/tests/fleet/mod.rs
+++ b/crates/limits/tests/fleet/mod.rs
@@ -79,10 +79,10 @@
     }
 
     /// Starts an incarnation of a node and adds it to the newest roster.
-    pub fn join(&mut self, instance: usize, life: u64, domain: usize, speed: u32) {
+    pub fn join(&mut self, instance: usize, incarnation: u64, domain: usize, speed: u32) {
         let own = InstanceId {
             node: NodeId::of(&format!("instance-{instance}")),
-            incarnation: NodeIncarnation(life),
+            incarnation: NodeIncarnation(incarnation),
         };
         let mut share = ShareNode::new(own, self.settings.clone());
         let event = ShareEvent::Contract {
--- a/crates/limits/tests/quota.rs
+++ b/crates/limits/tests/quota.rs
@@ -28,7 +28,7 @@
     holders: Vec<QuotaHolder>,
     keepers: Vec<QuotaKeeper>,
     reports: Vec<(usize, usize, UsageReport)>,
-    news: Vec<(usize, InstanceId, ShareUpdate)>,
+    updates: Vec<(usize, InstanceId, ShareUpdate)>,
     rng: SmallRng,
     step: u64,
     /// Times of the admitted requests in milliseconds.
@@ -71,7 +71,7 @@
                 .collect(),
             keepers: (0..count).map(|_| QuotaKeeper::new(settings)).collect(),
             reports: Vec::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             step: 0,
             admitted: Vec::new(),
@@ -151,15 +151,15 @@
                 self.reports.push((node, index_of(keeper), report));
             }
         }
-        for news in self.keepers[node].news(now) {
+        for update in self.keepers[node].news(now) {
             let (side, own) = (self.side(node), self.nodes[node]);
-            self.news.extend(side.map(|other| (other, own, news)));
+            self.updates.extend(side.map(|other| (other, own, update)));
         }
     }
 
     fn deliver(&mut self, now: Duration) {
-        for (node, keeper, news) in std::mem::take(&mut self.news) {
-            self.holders[node].told(now, keeper, news);
+        for (node, keeper, update) in std::mem::take(&mut self.updates) {
+            self.holders[node].told(now, keeper, update);
         }
         let whole = f64::from(u32::try_from(self.nodes.len()).expect("small"));
         for (_, keeper, report) in std::mem::take(&mut self.reports) {
@@ -271,7 +271,7 @@
         fleet.holders = fresh.holders;
         fleet.keepers = fresh.keepers;
         fleet.reports.clear();
-        fleet.news.clear();
+        fleet.updates.clear();
         // A process takes a second to restart after a power loss.
         fleet.run(1, 0.0);
         fleet.run(6, rate * 5.0);
--- a/crates/limits/tests/share_never_above.rs
+++ b/crates/limits/tests/share_never_above.rs
@@ -36,7 +36,7 @@
     /// Time since which each node has not read the log; `None` while it reads.
     silent_since: Vec<Option<Duration>>,
     running: Vec<(Duration, usize)>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
 }
 
 impl FaultSchedule {
@@ -46,7 +46,7 @@
             fleet: ShareFleet::empty(settings(), RATE_MILLIS, CONCURRENCY),
             silent_since: Vec::new(),
             running: Vec::new(),
-            lives: Vec::new(),
+            incarnations: Vec::new(),
         };
         for _ in 0..schedule.rng.random_range(1..7) {
             schedule.join_new();
@@ -56,15 +56,16 @@
     }
 
     fn join_new(&mut self) {
-        let instance = self.lives.len();
-        self.lives.push(1);
+        let instance = self.incarnations.len();
+        self.incarnations.push(1);
         self.join(instance);
     }
 
     fn join(&mut self, instance: usize) {
         let speed = self.rng.random_range(993..=1007);
-        let life = self.lives[instance];
-        self.fleet.join(instance, life, instance % DOMAINS, speed);
+        let incarnation = self.incarnations[instance];
+        self.fleet
+            .join(instance, incarnation, instance % DOMAINS, speed);
         self.silent_since.push(None);
     }
 
@@ -133,10 +134,10 @@
         }
         let name = self.fleet.nodes[number].member.instance.node;
         self.fleet.stop(number);
-        let instance = (0..self.lives.len())
+        let instance = (0..self.incarnations.len())
             .find(|instance| sycamorelink_core::NodeId::of(&format!("instance-{instance}")) == name)
             .expect("every node has a name");
-        self.lives[instance] += 1;
+        self.incarnations[instance] += 1;
         self.join(instance);
     }
 
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -124,6 +124,7 @@
     fault_started_at: Option<Duration>,
     /// Complete replies since the last bad outcome.
     served_in_row: u32,
+    /// Whether runs that have not ended with a reply count as evidence.
     use_ages: bool,
 }
 
@@ -180,8 +181,8 @@
 
     /// Sets whether runs that have not ended with a reply count as evidence. On by default.
     #[must_use]
-    pub const fn use_run_ages(mut self, count: bool) -> Self {
-        self.use_ages = count;
+    pub const fn use_run_ages(mut self, enabled: bool) -> Self {
+        self.use_ages = enabled;
         self
     }
 
@@ -318,8 +319,8 @@
         self.track_fault(now, kind, ratio, took);
     }
 
-    /// Removes a run whose end says nothing about the server: an error that a failed downstream call
-    /// explains.
+    /// Removes a run whose end is no evidence about the server, such as an error that a failed
+    /// downstream call explains.
     pub fn ended_without_evidence(&mut self, run: u64) {
         self.open_runs.remove(&run);
     }
--- a/crates/policy/src/exchange.rs
+++ b/crates/policy/src/exchange.rs
@@ -33,10 +33,9 @@
     /// Returns the evidence to send to all peers, at most `report_size` entries. Empty when no
     /// score changed significantly. Must be called about every 100 ms.
     ///
-    /// While most upstreams look faulty to this node alone, it sends nothing as a caller: it is
-    /// probably cut off, and its peers would take weight from healthy upstreams. It still reports
-    /// the upstreams that run on it, because that evidence doesn't depend on the broken network
-    /// path.
+    /// While most upstreams look faulty to this node as a caller, it sends nothing in that role: the
+    /// node may be cut off, and its peers would take weight from healthy upstreams. It still reports
+    /// the upstreams that run on it, because that evidence doesn't depend on the network path.
     pub fn report(&mut self, now: Duration) -> Vec<UpstreamEvidence> {
         let mut pending = self.pending_reports(now);
         pending.sort_unstable_by(|left, right| {
--- a/crates/policy/src/facts.rs
+++ b/crates/policy/src/facts.rs
@@ -22,7 +22,7 @@
 pub struct UpstreamView {
     /// Requests that this node has in flight to the upstream.
     pub in_flight: u32,
-    /// Share of its usual work that the upstream gets, from 0 to 1.
+    /// Fraction of its fair share of requests that the upstream gets, from 0 to 1.
     pub weight: f64,
     /// Highest score over the kinds of fault, in nats.
     pub suspicion: f64,
@@ -46,7 +46,7 @@
 pub struct UpstreamStanding {
     /// Id of the upstream.
     pub id: UpstreamId,
-    /// Share of its fair share of requests that the upstream gets, from 0 to 1.
+    /// Fraction of its fair share of requests that the upstream gets, from 0 to 1.
     pub weight: f64,
     /// Highest score over the kinds of fault, in nats.
     pub suspicion: f64,
--- a/crates/policy/src/flight.rs
+++ b/crates/policy/src/flight.rs
@@ -40,7 +40,7 @@
     pub(crate) late: bool,
 }
 
-/// The requests in flight to one upstream.
+/// Requests in flight to one upstream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlightTable {
     tracked: [Option<Flight>; TRACKED_REQUESTS],
--- a/crates/policy/src/pool.rs
+++ b/crates/policy/src/pool.rs
@@ -38,6 +38,7 @@
     pub(crate) random: SmallRng,
     pub(crate) index_by_id: BTreeMap<UpstreamId, usize>,
     pub(crate) records: Vec<UpstreamRecord>,
+    /// Indexes of the upstreams that may be picked.
     pub(crate) candidates: Vec<usize>,
     pub(crate) domains: Vec<DomainName>,
     /// Failure domain whose upstreams are preferred; `None` treats all domains alike.
@@ -57,13 +58,17 @@
     pub(crate) refused_share: f64,
     /// When the first upstream was added.
     pub(crate) first_seen: Option<Duration>,
+    /// Whether the cause of the present faults is taken to be outside the upstreams.
     pub(crate) shared: bool,
     pub(crate) shared_until: Duration,
+    /// Whether most upstreams look faulty to this node as a caller, so that it reports nothing in
+    /// that role.
     pub(crate) observer_suspect: bool,
     pub(crate) last_tick: Duration,
-    /// Whether any peer has reported. A node without peers can't tell a fault of its own from a
+    /// Whether any peer has reported. Without reports, a fault of this node looks the same as a
     /// shared cause.
     pub(crate) has_peer_reports: bool,
+    /// Indexes of the suspects, highest score first.
     pub(crate) ranking: Vec<usize>,
     pub(crate) scratch: Vec<f64>,
 }
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -109,12 +109,14 @@
     pub(crate) rise_limiters: [RiseLimiter; 2],
     pub(crate) sent_own: SentScores,
     pub(crate) sent_beside: SentScores,
+    /// Attempts that ended on this node's own upstream since the last report.
     pub(crate) samples: u16,
     /// Lasting deviation of the upstream's log latency from the pool's.
     pub(crate) offset: f64,
     pub(crate) flights: FlightTable,
     /// Attempts that run on the upstream, if this is its own node.
     pub(crate) local_flights: Option<Box<FlightTable>>,
+    /// Last load hint, with the time of its arrival.
     pub(crate) hint: Option<(Duration, LoadHint)>,
     /// When the upstream became ready; `None` if it was ready before this node first saw it.
     pub(crate) ready_since: Option<Duration>,
@@ -130,16 +132,22 @@
     /// How long a shifted upstream has to be quiet before its next trial, or how long an ejected
     /// one stays ejected.
     pub(crate) hold: Duration,
+    /// Earlier shifts and ejections that still count; each doubles `hold`.
     pub(crate) strikes: u8,
     pub(crate) strike_at: Duration,
     pub(crate) ejected_at: Duration,
     pub(crate) notice: NoticeLevel,
+    /// Whether the floor keeps an upstream in service that is due for ejection.
     pub(crate) floor_held: bool,
+    /// When this node as a caller last scored a lost attempt.
     pub(crate) lost_at: Option<Duration>,
+    /// When this node as the upstream's own node last scored a lost attempt.
     pub(crate) local_lost_at: Option<Duration>,
     pub(crate) connection_replaced_at: Option<Duration>,
+    /// Whether evidence was cancelled for a replaced connection since the last served request.
     pub(crate) reset_used: bool,
     pub(crate) probe_requested_at: Option<Duration>,
+    /// End of the time for which the upstream counts as full after a refusal.
     pub(crate) refused_until: Duration,
     /// Index in the pool's list of candidates, if the upstream may be picked.
     pub(crate) candidate_index: Option<usize>,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -137,10 +137,10 @@
         kind: u64,
     ) -> Option<(UpstreamId, f64)> {
         let far_cost = self.distance_cost(kind);
-        let places = ids
+        let indexes = ids
             .iter()
             .filter_map(|id| self.index_by_id.get(id).copied());
-        places
+        indexes
             .filter(|&index| self.records[index].is_pickable())
             .map(|index| (self.records[index].id, self.cost_of(now, index, far_cost)))
             .min_by(|left, right| left.1.total_cmp(&right.1))
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -61,7 +61,7 @@
     #[serde_as(as = "DurationText")]
     #[schemars(with = "DurationText")]
     pub forgive_after: Duration,
-    /// Share of its fair share of requests that an upstream gets while it is probed after an
+    /// Fraction of its fair share of requests that an upstream gets while it is probed after an
     /// ejection.
     pub probe_weight: f64,
     /// Time in which a new upstream reaches its full weight.
--- a/crates/policy/tests/detection.rs
+++ b/crates/policy/tests/detection.rs
@@ -89,7 +89,12 @@
         1 => SampleKind::Refused,
         _ => SampleKind::Served,
     });
-    let is_probe_request = |finding: &PoolFinding| matches!(finding, PoolFinding::ConnectionSuspect { id, .. } if *id == upstream(1));
+    let is_probe_request = |finding: &PoolFinding| {
+        matches!(
+            finding,
+            PoolFinding::ConnectionSuspect { id, .. } if *id == upstream(1)
+        )
+    };
     assert!(bench.findings.iter().any(is_probe_request));
     bench.pool.connection_replaced(bench.now, upstream(1));
     let late = UpstreamSample::new(SampleKind::Silent, bench.now.saturating_sub(sent_at));
--- a/crates/policy/tests/floor.rs
+++ b/crates/policy/tests/floor.rs
@@ -63,7 +63,12 @@
         _ => SampleKind::Served,
     });
     assert_eq!(bench.ejected().len(), 2);
-    let held = |finding: &PoolFinding| matches!(finding, PoolFinding::FloorHeld { id, .. } if *id == upstream(2));
+    let held = |finding: &PoolFinding| {
+        matches!(
+            finding,
+            PoolFinding::FloorHeld { id, .. } if *id == upstream(2)
+        )
+    };
     assert!(bench.findings.iter().any(held));
     assert!(bench.pool.floor_status().kept());
 }
--- a/crates/roster/src/facts.rs
+++ b/crates/roster/src/facts.rs
@@ -23,7 +23,8 @@
     pub gossip_address: SocketAddr,
 }
 
-/// State of a member as agreed by gossip. Within one revision the greater value wins a merge.
+/// Lifecycle state of a member as agreed by gossip, called its standing. Within one revision the
+/// greater value wins a merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberStanding {
@@ -38,7 +39,7 @@
 }
 
 impl MemberStanding {
-    /// Whether the member still counts as running.
+    /// Returns whether the member still counts as running.
     #[must_use]
     pub const fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving)
@@ -50,7 +51,7 @@
 pub struct MemberView {
     /// Facts that the member announced.
     pub facts: MemberFacts,
-    /// State of the member as agreed by gossip.
+    /// Lifecycle state of the member as agreed by gossip.
     pub standing: MemberStanding,
     /// Whether this node gets direct replies from the member. A one-way partition can make a member
     /// unreachable for this node while it is alive for the fleet.
--- a/crates/roster/src/health.rs
+++ b/crates/roster/src/health.rs
@@ -77,7 +77,7 @@
         self.add_points(STALL_POINTS);
     }
 
-    /// Whether the last [`ISOLATION_PROBES`] probes got no reply from any node.
+    /// Returns whether the last [`ISOLATION_PROBES`] probes got no reply from any node.
     pub(crate) const fn is_isolated(&self) -> bool {
         self.unanswered_probes >= ISOLATION_PROBES
     }
--- a/crates/roster/src/node/gossip.rs
+++ b/crates/roster/src/node/gossip.rs
@@ -8,7 +8,7 @@
 use rand::seq::SliceRandom;
 use sycamorelink_core::{NodeId, UpstreamId};
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::event::RosterCommand;
 use crate::message::{MemberRumour, MessagePurpose, RosterMessage};
@@ -53,38 +53,38 @@
     /// Queues a rumour; an urgent one brings the next round forward.
     pub(super) fn enqueue(
         &mut self,
-        step: &RosterStep<'_>,
+        context: &RosterContext<'_>,
         class: SendClass,
         subject: RumourSubject,
     ) {
         self.queue.push(class, subject);
         if class <= SendClass::Head {
             let earliest = self.timers.gossiped_at + MIN_ROUND_INTERVAL;
-            let soon = (step.now + BATCH_DELAY).max(earliest);
+            let soon = (context.now + BATCH_DELAY).max(earliest);
             self.timers.gossip = self.timers.gossip.min(soon);
         }
     }
 
     /// Sends queued rumours to a few random peers.
-    pub(super) fn gossip_round(&mut self, step: &mut RosterStep<'_>) {
-        if step.now < self.timers.gossip || self.queue.is_empty() {
+    pub(super) fn gossip_round(&mut self, context: &mut RosterContext<'_>) {
+        if context.now < self.timers.gossip || self.queue.is_empty() {
             return;
         }
-        self.timers.gossip = step.now + self.settings.gossip_interval;
-        self.timers.gossiped_at = step.now;
+        self.timers.gossip = context.now + self.settings.gossip_interval;
+        self.timers.gossiped_at = context.now;
         let count = if std::mem::take(&mut self.broadcast) {
             self.settings.leave_fanout
         } else {
             self.settings.fanout
         };
         for peer in self.select_peers(count, &[]) {
-            if !self.send_rumours(step, peer) {
+            if !self.send_rumours(context, peer) {
                 break;
             }
         }
     }
 
-    fn send_rumours(&mut self, step: &mut RosterStep<'_>, peer: NodeId) -> bool {
+    fn send_rumours(&mut self, context: &mut RosterContext<'_>, peer: NodeId) -> bool {
         let Some(to) = self.table.get(peer).map(|entry| entry.facts.gossip_address) else {
             return true;
         };
@@ -94,13 +94,13 @@
         let Some(class) = self.fill_datagram(&mut packer) else {
             return false;
         };
-        self.send(step, class, to, purpose, packer.into_rumours())
+        self.send(context, class, to, purpose, packer.into_rumours())
     }
 
     /// Sends a probe or a reply to one, with rumours piggybacked.
     pub(super) fn send_probe(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         purpose: MessagePurpose,
         first: Option<MemberRumour>,
@@ -111,13 +111,19 @@
             packer.add(rumour, self.budget.allowance(SendClass::Probe));
         }
         self.fill_datagram(&mut packer);
-        self.send(step, SendClass::Probe, to, purpose, packer.into_rumours())
+        self.send(
+            context,
+            SendClass::Probe,
+            to,
+            purpose,
+            packer.into_rumours(),
+        )
     }
 
     /// Sends one datagram if the budget of its class permits. Returns whether it was sent.
     pub(super) fn send(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         class: SendClass,
         to: SocketAddr,
         purpose: MessagePurpose,
@@ -134,7 +140,7 @@
             return false;
         }
         self.mark_own_sequence_sent(&message.rumours);
-        step.command(RosterCommand::Send { to, message });
+        context.command(RosterCommand::Send { to, message });
         true
     }
 
--- a/crates/roster/src/node/local.rs
+++ b/crates/roster/src/node/local.rs
@@ -4,7 +4,7 @@
 
 use sycamorelink_core::{InstanceId, NodeIncarnation, UpstreamId};
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::event::{RosterCommand, RosterNote};
 use crate::facts::{MemberFacts, MemberStanding, UpstreamFacts, UpstreamPhase};
@@ -20,30 +20,36 @@
 impl NodeRoster {
     pub(super) fn set_upstream(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         slot: u16,
         facts: &UpstreamFacts,
     ) {
         let bytes = facts.service.as_str().len();
         if bytes > MAX_SERVICE_NAME_BYTES {
-            step.note(RosterNote::ServiceNameTooLong { slot, bytes });
+            context.note(RosterNote::ServiceNameTooLong { slot, bytes });
             return;
         }
         let service = self.table.services().intern(&facts.service);
         let leaving = facts.phase == UpstreamPhase::Leaving;
-        self.store_own_slot(step, slot, service, facts.slots, facts.phase);
+        self.store_own_slot(context, slot, service, facts.slots, facts.phase);
         if leaving {
             self.broadcast = true;
         }
     }
 
-    pub(super) fn remove_upstream(&mut self, step: &mut RosterStep<'_>, slot: u16) {
+    pub(super) fn remove_upstream(&mut self, context: &mut RosterContext<'_>, slot: u16) {
         let known = self
             .own_entry()
             .and_then(|entry| entry.slots.get(slot))
             .is_some_and(|entry| !entry.is_gone());
         if known {
-            self.store_own_slot(step, slot, ServiceNumber::GONE, 0, UpstreamPhase::Leaving);
+            self.store_own_slot(
+                context,
+                slot,
+                ServiceNumber::GONE,
+                0,
+                UpstreamPhase::Leaving,
+            );
             self.broadcast = true;
         }
     }
@@ -52,7 +58,7 @@
     /// that the upstreams of a starting node are sent as one run.
     fn store_own_slot(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         slot: u16,
         service: ServiceNumber,
         slots: u16,
@@ -65,22 +71,22 @@
             service,
             phase,
         };
-        self.store_slot(step, self.own_node, entry, true);
+        self.store_slot(context, self.own_node, entry, true);
     }
 
     /// Marks this node as leaving.
-    pub(super) fn leave(&mut self, step: &mut RosterStep<'_>) {
-        self.set_own_standing(step, MemberStanding::Leaving);
+    pub(super) fn leave(&mut self, context: &mut RosterContext<'_>) {
+        self.set_own_standing(context, MemberStanding::Leaving);
     }
 
     /// Announces the departure at once. The node sends nothing afterwards.
-    pub(super) fn depart(&mut self, step: &mut RosterStep<'_>) {
-        self.set_own_standing(step, MemberStanding::Left);
-        self.timers.gossip = step.now;
-        self.gossip_round(step);
+    pub(super) fn depart(&mut self, context: &mut RosterContext<'_>) {
+        self.set_own_standing(context, MemberStanding::Left);
+        self.timers.gossip = context.now;
+        self.gossip_round(context);
     }
 
-    fn set_own_standing(&mut self, step: &mut RosterStep<'_>, standing: MemberStanding) {
+    fn set_own_standing(&mut self, context: &mut RosterContext<'_>, standing: MemberStanding) {
         let Some((revision, before)) = self.own_entry().map(|e| (e.revision, e.standing)) else {
             return;
         };
@@ -88,10 +94,10 @@
             return;
         }
         self.table
-            .set_standing(step.now, self.own_node, revision, standing);
+            .set_standing(context.now, self.own_node, revision, standing);
         self.broadcast = true;
         self.enqueue(
-            step,
+            context,
             SendClass::Leave,
             RumourSubject::Standing(self.own_node),
         );
@@ -107,7 +113,7 @@
 
     pub(super) fn publish(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         topic: u8,
         key: u64,
         version: u64,
@@ -115,7 +121,7 @@
     ) {
         let bytes = body.len();
         if bytes > topic::MAX_BODY_BYTES {
-            step.note(RosterNote::TopicBodyTooLarge { topic, bytes });
+            context.note(RosterNote::TopicBodyTooLarge { topic, bytes });
             return;
         }
         let head = TopicHead {
@@ -123,16 +129,16 @@
             key,
             version,
         };
-        if self.topics.store(step.now, head, self.own_node, body) {
+        if self.topics.store(context.now, head, self.own_node, body) {
             let class = topic_class(topic);
-            self.enqueue(step, class, RumourSubject::Topic(topic, key));
+            self.enqueue(context, class, RumourSubject::Topic(topic, key));
         }
     }
 
     /// Handles state that a peer holds about this node, and refutes it if it is wrong.
     pub(super) fn on_rumour_about_self(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         instance: InstanceId,
         revision: u32,
         standing: MemberStanding,
@@ -144,20 +150,20 @@
         let own_incarnation = own.instance().incarnation;
         let outranks_own = (revision, standing) > (own.revision, own.standing);
         if instance.incarnation > own_incarnation {
-            self.on_newer_incarnation(step, instance, standing, address);
+            self.on_newer_incarnation(context, instance, standing, address);
         } else if instance.incarnation < own_incarnation {
             let subject = RumourSubject::Member(self.own_node);
             if !self.queue.contains(subject) {
-                self.enqueue(step, SendClass::Announce, subject);
+                self.enqueue(context, SendClass::Announce, subject);
             }
         } else if outranks_own {
-            self.refute(step, revision);
+            self.refute(context, revision);
         }
     }
 
     /// Raises this node's revision above the suspected one, so that the refutation wins every
     /// merge.
-    pub(super) fn refute(&mut self, step: &mut RosterStep<'_>, suspected_revision: u32) {
+    pub(super) fn refute(&mut self, context: &mut RosterContext<'_>, suspected_revision: u32) {
         let Some(own) = self.own_entry() else {
             return;
         };
@@ -166,11 +172,11 @@
         }
         let (standing, revision) = (own.standing, suspected_revision + 1);
         self.table
-            .set_standing(step.now, self.own_node, revision, standing);
+            .set_standing(context.now, self.own_node, revision, standing);
         self.health.refuted();
-        step.note(RosterNote::Refuted { revision });
+        context.note(RosterNote::Refuted { revision });
         self.enqueue(
-            step,
+            context,
             SendClass::Death,
             RumourSubject::Standing(self.own_node),
         );
@@ -183,21 +189,21 @@
     /// same time have different addresses; the one with the greater incarnation stays.
     fn on_newer_incarnation(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         instance: InstanceId,
         standing: MemberStanding,
         address: Option<SocketAddr>,
     ) {
         let own_address = self.own_entry().map(|own| own.facts.gossip_address);
         if !standing.is_present() || address.is_some() && address == own_address {
-            self.raise_incarnation(step, instance.incarnation);
+            self.raise_incarnation(context, instance.incarnation);
         } else if address.is_some() && !self.superseded {
             self.superseded = true;
-            step.command(RosterCommand::Superseded { by: instance });
+            context.command(RosterCommand::Superseded { by: instance });
         }
     }
 
-    fn raise_incarnation(&mut self, step: &mut RosterStep<'_>, above: NodeIncarnation) {
+    fn raise_incarnation(&mut self, context: &mut RosterContext<'_>, above: NodeIncarnation) {
         let Some(own) = self.own_entry() else {
             return;
         };
@@ -205,8 +211,8 @@
         let slots: Vec<SlotEntry> = own.slots.iter().copied().collect();
         let mut facts: MemberFacts = own.facts.clone();
         facts.instance.incarnation = NodeIncarnation(above.0 + 1);
-        step.command(RosterCommand::IncarnationRaised(facts.instance));
-        self.table.insert(step.now, facts, 0, standing);
+        context.command(RosterCommand::IncarnationRaised(facts.instance));
+        self.table.insert(context.now, facts, 0, standing);
         for slot in slots {
             self.table.replace_slot(self.own_node, slot);
             let id = UpstreamId {
@@ -217,7 +223,7 @@
                 .push(SendClass::Announce, RumourSubject::Upstream(id));
         }
         self.enqueue(
-            step,
+            context,
             SendClass::Announce,
             RumourSubject::Member(self.own_node),
         );
--- a/crates/roster/src/node/merge.rs
+++ b/crates/roster/src/node/merge.rs
@@ -6,7 +6,7 @@
 use sycamorelink_core::{InstanceId, NodeId, ServiceName, UpstreamId};
 
 use super::local::topic_class;
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::event::{DownCause, RosterCommand};
 use crate::facts::{MemberFacts, MemberStanding, UpstreamPhase};
@@ -24,7 +24,7 @@
     /// Merges one rumour. `fresh` rumours are forwarded; pulled state is not.
     pub(super) fn apply_rumour(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         sender: NodeId,
         rumour: MemberRumour,
         fresh: bool,
@@ -34,22 +34,22 @@
                 facts,
                 revision,
                 standing,
-            } => self.merge_member(step, facts, revision, standing, fresh),
+            } => self.merge_member(context, facts, revision, standing, fresh),
             MemberRumour::Standing {
                 instance,
                 revision,
                 standing,
-            } => self.merge_standing(step, sender, instance, revision, standing),
+            } => self.merge_standing(context, sender, instance, revision, standing),
             MemberRumour::Suspect {
                 instance,
                 revision,
                 observers,
-            } => self.receive_suspicion(step, sender, instance, revision, &observers),
+            } => self.receive_suspicion(context, sender, instance, revision, &observers),
             MemberRumour::Upstreams {
                 instance,
                 service,
                 runs,
-            } => self.merge_upstreams(step, sender, instance, service.as_ref(), &runs, fresh),
+            } => self.merge_upstreams(context, sender, instance, service.as_ref(), &runs, fresh),
             MemberRumour::Topic {
                 origin,
                 topic,
@@ -62,14 +62,14 @@
                     key,
                     version,
                 };
-                self.merge_topic(step, head, origin, body, fresh);
+                self.merge_topic(context, head, origin, body, fresh);
             }
         }
     }
 
     fn merge_member(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         facts: MemberFacts,
         revision: u32,
         standing: MemberStanding,
@@ -78,7 +78,7 @@
         let instance = facts.instance;
         if instance.node == self.own_node {
             let address = Some(facts.gossip_address);
-            self.on_rumour_about_self(step, instance, revision, standing, address);
+            self.on_rumour_about_self(context, instance, revision, standing, address);
             return;
         }
         let known = self.table.get(instance.node).map(MemberEntry::instance);
@@ -88,10 +88,10 @@
         match order {
             Ordering::Equal => {
                 self.count_received(RumourSubject::Member(instance.node));
-                self.apply_standing(step, instance, revision, standing);
+                self.apply_standing(context, instance, revision, standing);
             }
             Ordering::Greater if standing.is_present() => {
-                self.insert_member(step, facts, revision, standing, fresh);
+                self.insert_member(context, facts, revision, standing, fresh);
             }
             Ordering::Less | Ordering::Greater => {}
         }
@@ -100,24 +100,24 @@
     /// Inserts a new member or a new incarnation of one.
     fn insert_member(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         facts: MemberFacts,
         revision: u32,
         standing: MemberStanding,
         fresh: bool,
     ) {
         let node = facts.instance.node;
-        self.report_down(step, node, DownCause::Replaced);
+        self.report_down(context, node, DownCause::Replaced);
         self.drop_rumours_about(node);
-        self.table.insert(step.now, facts, revision, standing);
-        self.report_up(step, node);
+        self.table.insert(context.now, facts, revision, standing);
+        self.report_up(context, node);
         if fresh {
             let class = if standing == MemberStanding::Leaving {
                 SendClass::Leave
             } else {
                 SendClass::Announce
             };
-            self.enqueue(step, class, RumourSubject::Member(node));
+            self.enqueue(context, class, RumourSubject::Member(node));
         }
     }
 
@@ -129,30 +129,35 @@
 
     fn merge_standing(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         sender: NodeId,
         instance: InstanceId,
         revision: u32,
         standing: MemberStanding,
     ) {
         if instance.node == self.own_node {
-            self.on_rumour_about_self(step, instance, revision, standing, None);
+            self.on_rumour_about_self(context, instance, revision, standing, None);
             return;
         }
         let known = self.table.get(instance.node).map(MemberEntry::instance);
         if known == Some(instance) {
-            self.correct_stale_peer(step, sender, instance, revision);
-            self.apply_standing(step, instance, revision, standing);
+            self.correct_stale_peer(context, sender, instance, revision);
+            self.apply_standing(context, instance, revision, standing);
         } else if known.is_none_or(|known| known < instance) && standing.is_present() {
-            self.request_facts_from(step, sender, instance.node);
+            self.request_facts_from(context, sender, instance.node);
         }
     }
 
-    fn request_facts_from(&mut self, step: &mut RosterStep<'_>, sender: NodeId, node: NodeId) {
+    fn request_facts_from(
+        &mut self,
+        context: &mut RosterContext<'_>,
+        sender: NodeId,
+        node: NodeId,
+    ) {
         let Some(to) = self.address(sender) else {
             return;
         };
-        self.request_facts(step, to, node);
+        self.request_facts(context, to, node);
     }
 
     pub(super) fn address(&self, node: NodeId) -> Option<SocketAddr> {
@@ -161,7 +166,7 @@
 
     fn merge_upstreams(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         sender: NodeId,
         instance: InstanceId,
         service: Option<&ServiceName>,
@@ -174,7 +179,7 @@
         let known = self.table.get(instance.node).map(MemberEntry::instance);
         if known != Some(instance) {
             if known.is_none_or(|known| known < instance) {
-                self.request_facts_from(step, sender, instance.node);
+                self.request_facts_from(context, sender, instance.node);
             }
             return;
         }
@@ -190,7 +195,7 @@
                     service: number,
                     phase: run.phase,
                 };
-                self.store_slot(step, instance.node, entry, fresh);
+                self.store_slot(context, instance.node, entry, fresh);
             }
         }
     }
@@ -198,7 +203,7 @@
     /// Stores a slot entry, reports the change and forwards it if it is fresh.
     pub(super) fn store_slot(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         slot: SlotEntry,
         fresh: bool,
@@ -216,20 +221,20 @@
             self.count_received(RumourSubject::Upstream(id));
             return;
         };
-        self.report_slot(step, node, old, slot);
+        self.report_slot(context, node, old, slot);
         if fresh {
             let class = if slot.is_gone() || slot.phase == UpstreamPhase::Leaving {
                 SendClass::Leave
             } else {
                 SendClass::Announce
             };
-            self.enqueue(step, class, RumourSubject::Upstream(id));
+            self.enqueue(context, class, RumourSubject::Upstream(id));
         }
     }
 
     fn report_slot(
         &self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         old: Option<SlotEntry>,
         new: SlotEntry,
@@ -250,17 +255,17 @@
             let moved = after.as_ref().map(|facts| &facts.service) != Some(&before.service);
             if moved {
                 let service = before.service;
-                step.command(RosterCommand::UpstreamGone { id, service });
+                context.command(RosterCommand::UpstreamGone { id, service });
             }
         }
         if let Some(facts) = after {
-            step.command(RosterCommand::UpstreamChanged { id, facts });
+            context.command(RosterCommand::UpstreamChanged { id, facts });
         }
     }
 
     fn merge_topic(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         head: TopicHead,
         origin: NodeId,
         body: Vec<u8>,
@@ -274,14 +279,14 @@
             key,
             version,
         } = head;
-        if !self.topics.store(step.now, head, origin, body.clone()) {
+        if !self.topics.store(context.now, head, origin, body.clone()) {
             return;
         }
         if fresh {
             let subject = RumourSubject::Topic(topic, key);
-            self.enqueue(step, topic_class(topic), subject);
+            self.enqueue(context, topic_class(topic), subject);
         }
-        step.command(RosterCommand::Rumour {
+        context.command(RosterCommand::Rumour {
             topic,
             key,
             version,
--- a/crates/roster/src/node/mod.rs
+++ b/crates/roster/src/node/mod.rs
@@ -86,13 +86,13 @@
     prune: Duration,
 }
 
-/// Time and command output of one call of [`NodeRoster::handle`].
-struct RosterStep<'a> {
+/// Context of one call of [`NodeRoster::handle`]: the current time and the commands to append to.
+struct RosterContext<'a> {
     now: Duration,
     commands: &'a mut Vec<RosterCommand>,
 }
 
-impl RosterStep<'_> {
+impl RosterContext<'_> {
     fn command(&mut self, command: RosterCommand) {
         self.commands.push(command);
     }
@@ -139,12 +139,12 @@
 
     /// Handles one event and appends the resulting commands to `commands`.
     pub fn handle(&mut self, now: Duration, event: RosterEvent, commands: &mut Vec<RosterCommand>) {
-        let mut step = RosterStep { now, commands };
+        let mut context = RosterContext { now, commands };
         self.budget.refill(now);
-        self.detect_stall(&mut step);
-        self.dispatch_event(&mut step, event);
+        self.detect_stall(&mut context);
+        self.dispatch_event(&mut context, event);
         if !self.has_departed() {
-            self.run_due_tasks(&mut step);
+            self.run_due_tasks(&mut context);
         }
     }
 
@@ -210,7 +210,7 @@
         self.table.upstreams(service)
     }
 
-    /// Whether the instance is a present member with its newest known incarnation.
+    /// Returns whether the instance is a present member with its newest known incarnation.
     #[must_use]
     pub fn is_current(&self, instance: InstanceId) -> bool {
         self.table
@@ -218,14 +218,14 @@
             .is_some_and(|entry| entry.is_present() && entry.instance() == instance)
     }
 
-    /// Whether a complete roster was pulled from peers, or there were no seeds to contact.
+    /// Returns whether a complete roster was pulled from peers, or there were no seeds to contact.
     #[must_use]
     pub const fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether consecutive probes got no reply from any node, so that this node suspects its own
-    /// network.
+    /// Returns whether consecutive probes got no reply from any node, so that this node suspects
+    /// its own network.
     #[must_use]
     pub const fn is_isolated(&self) -> bool {
         self.health.is_isolated()
@@ -245,62 +245,62 @@
     /// Detects that this process did not run for a while. Without this check, replies missed during
     /// the pause would make healthy peers look dead. Extending the suspicion timers by the gap and
     /// dropping the running probes prevents that, because no death is declared without a new probe.
-    fn detect_stall(&mut self, step: &mut RosterStep<'_>) {
-        let before = self.timers.handled_at.replace(step.now);
-        let gap = step.now.saturating_sub(before.unwrap_or(step.now));
+    fn detect_stall(&mut self, context: &mut RosterContext<'_>) {
+        let before = self.timers.handled_at.replace(context.now);
+        let gap = context.now.saturating_sub(before.unwrap_or(context.now));
         if gap < self.settings.stall_threshold {
             return;
         }
         self.probes.clear();
         self.suspicions.postpone(gap);
         self.health.stalled();
-        step.note(RosterNote::Stalled { gap });
+        context.note(RosterNote::Stalled { gap });
     }
 
-    fn dispatch_event(&mut self, step: &mut RosterStep<'_>, event: RosterEvent) {
+    fn dispatch_event(&mut self, context: &mut RosterContext<'_>, event: RosterEvent) {
         match event {
             RosterEvent::Tick => {}
-            RosterEvent::Seeds(seeds) => self.set_seeds(step, seeds),
-            RosterEvent::Datagram { from, message } => self.receive(step, from, message),
-            RosterEvent::UpstreamSet { slot, facts } => self.set_upstream(step, slot, &facts),
-            RosterEvent::UpstreamGone { slot } => self.remove_upstream(step, slot),
-            RosterEvent::Leave => self.leave(step),
-            RosterEvent::Depart => self.depart(step),
-            RosterEvent::Unreachable { node } => self.on_unreachable(step, node),
-            RosterEvent::Reached { node } => self.on_reached(step, node),
+            RosterEvent::Seeds(seeds) => self.set_seeds(context, seeds),
+            RosterEvent::Datagram { from, message } => self.receive(context, from, message),
+            RosterEvent::UpstreamSet { slot, facts } => self.set_upstream(context, slot, &facts),
+            RosterEvent::UpstreamGone { slot } => self.remove_upstream(context, slot),
+            RosterEvent::Leave => self.leave(context),
+            RosterEvent::Depart => self.depart(context),
+            RosterEvent::Unreachable { node } => self.on_unreachable(context, node),
+            RosterEvent::Reached { node } => self.on_reached(context, node),
             RosterEvent::Publish {
                 topic,
                 key,
                 version,
                 body,
-            } => self.publish(step, topic, key, version, body),
+            } => self.publish(context, topic, key, version, body),
         }
     }
 
-    fn run_due_tasks(&mut self, step: &mut RosterStep<'_>) {
-        self.advance_due_probes(step);
-        self.resolve_suspicions(step);
-        self.probe_next(step);
-        self.gossip_round(step);
-        self.send_offers(step);
-        self.contact_seeds(step);
-        self.sync_while_joining(step);
-        self.probe_dead(step);
-        self.prune_expired(step);
+    fn run_due_tasks(&mut self, context: &mut RosterContext<'_>) {
+        self.advance_due_probes(context);
+        self.resolve_suspicions(context);
+        self.probe_next(context);
+        self.gossip_round(context);
+        self.send_offers(context);
+        self.contact_seeds(context);
+        self.sync_while_joining(context);
+        self.probe_dead(context);
+        self.prune_expired(context);
     }
 
-    fn prune_expired(&mut self, step: &mut RosterStep<'_>) {
-        if step.now < self.timers.prune {
+    fn prune_expired(&mut self, context: &mut RosterContext<'_>) {
+        if context.now < self.timers.prune {
             return;
         }
-        self.timers.prune = step.now + PRUNE_INTERVAL;
-        self.topics.prune(step.now);
+        self.timers.prune = context.now + PRUNE_INTERVAL;
+        self.topics.prune(context.now);
         let limit = self.settings.forget_after;
         let expired: Vec<NodeId> = self
             .table
             .iter()
             .filter(|entry| !entry.is_present())
-            .filter(|entry| step.now.saturating_sub(entry.changed_at) > limit)
+            .filter(|entry| context.now.saturating_sub(entry.changed_at) > limit)
             .map(|entry| entry.instance().node)
             .collect();
         for node in expired {
--- a/crates/roster/src/node/probing.rs
+++ b/crates/roster/src/node/probing.rs
@@ -15,7 +15,7 @@
 use rand::seq::SliceRandom;
 use sycamorelink_core::NodeId;
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::event::{RosterCommand, RosterNote};
 use crate::health::HealthChange;
 use crate::message::MessagePurpose;
@@ -35,21 +35,21 @@
 
 impl NodeRoster {
     /// Probes the next member in order, some urgent targets and some suspects.
-    pub(super) fn probe_next(&mut self, step: &mut RosterStep<'_>) {
-        if step.now < self.timers.probe {
+    pub(super) fn probe_next(&mut self, context: &mut RosterContext<'_>) {
+        if context.now < self.timers.probe {
             return;
         }
-        self.timers.probe = step.now + self.settings.probe_interval;
+        self.timers.probe = context.now + self.settings.probe_interval;
         if let Some(target) = self.next_target() {
-            self.probe(step, target);
+            self.probe(context, target);
         }
         for _ in 0..URGENT_PROBES {
             if let Some(target) = self.urgent_targets.pop_front() {
-                self.probe(step, target);
+                self.probe(context, target);
             }
         }
         for target in self.next_suspects() {
-            self.probe(step, target);
+            self.probe(context, target);
         }
     }
 
@@ -77,19 +77,19 @@
     }
 
     /// Probes a member now, or queues it if other urgent targets are waiting.
-    pub(super) fn probe_soon(&mut self, step: &mut RosterStep<'_>, target: NodeId) {
+    pub(super) fn probe_soon(&mut self, context: &mut RosterContext<'_>, target: NodeId) {
         let pending = self.urgent_targets.contains(&target) || self.probes.is_probing(target);
         if pending || self.urgent_targets.len() >= MAX_URGENT_TARGETS {
             return;
         }
         if self.urgent_targets.is_empty() {
-            self.probe(step, target);
+            self.probe(context, target);
         } else {
             self.urgent_targets.push_back(target);
         }
     }
 
-    fn probe(&mut self, step: &mut RosterStep<'_>, target: NodeId) {
+    fn probe(&mut self, context: &mut RosterContext<'_>, target: NodeId) {
         let Some(entry) = self.table.get(target).filter(|entry| entry.is_present()) else {
             return;
         };
@@ -99,14 +99,20 @@
         let to = entry.facts.gossip_address;
         let timeout = self.health.scale(self.settings.probe_timeout);
         let stage = ProbeStage::Direct;
-        let sequence = self.probes.start(step.now, target, stage, timeout);
-        self.ping(step, to, target, sequence);
+        let sequence = self.probes.start(context.now, target, stage, timeout);
+        self.ping(context, to, target, sequence);
     }
 
-    fn ping(&mut self, step: &mut RosterStep<'_>, to: SocketAddr, target: NodeId, sequence: u32) {
+    fn ping(
+        &mut self,
+        context: &mut RosterContext<'_>,
+        to: SocketAddr,
+        target: NodeId,
+        sequence: u32,
+    ) {
         let purpose = MessagePurpose::Ping { sequence, target };
         let suspicion = self.suspect_rumour(target);
-        if !self.send_probe(step, to, purpose, suspicion) {
+        if !self.send_probe(context, to, purpose, suspicion) {
             self.probes.finish(sequence);
         }
     }
@@ -114,7 +120,7 @@
     /// Pings a member on behalf of another node.
     pub(super) fn on_assist(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         requester: SocketAddr,
         sequence: u32,
         target: NodeId,
@@ -127,11 +133,16 @@
             sequence,
         };
         let timeout = self.settings.probe_timeout;
-        let number = self.probes.start(step.now, target, stage, timeout);
-        self.ping(step, to, target, number);
+        let number = self.probes.start(context.now, target, stage, timeout);
+        self.ping(context, to, target, number);
     }
 
-    pub(super) fn on_ack(&mut self, step: &mut RosterStep<'_>, sender: NodeId, sequence: u32) {
+    pub(super) fn on_ack(
+        &mut self,
+        context: &mut RosterContext<'_>,
+        sender: NodeId,
+        sequence: u32,
+    ) {
         let matches = self
             .probes
             .get_mut(sequence)
@@ -142,20 +153,20 @@
         let Some(record) = self.probes.finish(sequence) else {
             return;
         };
-        self.record_answer(step);
-        self.set_misses(step, sender, 0);
+        self.record_answer(context);
+        self.set_misses(context, sender, 0);
         if let ProbeStage::Delegated {
             requester,
             sequence,
         } = record.stage
         {
-            self.reply_to_requester(step, requester, sequence, record.target, true);
+            self.reply_to_requester(context, requester, sequence, record.target, true);
         }
     }
 
     fn reply_to_requester(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         requester: SocketAddr,
         sequence: u32,
         target: NodeId,
@@ -166,18 +177,18 @@
             target,
             reached,
         };
-        self.send_probe(step, requester, purpose, None);
+        self.send_probe(context, requester, purpose, None);
     }
 
     pub(super) fn on_assisted(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         helper: NodeId,
         sequence: u32,
         target: NodeId,
         reached: bool,
     ) {
-        self.record_answer(step);
+        self.record_answer(context);
         let Some(record) = self.probes.get_mut(sequence) else {
             return;
         };
@@ -205,16 +216,16 @@
     }
 
     /// Moves probes whose deadline has passed to their next stage.
-    pub(super) fn advance_due_probes(&mut self, step: &mut RosterStep<'_>) {
-        for (sequence, record) in self.probes.take_due(step.now) {
+    pub(super) fn advance_due_probes(&mut self, context: &mut RosterContext<'_>) {
+        for (sequence, record) in self.probes.take_due(context.now) {
             match record.stage {
-                ProbeStage::Direct => self.request_indirect_probes(step, sequence, record),
-                ProbeStage::Indirect => self.conclude_probe(step, &record),
+                ProbeStage::Direct => self.request_indirect_probes(context, sequence, record),
+                ProbeStage::Indirect => self.conclude_probe(context, &record),
                 ProbeStage::Delegated {
                     requester,
                     sequence,
                 } => {
-                    self.reply_to_requester(step, requester, sequence, record.target, false);
+                    self.reply_to_requester(context, requester, sequence, record.target, false);
                 }
             }
         }
@@ -222,24 +233,24 @@
 
     fn request_indirect_probes(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         sequence: u32,
         mut record: ProbeRecord,
     ) {
         let target = record.target;
         let misses = self.table.get(target).map_or(0, |entry| entry.misses);
-        self.set_misses(step, target, misses.saturating_add(1));
+        self.set_misses(context, target, misses.saturating_add(1));
         let purpose = MessagePurpose::Assist { sequence, target };
         let helpers = self.select_helpers(target);
         for helper in &helpers {
             if let Some(to) = self.address(*helper) {
-                self.send_probe(step, to, purpose.clone(), None);
+                self.send_probe(context, to, purpose.clone(), None);
             }
         }
         record.asked = helpers.len();
         record.stage = ProbeStage::Indirect;
         let timeout = self.health.scale(self.settings.helper_timeout);
-        record.deadline = step.now + timeout;
+        record.deadline = context.now + timeout;
         self.probes.resume(sequence, record);
     }
 
@@ -266,18 +277,18 @@
     }
 
     /// Evaluates a probe after which no helper reported that it reached the member.
-    fn conclude_probe(&mut self, step: &mut RosterStep<'_>, record: &ProbeRecord) {
+    fn conclude_probe(&mut self, context: &mut RosterContext<'_>, record: &ProbeRecord) {
         let Some(entry) = self.table.get(record.target) else {
             return;
         };
-        let recently_heard = entry.last_contact.is_some_and(|at| at >= record.started);
+        let recently_contacted = entry.last_contact.is_some_and(|at| at >= record.started);
         let no_helpers = record.asked == 0;
-        if recently_heard {
+        if recently_contacted {
             return;
         }
         if record.failed_helpers.is_empty() && !no_helpers {
             let change = self.health.unanswered();
-            report_health_change(step, change);
+            report_health_change(context, change);
             return;
         }
         if record.failed_helpers.len() < record.asked {
@@ -286,32 +297,33 @@
         let mut observers = record.failed_helpers.clone();
         observers.insert(0, self.own_node);
         let (instance, revision) = (entry.instance(), entry.revision);
-        self.add_suspicion(step, instance, revision, &observers);
-        self.suspicions.record_failed_probe(step.now, record.target);
+        self.add_suspicion(context, instance, revision, &observers);
+        self.suspicions
+            .record_failed_probe(context.now, record.target);
     }
 
-    pub(super) fn record_answer(&mut self, step: &mut RosterStep<'_>) {
+    pub(super) fn record_answer(&mut self, context: &mut RosterContext<'_>) {
         let change = self.health.answered();
-        report_health_change(step, change);
+        report_health_change(context, change);
     }
 
     /// Sets the number of unanswered direct probes and reports a change of reachability.
-    pub(super) fn set_misses(&mut self, step: &mut RosterStep<'_>, node: NodeId, misses: u8) {
+    pub(super) fn set_misses(&mut self, context: &mut RosterContext<'_>, node: NodeId, misses: u8) {
         let Some(entry) = self.table.get_mut(node) else {
             return;
         };
         let before = entry.is_reachable();
         entry.misses = misses;
         if entry.is_present() && entry.is_reachable() != before {
-            step.command(RosterCommand::MemberChanged(entry.view()));
+            context.command(RosterCommand::MemberChanged(entry.view()));
         }
     }
 }
 
-fn report_health_change(step: &mut RosterStep<'_>, change: HealthChange) {
+fn report_health_change(context: &mut RosterContext<'_>, change: HealthChange) {
     match change {
         HealthChange::Unchanged => {}
-        HealthChange::Isolated(probes) => step.note(RosterNote::SelfSuspect { probes }),
-        HealthChange::Recovered => step.note(RosterNote::SelfRecovered),
+        HealthChange::Isolated(probes) => context.note(RosterNote::SelfSuspect { probes }),
+        HealthChange::Recovered => context.note(RosterNote::SelfRecovered),
     }
 }
--- a/crates/roster/src/node/receive.rs
+++ b/crates/roster/src/node/receive.rs
@@ -5,7 +5,7 @@
 
 use sycamorelink_core::{InstanceId, NodeId};
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::message::{MemberRumour, MessagePurpose, RosterMessage};
 
@@ -18,7 +18,7 @@
 impl NodeRoster {
     pub(super) fn receive(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         message: RosterMessage,
     ) {
@@ -27,16 +27,16 @@
         }
         let fresh = message.purpose != MessagePurpose::State;
         for rumour in message.rumours {
-            self.apply_rumour(step, message.from.node, rumour, fresh);
+            self.apply_rumour(context, message.from.node, rumour, fresh);
         }
-        self.record_contact(step, from, message.from, message.root);
-        self.handle_purpose(step, from, message.from, message.purpose);
-        self.sync_if_different(step, message.from.node, from, message.root);
+        self.record_contact(context, from, message.from, message.root);
+        self.handle_purpose(context, from, message.from, message.purpose);
+        self.sync_if_different(context, message.from.node, from, message.root);
     }
 
     fn handle_purpose(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         sender: InstanceId,
         purpose: MessagePurpose,
@@ -46,26 +46,26 @@
             MessagePurpose::Ping { sequence, target } => {
                 if target == self.own_node {
                     let ack = MessagePurpose::Ack { sequence };
-                    self.send_probe(step, from, ack, None);
+                    self.send_probe(context, from, ack, None);
                 }
             }
-            MessagePurpose::Ack { sequence } => self.on_ack(step, sender.node, sequence),
+            MessagePurpose::Ack { sequence } => self.on_ack(context, sender.node, sequence),
             MessagePurpose::Assist { sequence, target } => {
-                self.on_assist(step, from, sequence, target);
+                self.on_assist(context, from, sequence, target);
             }
             MessagePurpose::Assisted {
                 sequence,
                 target,
                 reached,
-            } => self.on_assisted(step, sender.node, sequence, target, reached),
-            MessagePurpose::Join => self.on_join(step, from),
-            MessagePurpose::Buckets { hashes } => self.compare_buckets(step, from, &hashes),
+            } => self.on_assisted(context, sender.node, sequence, target, reached),
+            MessagePurpose::Join => self.on_join(context, from),
+            MessagePurpose::Buckets { hashes } => self.compare_buckets(context, from, &hashes),
             MessagePurpose::BucketMembers { differing, buckets } => {
-                self.compare_members(step, from, sender.node, differing, &buckets);
+                self.compare_members(context, from, sender.node, differing, &buckets);
             }
-            MessagePurpose::Pull { nodes } => self.send_states(step, from, &nodes),
+            MessagePurpose::Pull { nodes } => self.send_states(context, from, &nodes),
             MessagePurpose::Topics { heads, wanted } => {
-                self.compare_topics(step, from, &heads, wanted);
+                self.compare_topics(context, from, &heads, wanted);
             }
         }
     }
@@ -74,7 +74,7 @@
     /// corrects one that is outdated or marked as gone.
     fn record_contact(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         sender: InstanceId,
         root: u32,
@@ -82,33 +82,33 @@
         let known = self.table.get_mut(sender.node);
         let Some(entry) = known.filter(|entry| entry.instance().incarnation >= sender.incarnation)
         else {
-            self.request_facts(step, from, sender.node);
+            self.request_facts(context, from, sender.node);
             return;
         };
         if entry.instance() != sender {
-            self.send_correction(step, sender.node, from);
+            self.send_correction(context, sender.node, from);
             return;
         }
-        entry.last_contact = Some(step.now);
+        entry.last_contact = Some(context.now);
         entry.joining = root == 0;
         if !entry.is_present() {
-            self.send_correction(step, sender.node, from);
+            self.send_correction(context, sender.node, from);
         }
     }
 
     /// Requests the facts of a member whose current incarnation is unknown here.
     pub(super) fn request_facts(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         node: NodeId,
     ) {
-        if !self.try_record_pull(step.now, node) {
+        if !self.try_record_pull(context.now, node) {
             return;
         }
         let nodes = vec![node];
         let purpose = MessagePurpose::Pull { nodes };
-        self.send(step, SendClass::Announce, from, purpose, Vec::new());
+        self.send(context, SendClass::Announce, from, purpose, Vec::new());
     }
 
     /// Records a request for a member's state; returns false if the last one is too recent.
@@ -129,21 +129,21 @@
     /// successor.
     pub(super) fn send_correction(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         to: SocketAddr,
     ) {
         let rumour = self
             .member_rumour(node)
             .or_else(|| self.standing_rumour(node));
-        self.send_direct(step, node, to, rumour);
+        self.send_direct(context, node, to, rumour);
     }
 
     /// Sends one rumour directly to the member it describes, at most once per
     /// [`MIN_REPEAT_INTERVAL`].
     pub(super) fn send_direct(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         to: SocketAddr,
         rumour: Option<MemberRumour>,
@@ -152,12 +152,12 @@
             return;
         };
         let last = entry.corrected_at;
-        if last.is_some_and(|at| step.now.saturating_sub(at) < MIN_REPEAT_INTERVAL) {
+        if last.is_some_and(|at| context.now.saturating_sub(at) < MIN_REPEAT_INTERVAL) {
             return;
         }
-        entry.corrected_at = Some(step.now);
+        entry.corrected_at = Some(context.now);
         let rumours = rumour.into_iter().collect();
         let purpose = MessagePurpose::Gossip;
-        self.send(step, SendClass::Death, to, purpose, rumours);
+        self.send(context, SendClass::Death, to, purpose, rumours);
     }
 }
--- a/crates/roster/src/node/standing.rs
+++ b/crates/roster/src/node/standing.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use sycamorelink_core::{InstanceId, NodeId, UpstreamId};
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::event::{DownCause, RosterCommand, RosterNote};
 use crate::facts::MemberStanding;
@@ -16,7 +16,7 @@
     /// revision the greater standing.
     pub(super) fn apply_standing(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         instance: InstanceId,
         revision: u32,
         standing: MemberStanding,
@@ -28,11 +28,11 @@
             return;
         }
         let declares_dead = standing == MemberStanding::Dead && entry.is_present();
-        if declares_dead && entry.contacted_within(step.now, self.settings.probe_interval * 2) {
-            self.dispute_death(step, instance.node, revision, standing);
+        if declares_dead && entry.contacted_within(context.now, self.settings.probe_interval * 2) {
+            self.dispute_death(context, instance.node, revision, standing);
             return;
         }
-        self.change_standing(step, instance.node, revision, standing);
+        self.change_standing(context, instance.node, revision, standing);
     }
 
     /// Sends a reported death to the member instead of applying it. The member was in contact with
@@ -41,7 +41,7 @@
     /// applies the death.
     fn dispute_death(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         revision: u32,
         standing: MemberStanding,
@@ -56,12 +56,12 @@
             revision,
             standing,
         };
-        self.send_direct(step, node, to, Some(rumour));
+        self.send_direct(context, node, to, Some(rumour));
     }
 
     pub(super) fn change_standing(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         revision: u32,
         standing: MemberStanding,
@@ -73,29 +73,30 @@
         let was_suspect = self.suspicions.remove(node).is_some();
         self.queue.drop_subject(RumourSubject::Suspect(node));
         if before.is_present() && !standing.is_present() {
-            self.report_down(step, node, down_cause(before, standing));
+            self.report_down(context, node, down_cause(before, standing));
         }
-        self.table.set_standing(step.now, node, revision, standing);
+        self.table
+            .set_standing(context.now, node, revision, standing);
         if !before.is_present() && standing.is_present() {
-            self.report_up(step, node);
+            self.report_up(context, node);
         } else if before != standing && standing == MemberStanding::Leaving {
-            self.report_leaving(step, node);
+            self.report_leaving(context, node);
         }
         if was_suspect && standing.is_present() {
-            step.note(RosterNote::Cleared { instance });
+            context.note(RosterNote::Cleared { instance });
         }
         let class = match standing {
             MemberStanding::Leaving | MemberStanding::Left => SendClass::Leave,
             MemberStanding::Alive | MemberStanding::Dead => SendClass::Death,
         };
-        self.enqueue(step, class, RumourSubject::Standing(node));
+        self.enqueue(context, class, RumourSubject::Standing(node));
     }
 
     /// Reports a member's upstreams as gone and then the member as down. The member must still be
     /// in the table.
     pub(super) fn report_down(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         node: NodeId,
         cause: DownCause,
     ) {
@@ -111,10 +112,10 @@
                 slot: slot.slot,
             };
             let service = facts.service;
-            step.command(RosterCommand::UpstreamGone { id, service });
+            context.command(RosterCommand::UpstreamGone { id, service });
         }
         let instance = entry.instance();
-        step.command(RosterCommand::MemberDown { instance, cause });
+        context.command(RosterCommand::MemberDown { instance, cause });
         self.queue.drop_subject(RumourSubject::Member(node));
         if let Some(index) = self.probe_order.iter().position(|other| *other == node) {
             self.probe_order.remove(index);
@@ -125,30 +126,30 @@
     }
 
     /// Reports a member as up, with its upstreams. The member must already be in the table.
-    pub(super) fn report_up(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
+    pub(super) fn report_up(&mut self, context: &mut RosterContext<'_>, node: NodeId) {
         if let Some(entry) = self.table.get_mut(node) {
             entry.misses = 0;
         }
         let Some(entry) = self.table.get(node) else {
             return;
         };
-        step.command(RosterCommand::MemberUp(entry.facts.clone()));
+        context.command(RosterCommand::MemberUp(entry.facts.clone()));
         if entry.standing == MemberStanding::Leaving {
-            step.command(RosterCommand::MemberChanged(entry.view()));
+            context.command(RosterCommand::MemberChanged(entry.view()));
         }
-        self.report_upstreams(step, node);
+        self.report_upstreams(context, node);
         let index = self.rng.random_range(0..=self.probe_order.len());
         self.probe_order.insert(index, node);
     }
 
-    fn report_leaving(&mut self, step: &mut RosterStep<'_>, node: NodeId) {
+    fn report_leaving(&mut self, context: &mut RosterContext<'_>, node: NodeId) {
         if let Some(entry) = self.table.get(node) {
-            step.command(RosterCommand::MemberChanged(entry.view()));
+            context.command(RosterCommand::MemberChanged(entry.view()));
         }
-        self.report_upstreams(step, node);
+        self.report_upstreams(context, node);
     }
 
-    fn report_upstreams(&self, step: &mut RosterStep<'_>, node: NodeId) {
+    fn report_upstreams(&self, context: &mut RosterContext<'_>, node: NodeId) {
         let Some(entry) = self.table.get(node) else {
             return;
         };
@@ -160,7 +161,7 @@
                 node,
                 slot: slot.slot,
             };
-            step.command(RosterCommand::UpstreamChanged { id, facts });
+            context.command(RosterCommand::UpstreamChanged { id, facts });
         }
     }
 }
--- a/crates/roster/src/node/suspicion.rs
+++ b/crates/roster/src/node/suspicion.rs
@@ -4,7 +4,7 @@
 
 use sycamorelink_core::{InstanceId, NodeId};
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::event::RosterNote;
 use crate::facts::MemberStanding;
@@ -27,21 +27,21 @@
     /// Handles a suspicion received from a peer.
     pub(super) fn receive_suspicion(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         sender: NodeId,
         instance: InstanceId,
         revision: u32,
         observers: &[NodeId],
     ) {
-        self.correct_stale_peer(step, sender, instance, revision);
-        self.add_suspicion(step, instance, revision, observers);
+        self.correct_stale_peer(context, sender, instance, revision);
+        self.add_suspicion(context, instance, revision, observers);
     }
 
     /// Sends the current standing to a peer that still spreads an older revision. Without this, a
     /// peer that missed a refutation in heavy packet loss could remove a living member on its own.
     pub(super) fn correct_stale_peer(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         peer: NodeId,
         instance: InstanceId,
         revision: u32,
@@ -55,20 +55,20 @@
         };
         let rumours = self.standing_rumour(instance.node).into_iter().collect();
         let purpose = MessagePurpose::Gossip;
-        self.send(step, SendClass::Death, to, purpose, rumours);
+        self.send(context, SendClass::Death, to, purpose, rumours);
     }
 
     /// Merges a suspicion, from an own failed probe or reported by peers.
     pub(super) fn add_suspicion(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         instance: InstanceId,
         revision: u32,
         observers: &[NodeId],
     ) {
         if instance.node == self.own_node {
             if instance == self.own_instance() {
-                self.refute(step, revision);
+                self.refute(context, revision);
             }
             return;
         }
@@ -78,28 +78,36 @@
         if entry.instance() != instance || revision < entry.revision || !entry.is_present() {
             return;
         }
-        let Some(known) = self.suspicions.add(step.now, instance, revision, observers) else {
+        let Some(known) = self
+            .suspicions
+            .add(context.now, instance, revision, observers)
+        else {
             return;
         };
-        step.note(RosterNote::Suspected {
+        context.note(RosterNote::Suspected {
             instance,
             observers: observers.len(),
         });
         if known < self.settings.confirmations + 1 {
             let subject = RumourSubject::Suspect(instance.node);
-            self.enqueue(step, SendClass::Death, subject);
+            self.enqueue(context, SendClass::Death, subject);
         }
     }
 
     /// Ends suspicions whose time has run out.
-    pub(super) fn resolve_suspicions(&mut self, step: &mut RosterStep<'_>) {
+    pub(super) fn resolve_suspicions(&mut self, context: &mut RosterContext<'_>) {
         if self.suspicions.len() == 0 {
             return;
         }
         let outcomes: Vec<(InstanceId, SuspicionOutcome)> = self
             .suspicions
             .iter()
-            .map(|suspicion| (suspicion.instance, self.evaluate_suspicion(step, suspicion)))
+            .map(|suspicion| {
+                (
+                    suspicion.instance,
+                    self.evaluate_suspicion(context, suspicion),
+                )
+            })
             .collect();
         for (instance, outcome) in outcomes {
             match outcome {
@@ -109,15 +117,19 @@
                 }
                 SuspicionOutcome::Cleared => {
                     self.suspicions.remove(instance.node);
-                    step.note(RosterNote::Cleared { instance });
+                    context.note(RosterNote::Cleared { instance });
                 }
-                SuspicionOutcome::Dead => self.declare_dead(step, instance),
+                SuspicionOutcome::Dead => self.declare_dead(context, instance),
             }
         }
     }
 
-    fn evaluate_suspicion(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> SuspicionOutcome {
-        let age = step.now.saturating_sub(suspicion.since);
+    fn evaluate_suspicion(
+        &self,
+        context: &RosterContext<'_>,
+        suspicion: &Suspicion,
+    ) -> SuspicionOutcome {
+        let age = context.now.saturating_sub(suspicion.since);
         if !suspicion.observers.contains(&self.own_node) {
             let retention = self.settings.suspicion_longest * UNVERIFIED_RETENTION;
             return if age >= retention {
@@ -137,7 +149,7 @@
         if last_contact.is_some_and(|at| at > suspicion.since) {
             return SuspicionOutcome::Cleared;
         }
-        if self.has_recent_failed_probe(step, suspicion) {
+        if self.has_recent_failed_probe(context, suspicion) {
             SuspicionOutcome::Dead
         } else {
             SuspicionOutcome::Pending
@@ -160,23 +172,23 @@
         suspicion.observers.len().saturating_sub(1)
     }
 
-    /// Whether this node's own last probe of the member is recent and failed while other nodes
-    /// replied. A node that is cut off during a suspicion misses the refutation and would remove a
-    /// living member; a recent probe shows that others could have forwarded it.
-    fn has_recent_failed_probe(&self, step: &RosterStep<'_>, suspicion: &Suspicion) -> bool {
+    /// Returns whether this node's own last probe of the member is recent and failed while other
+    /// nodes replied. A node that is cut off during a suspicion misses the refutation and would
+    /// remove a living member; a recent probe shows that others could have forwarded it.
+    fn has_recent_failed_probe(&self, context: &RosterContext<'_>, suspicion: &Suspicion) -> bool {
         let settings = &self.settings;
         let probe = settings.probe_timeout + settings.helper_timeout;
         let window = self.health.scale(settings.probe_interval + probe);
         suspicion
             .probe_failed_at
-            .is_some_and(|at| step.now.saturating_sub(at) < window)
+            .is_some_and(|at| context.now.saturating_sub(at) < window)
     }
 
-    fn declare_dead(&mut self, step: &mut RosterStep<'_>, instance: InstanceId) {
+    fn declare_dead(&mut self, context: &mut RosterContext<'_>, instance: InstanceId) {
         let Some(entry) = self.table.get(instance.node) else {
             return;
         };
         let revision = entry.revision;
-        self.change_standing(step, instance.node, revision, MemberStanding::Dead);
+        self.change_standing(context, instance.node, revision, MemberStanding::Dead);
     }
 }
--- a/crates/roster/src/node/sync.rs
+++ b/crates/roster/src/node/sync.rs
@@ -21,7 +21,7 @@
 use sycamorelink_core::NodeId;
 
 use super::full_state::read_hashes;
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::digest::BUCKETS;
 use crate::message::{BucketList, MemberDigest, MemberRumour, MessagePurpose};
@@ -62,7 +62,7 @@
     /// Starts an exchange with a present member whose root hash differs, at most once per interval.
     pub(super) fn sync_if_different(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         peer: NodeId,
         to: SocketAddr,
         root: u32,
@@ -72,45 +72,45 @@
             return;
         }
         if root == self.root() {
-            self.finish_join(step);
+            self.finish_join(context);
             return;
         }
-        if root == 0 || step.now < self.timers.sync {
+        if root == 0 || context.now < self.timers.sync {
             return;
         }
-        self.start_sync(step, to);
+        self.start_sync(context, to);
     }
 
     /// Starts the next exchange while joining, each with a random peer.
-    pub(super) fn sync_while_joining(&mut self, step: &mut RosterStep<'_>) {
-        if self.joined || step.now < self.timers.sync {
+    pub(super) fn sync_while_joining(&mut self, context: &mut RosterContext<'_>) {
+        if self.joined || context.now < self.timers.sync {
             return;
         }
         let mut peers = self.select_peers(JOIN_CANDIDATES, &[]);
         peers.sort_by_key(|peer| self.table.get(*peer).is_none_or(|entry| entry.joining));
         if let Some(to) = peers.first().and_then(|peer| self.address(*peer)) {
-            self.start_sync(step, to);
+            self.start_sync(context, to);
         }
     }
 
-    fn start_sync(&mut self, step: &mut RosterStep<'_>, to: SocketAddr) {
+    fn start_sync(&mut self, context: &mut RosterContext<'_>, to: SocketAddr) {
         let interval = if self.joined {
             let jitter = self.rng.random_range(0.75..1.25);
             self.settings.sync_interval.mul_f64(jitter)
         } else {
             JOIN_SYNC_INTERVAL
         };
-        self.timers.sync = step.now + interval;
+        self.timers.sync = context.now + interval;
         let mut hashes = self.bucket_hashes();
         hashes.extend(self.topics.digest().to_le_bytes());
         let purpose = MessagePurpose::Buckets { hashes };
-        self.send(step, SendClass::Sync, to, purpose, Vec::new());
+        self.send(context, SendClass::Sync, to, purpose, Vec::new());
     }
 
     /// Replies with the members of buckets that differ, as many as fit into one datagram.
     pub(super) fn compare_buckets(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         hashes: &[u8],
     ) {
@@ -120,7 +120,7 @@
         }
         if remote[BUCKETS] != self.topics.digest() {
             let heads = self.topics.heads();
-            self.send_topics(step, to, heads, false);
+            self.send_topics(context, to, heads, false);
         }
         let digest = self.table.digest();
         let mut differing: Vec<usize> = (0..BUCKETS)
@@ -138,7 +138,7 @@
             }
             purpose = longer;
         }
-        self.send(step, SendClass::Sync, to, purpose, Vec::new());
+        self.send(context, SendClass::Sync, to, purpose, Vec::new());
     }
 
     fn list_bucket(&self, bucket: usize) -> BucketList {
@@ -159,7 +159,7 @@
     /// Requests members whose hashes differ and schedules offers for those the peer may lack.
     pub(super) fn compare_members(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         peer: NodeId,
         differing: u16,
@@ -168,18 +168,18 @@
         let mut wanted = Vec::new();
         let mut unknown = false;
         for list in buckets {
-            unknown |= self.compare_bucket(step, peer, list, &mut wanted);
+            unknown |= self.compare_bucket(context, peer, list, &mut wanted);
         }
         let complete = usize::from(differing) == buckets.len();
         if complete && !unknown {
-            self.finish_join(step);
+            self.finish_join(context);
         }
-        self.request_states(step, from, &wanted);
+        self.request_states(context, from, &wanted);
     }
 
     fn compare_bucket(
         &mut self,
-        step: &RosterStep<'_>,
+        context: &RosterContext<'_>,
         peer: NodeId,
         list: &BucketList,
         wanted: &mut Vec<NodeId>,
@@ -193,7 +193,7 @@
             }
             unknown |= own.is_none();
             wanted.push(remote.node);
-            self.schedule_offer(step, peer, remote.node, remote.hash);
+            self.schedule_offer(context, peer, remote.node, remote.hash);
         }
         let bucket = usize::from(list.bucket);
         if bucket >= BUCKETS {
@@ -207,16 +207,22 @@
             .collect();
         for node in absent {
             wanted.push(node);
-            self.schedule_offer(step, peer, node, 0);
+            self.schedule_offer(context, peer, node, 0);
         }
         unknown
     }
 
-    fn schedule_offer(&mut self, step: &RosterStep<'_>, peer: NodeId, node: NodeId, hash: u32) {
+    fn schedule_offer(
+        &mut self,
+        context: &RosterContext<'_>,
+        peer: NodeId,
+        node: NodeId,
+        hash: u32,
+    ) {
         if self.offers.len() >= MAX_OFFERS {
             return;
         }
-        let due = step.now + OFFER_DELAY;
+        let due = context.now + OFFER_DELAY;
         self.offers.push_back(StateOffer {
             peer,
             node,
@@ -225,23 +231,28 @@
         });
     }
 
-    fn request_states(&mut self, step: &mut RosterStep<'_>, from: SocketAddr, wanted: &[NodeId]) {
+    fn request_states(
+        &mut self,
+        context: &mut RosterContext<'_>,
+        from: SocketAddr,
+        wanted: &[NodeId],
+    ) {
         let wanted: Vec<NodeId> = wanted
             .iter()
             .copied()
-            .filter(|node| self.try_record_pull(step.now, *node))
+            .filter(|node| self.try_record_pull(context.now, *node))
             .collect();
         for nodes in wanted.chunks(MAX_PULL_NODES) {
             let nodes = nodes.to_vec();
             let purpose = MessagePurpose::Pull { nodes };
-            self.send(step, SendClass::Sync, from, purpose, Vec::new());
+            self.send(context, SendClass::Sync, from, purpose, Vec::new());
         }
     }
 
     /// Sends due offers, except those whose hashes agree by now.
-    pub(super) fn send_offers(&mut self, step: &mut RosterStep<'_>) {
+    pub(super) fn send_offers(&mut self, context: &mut RosterContext<'_>) {
         while let Some(offer) = self.offers.front().copied() {
-            if offer.due > step.now {
+            if offer.due > context.now {
                 return;
             }
             self.offers.pop_front();
@@ -250,7 +261,7 @@
                 continue;
             }
             if let Some(to) = self.address(offer.peer) {
-                self.send_states(step, to, &[offer.node]);
+                self.send_states(context, to, &[offer.node]);
             }
         }
     }
@@ -258,7 +269,7 @@
     /// Sends the state of members as far as the budget permits.
     pub(super) fn send_states(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         nodes: &[NodeId],
     ) {
@@ -275,17 +286,17 @@
                 continue;
             }
             let full = std::mem::replace(&mut packer, DatagramPacker::new(limit, base));
-            if !self.send_state(step, to, full) {
+            if !self.send_state(context, to, full) {
                 return;
             }
             packer.add(piece, limit);
         }
-        self.send_state(step, to, packer);
+        self.send_state(context, to, packer);
     }
 
     fn send_state(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         packer: DatagramPacker,
     ) -> bool {
@@ -293,7 +304,7 @@
             return true;
         }
         let rumours = packer.into_rumours();
-        self.send(step, SendClass::Sync, to, MessagePurpose::State, rumours)
+        self.send(context, SendClass::Sync, to, MessagePurpose::State, rumours)
     }
 
     /// Returns the state of one member in rumours that fit into a datagram each.
--- a/crates/roster/src/node/topic_sync.rs
+++ b/crates/roster/src/node/topic_sync.rs
@@ -2,26 +2,26 @@
 
 use std::net::SocketAddr;
 
-use super::{NodeRoster, RosterStep};
+use super::{NodeRoster, RosterContext};
 use crate::budget::SendClass;
 use crate::message::{MessagePurpose, TopicHead};
 
 impl NodeRoster {
     pub(super) fn send_topics(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         heads: Vec<TopicHead>,
         wanted: bool,
     ) {
         let purpose = MessagePurpose::Topics { heads, wanted };
-        self.send(step, SendClass::Head, to, purpose, Vec::new());
+        self.send(context, SendClass::Head, to, purpose, Vec::new());
     }
 
     /// Sends the versions that the peer lacks and requests those that the peer has newer.
     pub(super) fn compare_topics(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         from: SocketAddr,
         heads: &[TopicHead],
         wanted: bool,
@@ -44,10 +44,10 @@
         } else {
             to_send.extend(self.unlisted_topics(heads));
             if !outdated.is_empty() {
-                self.send_topics(step, from, outdated, true);
+                self.send_topics(context, from, outdated, true);
             }
         }
-        self.send_topic_states(step, from, &to_send);
+        self.send_topic_states(context, from, &to_send);
     }
 
     fn unlisted_topics(&self, heads: &[TopicHead]) -> Vec<(u8, u64)> {
@@ -61,7 +61,7 @@
 
     fn send_topic_states(
         &mut self,
-        step: &mut RosterStep<'_>,
+        context: &mut RosterContext<'_>,
         to: SocketAddr,
         topic_keys: &[(u8, u64)],
     ) {
@@ -70,7 +70,7 @@
                 continue;
             };
             let purpose = MessagePurpose::State;
-            if !self.send(step, SendClass::Head, to, purpose, vec![rumour]) {
+            if !self.send(context, SendClass::Head, to, purpose, vec![rumour]) {
                 return;
             }
         }
--- a/crates/roster/src/probe.rs
+++ b/crates/roster/src/probe.rs
@@ -83,7 +83,7 @@
         self.records.insert(sequence, record);
     }
 
-    /// Whether a probe of the member on this node's own behalf is running.
+    /// Returns whether a probe of the member on this node's own behalf is running.
     pub(crate) fn is_probing(&self, target: NodeId) -> bool {
         self.records
             .values()
--- a/crates/roster/src/table.rs
+++ b/crates/roster/src/table.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether the last direct contact is no longer than `window` ago.
+    /// Returns whether the last direct contact is no longer than `window` ago.
     pub(crate) fn contacted_within(&self, now: Duration, window: Duration) -> bool {
         self.last_contact
             .is_some_and(|at| now.saturating_sub(at) <= window)
--- a/crates/roster/src/topic.rs
+++ b/crates/roster/src/topic.rs
@@ -14,8 +14,8 @@
 /// Evidence about an upstream. Transient.
 pub const EVIDENCE: u8 = 4;
 
-/// Whether the topic is retained: digests cover its newest versions, so that nodes that missed the
-/// gossip receive them later.
+/// Returns whether the topic is retained: digests cover its newest versions, so that nodes that
+/// missed the gossip receive them later.
 #[must_use]
 pub const fn is_retained(topic: u8) -> bool {
     topic <= CRASH_SIGNATURE
