--- a/crates/contract/src/access/quota.rs
+++ b/crates/contract/src/access/quota.rs
@@ -66,7 +66,7 @@
         self.teams.insert(team.clone(), QuotaUse { used, at: now });
         let rate = self.per_second();
         self.teams
-            .retain(|_, team| team.used > now.saturating_sub(team.at).as_secs_f64() * rate);
+            .retain(|_, usage| usage.used > now.saturating_sub(usage.at).as_secs_f64() * rate);
     }
 
     /// Checks whether a team may make another change at `now`.
@@ -87,9 +87,9 @@
     }
 
     fn used(&self, team: &str, now: Duration) -> f64 {
-        self.teams.get(team).map_or(0.0, |team| {
-            let replenished = now.saturating_sub(team.at).as_secs_f64() * self.per_second();
-            (team.used - replenished).max(0.0)
+        self.teams.get(team).map_or(0.0, |usage| {
+            let replenished = now.saturating_sub(usage.at).as_secs_f64() * self.per_second();
+            (usage.used - replenished).max(0.0)
         })
     }
 
--- a/crates/contract/src/book/schedule.rs
+++ b/crates/contract/src/book/schedule.rs
@@ -29,7 +29,8 @@
 /// record of its own and still fits; see
 /// [`MAX_CONTRACT_BYTES`](crate::change::MAX_CONTRACT_BYTES).
 const MAX_RECORD_CONTENT_BYTES: usize = MAX_RECORD_BYTES / 8;
-/// Estimated ratio of the JSON size of a contract to its compact form, at most.
+/// Estimated ratio of the JSON size of a contract to its compact form. A few contracts have a
+/// greater ratio and still fit, because [`MAX_RECORD_CONTENT_BYTES`] is an eighth of a record.
 const JSON_EXPANSION: usize = 6;
 /// Estimated size of an entry without its content, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 512;
@@ -163,9 +164,11 @@
         if age < due_age && !future_stamp && !near_edge {
             return false;
         }
-        let share = spread_position(window.node, entry, proof.as_of);
-        let share_elapsed = age >= due_age + spread.mul_f64(share);
-        future_stamp || share_elapsed || (near_edge && share <= edge_proximity(offsets_left, edge))
+        let position = spread_position(window.node, entry, proof.as_of);
+        let wait_elapsed = age >= due_age + spread.mul_f64(position);
+        future_stamp
+            || wait_elapsed
+            || (near_edge && position <= edge_proximity(offsets_left, edge))
     }
 
     fn batch(&self, entries: Vec<BookEntry>, window: &CarryWindow) -> Vec<CarryRecord> {
@@ -246,6 +249,6 @@
         &as_of.to_be_bytes(),
     ]);
     #[expect(clippy::cast_precision_loss, reason = "a share needs few digits")]
-    let share = hash as f64 / u64::MAX as f64;
-    share
+    let position = hash as f64 / u64::MAX as f64;
+    position
 }
--- a/crates/contract/src/book/snapshot.rs
+++ b/crates/contract/src/book/snapshot.rs
@@ -134,9 +134,9 @@
             return outcome;
         }
         let before = self.versions_in_force();
-        let open = !self.rebuilding && (self.records_read == 0 || !self.is_complete());
+        let can_rebase = !self.rebuilding && (self.records_read == 0 || !self.is_complete());
         let covers = snapshot.whole && snapshot.offset >= self.start;
-        if open && covers {
+        if can_rebase && covers {
             outcome.moved = snapshot.offset > self.next;
             self.rebase(snapshot, &mut outcome);
         }
--- a/crates/contract/src/fleet/table.rs
+++ b/crates/contract/src/fleet/table.rs
@@ -17,8 +17,8 @@
 /// memory, and bodies beyond a few KB are streamed.
 const MAX_BODY: u64 = 64 << 20;
 /// Maximum size of a reply that is buffered completely before it is forwarded, in bytes. The
-/// largest document bundles are about half of this, and while a reply is buffered, it can still be
-/// fetched from another upstream.
+/// largest replies of the fleet's services, bundles of documents, take about half of this. While a
+/// reply is buffered, it can still be fetched from another upstream.
 const REPLY_BUFFER: u64 = 1 << 20;
 
 /// Compiled route with one rule per part.
--- a/crates/contract/src/table/builder.rs
+++ b/crates/contract/src/table/builder.rs
@@ -119,12 +119,12 @@
         let mut findings = FindingList::default();
         for (hash, customers) in &self.shared_tokens {
             let token_owner = self.token_owner(customers);
-            let others: Vec<&str> = customers.iter().map(CustomerName::as_str).collect();
+            let names: Vec<&str> = customers.iter().map(CustomerName::as_str).collect();
             findings.add(
                 format!("tokens[sha256={hash}]"),
                 format!(
                     "named by {}; it belongs to {}, the oldest of them",
-                    others.join(", "),
+                    names.join(", "),
                     token_owner.map_or("nobody", |(name, _)| name.as_str()),
                 ),
             );
@@ -199,11 +199,11 @@
                 number,
             })
         });
-        let held = self.table.find_location(hash);
-        if held != location {
+        let current = self.table.find_location(hash);
+        if current != location {
             let accounts = &mut Arc::make_mut(&mut self.table).accounts;
-            if let Some(held) = held {
-                accounts.remove(hash, held);
+            if let Some(current) = current {
+                accounts.remove(hash, current);
             }
             if let Some(location) = location {
                 accounts.insert(hash, location);
--- a/crates/contract/src/table/mod.rs
+++ b/crates/contract/src/table/mod.rs
@@ -176,8 +176,8 @@
     fn find_location(&self, hash: &ContentDigest) -> Option<AccountLocation> {
         self.accounts.candidates(hash).find(|location| {
             let compiled = self.compiled(location.customer);
-            let held = compiled.and_then(|compiled| compiled.account_hash(location.number));
-            held.is_some_and(|held| held.ct_eq(hash))
+            let stored = compiled.and_then(|compiled| compiled.account_hash(location.number));
+            stored.is_some_and(|stored| stored.ct_eq(hash))
         })
     }
 
--- a/crates/contract/src/table/rule.rs
+++ b/crates/contract/src/table/rule.rs
@@ -94,7 +94,7 @@
     pub repeat: RepeatClass,
     /// Maximum total duration of a request.
     pub deadline: Duration,
-    /// Maximum number of upstreams that may run one request; `None` leaves it to the retry plan.
+    /// Maximum number of upstreams that may run one request; `None` if the contract sets no limit.
     pub attempts: Option<u16>,
     /// 0 (low, shed first) to 9 (high, shed last).
     pub priority: u8,
--- a/crates/contract/src/text.rs
+++ b/crates/contract/src/text.rs
@@ -1,4 +1,4 @@
-//! Content of changes and entries: a contract, valid or not.
+//! Content of changes and book entries, as a contract in compact form or as invalid JSON text.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, OnceLock};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct ContractText {
     form: TextForm,
-    /// JSON text of a contract in compact form, created on first use.
+    /// JSON text of a [`TextForm::Packed`] contract, created on first use.
     text: OnceLock<Arc<str>>,
 }
 
--- a/crates/contract/tests/testsuite/access.rs
+++ b/crates/contract/tests/testsuite/access.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn red() -> TeamScope {
+fn red_team() -> TeamScope {
     TeamScope::Team(Arc::from("red"))
 }
 
@@ -28,9 +28,9 @@
 fn every_role_may_make_only_the_listed_calls() {
     let mut accounts = vec![AccessAccount {
         grants: Vec::new(),
-        ..account("nobody", red(), AccessRole::Viewer)
+        ..account("nobody", red_team(), AccessRole::Viewer)
     }];
-    for scope in [red(), TeamScope::All] {
+    for scope in [red_team(), TeamScope::All] {
         for role in AccessRole::ALL {
             accounts.push(account("someone", scope.clone(), *role));
         }
@@ -76,7 +76,7 @@
 fn changing_a_contract_needs_a_grant_for_both_teams() {
     // An operator publishes another team's customer under the operator's own team. If only the
     // team of the new contract were checked, the operator could take over the customer.
-    let operator = account("rob", red(), AccessRole::Operator);
+    let operator = account("rob", red_team(), AccessRole::Operator);
     let call = AccessCall::PutContract;
     assert_eq!(
         authorize_change(&operator, call, Some("red"), "red"),
@@ -91,12 +91,12 @@
 fn all_invalid_accounts_are_reported() {
     let twin = |name: &str| AccessAccount {
         sha256: ContentDigest::of(b"same"),
-        ..account(name, red(), AccessRole::Viewer)
+        ..account(name, red_team(), AccessRole::Viewer)
     };
     let empty = AccessAccount {
         sha256: ContentDigest::of(b""),
         grants: Vec::new(),
-        ..account("", red(), AccessRole::Viewer)
+        ..account("", red_team(), AccessRole::Viewer)
     };
     let findings = AccessTable::new(vec![twin("a"), twin("b"), empty]).unwrap_err();
     assert_snapshot!(findings);
--- a/crates/log/src/backoff.rs
+++ b/crates/log/src/backoff.rs
@@ -54,12 +54,12 @@
     pub fn fail(&mut self, now: Duration) -> Duration {
         let since = *self.outage_since.get_or_insert(now);
         let outage = now.saturating_sub(since);
-        let pause = outage
+        let delay = outage
             .mul_f64(self.settings.share)
             .clamp(self.settings.least, self.settings.greatest);
         // Jitter between half and the whole delay, so that nodes that lost the log at the same time
         // do not retry at the same time.
-        pause.mul_f64(self.rng.random_range(0.5..=1.0))
+        delay.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 
     /// Records a success, which ends the outage.
--- a/crates/log/src/budget.rs
+++ b/crates/log/src/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! The log accepts several hundred appends a second from the whole fleet. A node that appends in a
 //! loop would exhaust that rate for all others, including operators. Each node therefore has a
-//! token bucket, of which background appends leave a reserve to urgent ones.
+//! token bucket, in which background appends leave a reserve of tokens for urgent ones.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 pub enum AppendPurpose {
     /// Change by an operator, one append per change. May use the whole budget.
     ContractChange,
-    /// Change of the roster or of custody, one append per change.
+    /// Change of the roster or of the guards of a key range, one append per change.
     RosterChange,
     /// Copy of current state, appended before retention trims the original. One append per stream
     /// and half of the retention time, made by the node that first finds it due.
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -3,7 +3,7 @@
 //! ```text
 //!        step(now) ──▶ Read{range} ──▶ (client) ──▶ page(now, ..)  ──▶ Records | Gap | Rewound
 //!            │                                 └──▶ error(now, ..) ──▶ Gap | Outage
-//!            └──────▶ Wait{until}
+//!            └──────▶ Wait{until} | Busy
 //! ```
 //!
 //! The state machine does no I/O; its owner performs the reads. At most one read is in progress.
@@ -195,11 +195,11 @@
                 return self.gap(first);
             }
         }
-        let mut pause = self.backoff.fail(now);
+        let mut delay = self.backoff.fail(now);
         if let LogError::Throttled { retry_after } = error {
-            pause = pause.max(retry_after);
+            delay = delay.max(retry_after);
         }
-        self.not_before = now + pause;
+        self.not_before = now + delay;
         FollowEvent::Outage {
             outage_duration: self.backoff.outage_duration(now).unwrap_or_default(),
             error,
--- a/crates/log/src/settle.rs
+++ b/crates/log/src/settle.rs
@@ -7,7 +7,7 @@
 //! ```text
 //! append ──▶ receipt ───────────────────────────────▶ Appended
 //!        └─▶ uncertain ─▶ read back ─▶ found ───────▶ Appended
-//!                                  └─▶ end reached ─▶ NotFound
+//!                                  ├─▶ end reached ─▶ NotFound
 //!                                  └─▶ trimmed/down ▶ error, outcome unknown
 //! ```
 
--- a/crates/telemetry/src/burn/ledger.rs
+++ b/crates/telemetry/src/burn/ledger.rs
@@ -37,7 +37,7 @@
 pub struct ObjectiveTerm {
     /// Objective in force.
     pub objective: BurnObjective,
-    /// Version of the contract; the newer one wins when reports are merged.
+    /// Version of the contract. Merged reports keep the objective of the newer version.
     pub version: u64,
 }
 
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Sets the maximum number of series, at least 1.
+    /// Sets the number of series from which on the ledger is full, at least 1. Including the shared
+    /// series, the ledger holds at most twice as many, and one more for all further services.
     #[must_use]
     pub fn max_series(mut self, bound: usize) -> Self {
         self.max_series = bound.max(1);
@@ -168,8 +169,9 @@
         })
     }
 
-    /// Returns the names to count a request under: its own, or [`OTHER_NAME`] when the ledger is
-    /// full.
+    /// Returns the names to count a request under: its own, or [`OTHER_NAME`] as the customer when
+    /// the ledger is full. At twice the maximum number of series, requests for further services are
+    /// counted under [`OTHER_NAME`] as the service too.
     fn series_key(
         &mut self,
         now: Duration,
@@ -186,6 +188,7 @@
         (other, ServiceName::new(OTHER_NAME))
     }
 
+    /// Returns whether the series exists already or fewer than `bound` series exist.
     fn has_room(
         &mut self,
         now: Duration,
--- a/crates/telemetry/src/burn/mod.rs
+++ b/crates/telemetry/src/burn/mod.rs
@@ -11,7 +11,7 @@
 mod summary;
 mod table;
 mod time;
-mod watch;
+mod tracker;
 mod window;
 
 pub use alert::{BurnAlert, BurnRule, burn_rate};
@@ -24,5 +24,5 @@
 pub use summary::{BurnSummary, SummaryPoint, SummaryRow, SummaryWindow};
 pub use table::BurnTable;
 pub use time::UtcTime;
-pub use watch::{AlertChange, AlertTracker};
+pub use tracker::{AlertChange, AlertTracker};
 pub use window::{BurnWindow, WindowCoverage};
--- a/crates/telemetry/src/event/emit.rs
+++ b/crates/telemetry/src/event/emit.rs
@@ -61,7 +61,9 @@
                     tracing::Level::$level,
                     code = $code.as_str(),
                     event = $code.name(),
-                    $($field = $fields.$field.map(|value| tracing::field::display(EscapedText(value))),)+
+                    $($field = $fields
+                        .$field
+                        .map(|value| tracing::field::display(EscapedText(value))),)+
                     suppressed = $suppressed,
                     "{}",
                     $code.message()
--- a/crates/telemetry/src/metric/name.rs
+++ b/crates/telemetry/src/metric/name.rs
@@ -32,7 +32,10 @@
 }
 
 macro_rules! metric_names {
-    ($($name:ident $kind:ident $text:literal $unit:literal [$($tag:literal)*] $meaning:literal;)+) => {
+    ($(
+        $name:ident $kind:ident $text:literal $unit:literal [$($tag:literal)*]
+            $meaning:literal;
+    )+) => {
         /// Metric, with its name, kind, unit and tags.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum MetricName {
--- a/crates/telemetry/src/metric/sink.rs
+++ b/crates/telemetry/src/metric/sink.rs
@@ -83,8 +83,8 @@
 
 /// Sink that sends to a statsd receiver over UDP, several lines per datagram.
 ///
-/// It needs no queue, because the socket is non-blocking and the flush is not on the request path.
-/// The queuing sink of cadence would also delay the last lines of a flush until the next one.
+/// The sink needs no queue, because the socket is non-blocking and the flush is not on the request
+/// path. The queuing sink of cadence would also delay the last lines of a flush until the next one.
 #[derive(Debug)]
 pub struct StatsdSink {
     client: StatsdClient,
--- a/crates/telemetry/src/reach.rs
+++ b/crates/telemetry/src/reach.rs
@@ -35,9 +35,9 @@
 
 /// Detects network partitions on one daemon, by the share of known daemons that are lost.
 ///
-/// Without it, a cut between failure domains would only show as a hundred log lines about single
-/// daemons, and operators would look at these daemons instead of the network. Daemons that left by
-/// themselves do not count as lost.
+/// Without the monitor, a partition between failure domains would only show as a hundred log lines
+/// about single daemons, and operators would look at these daemons instead of the network. Daemons
+/// that left by themselves do not count as lost.
 #[derive(Debug, Default)]
 pub struct PartitionMonitor {
     up: BTreeSet<NodeId>,
--- a/crates/telemetry/tests/reserved_entries.rs
+++ b/crates/telemetry/tests/reserved_entries.rs
@@ -12,7 +12,7 @@
     "crates/daemon/src",
     "crates/ops/src",
     "src",
-    "crates/telemetry/src/burn/watch.rs",
+    "crates/telemetry/src/burn/tracker.rs",
     "crates/telemetry/src/event/throttle.rs",
     "crates/telemetry/src/log.rs",
 ];
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -12,9 +12,9 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
+use crate::client_exchange::{BodySender, ReplyReceiver};
 use crate::connection::{CloseReason, ConnectionState, ConnectionWatch};
 use crate::error::{ConnectError, WireError};
-use crate::exchange::{BodySender, ReplyReceiver};
 use crate::frame::FrameKind;
 use crate::handshake::{PeerIdentity, connect_handshake};
 use crate::heartbeat::run_heartbeat;
@@ -69,7 +69,8 @@
             .map_err(|_| ConnectError::TimedOut)?
     }
 
-    /// The same over an open stream of bytes, without a limit on the time.
+    /// Runs the handshake over a byte stream that is already open, without a timeout. For `target`,
+    /// see [`Self::connect`].
     ///
     /// # Errors
     ///
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -151,8 +151,8 @@
             };
             match &*link {
                 PeerLink::Open(open) if !open.connection.is_closed() => {
-                    let overdue = open.connection.unresponsive_for();
-                    overdue.is_some_and(|overdue| overdue > limit)
+                    let outstanding = open.connection.unresponsive_for();
+                    outstanding.is_some_and(|outstanding| outstanding > limit)
                 }
                 _ => false,
             }
@@ -236,7 +236,7 @@
         if let Some(known) = entries.get(&peer) {
             return Rc::clone(known);
         }
-        // Entries of earlier incarnations of this node are no longer needed.
+        // Entries of earlier incarnations of the peer are no longer needed.
         entries.retain(|known, _| known.node != peer.node || *known > peer);
         let entry = Rc::new(PeerEntry {
             link: Mutex::new(PeerLink::Closed),
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -14,7 +14,6 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::watch;
 
-use crate::answer::{BodyReceiver, ReplySender, WorkExchange};
 use crate::client::{MESSAGE_PATH, WORK_PATH};
 use crate::codec::decode_payload;
 use crate::connection::{CloseReason, ConnectionState};
@@ -22,6 +21,7 @@
 use crate::frame::FrameKind;
 use crate::handshake::{PeerIdentity, accept_handshake};
 use crate::heartbeat::run_heartbeat;
+use crate::server_exchange::{BodyReceiver, ReplySender, WorkExchange};
 use crate::settings::WireSettings;
 use crate::stream::FrameReader;
 use crate::work::WorkHead;
--- a/crates/wire/tests/decoding.rs
+++ b/crates/wire/tests/decoding.rs
@@ -56,7 +56,11 @@
     }
 
     #[test]
-    fn truncated_stream_is_reported(frames in any_frames(), piece in 1_usize..700, cut in 1_usize..400) {
+    fn truncated_stream_is_reported(
+        frames in any_frames(),
+        piece in 1_usize..700,
+        cut in 1_usize..400,
+    ) {
         let bytes: Vec<u8> = frames
             .iter()
             .flat_map(|(kind, payload)| encode_frame(*kind, payload))
