--- a/crates/daemon/src/callers/server.rs
+++ b/crates/daemon/src/callers/server.rs
@@ -11,7 +11,7 @@
 
 use super::exchange::answer_request;
 use super::socket::{CallerSockets, TrackedListener};
-use crate::border::CallerAdapter;
+use crate::adapters::CallerAdapter;
 use crate::http_server::PortServer;
 use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -13,7 +13,7 @@
 use sycamorelink_wire::{FleetKeys, PeerIdentity, WireSettings};
 use tokio::sync::watch;
 
-use crate::border::{ContractSource, DaemonAdapters, MemberEntry};
+use crate::adapters::{ContractSource, DaemonAdapters, MemberEntry};
 use crate::callers::{CallerContext, CallerSockets, serve_callers};
 use crate::decision_loop::{DecisionLoop, DecisionOutputs};
 use crate::gossip::start_gossip;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -11,10 +11,10 @@
 //! Each thread has one responsibility, and bounded rings connect them. The decision thread runs
 //! [`sycamorelink_engine::NodeEngine`], which makes every decision; the other threads only do I/O.
 //!
-//! When the fleet contract comes from a [`border::ContractSource`], the source thread takes the
+//! When the fleet contract comes from a [`adapters::ContractSource`], the source thread takes the
 //! place of the log thread.
 
-pub mod border;
+pub mod adapters;
 mod callers;
 mod daemon;
 mod decision_loop;
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -17,7 +17,7 @@
 use sycamorelink_log::{BackoffSettings, LogError, OutageBackoff};
 use tokio::sync::{Notify, watch};
 
-use crate::border::{MemberDirectory, MemberEntry};
+use crate::adapters::{MemberDirectory, MemberEntry};
 use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
 
--- a/crates/daemon/src/operators/route.rs
+++ b/crates/daemon/src/operators/route.rs
@@ -17,7 +17,7 @@
 use super::query::OperatorQuery;
 use super::reply::{ApiProblem, empty_reply, json_reply, with_etag};
 use super::server::OperatorContext;
-use crate::border::AnnouncementCall;
+use crate::adapters::AnnouncementCall;
 use crate::inbox::DecisionInput;
 use crate::notes::{AuditCall, AuditNote};
 
--- a/crates/daemon/src/operators/server.rs
+++ b/crates/daemon/src/operators/server.rs
@@ -18,7 +18,7 @@
 use super::query::OperatorQuery;
 use super::reply::ApiProblem;
 use super::route::{OperatorCall, handle_call};
-use crate::border::AnnouncementAdapter;
+use crate::adapters::AnnouncementAdapter;
 use crate::http_server::PortServer;
 use crate::inbox::DecisionInput;
 use crate::ring::RingSender;
--- a/crates/daemon/src/source_thread.rs
+++ b/crates/daemon/src/source_thread.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-use crate::border::{ContractSource, SourceUpdate};
+use crate::adapters::{ContractSource, SourceUpdate};
 use crate::inbox::DecisionInput;
 use crate::log_thread::{COMMAND_DEPTH, LogCommand};
 use crate::members::{DIRECTORY_BACKOFF, MemberParts, MemberSignals, MemberTask, pause_after};
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -10,7 +10,7 @@
 use sycamorelink_roster::MemberFacts;
 use sycamorelink_wire::{DATAGRAM_PAYLOAD, FleetKey, FleetKeys};
 
-use crate::border::{MemberDirectory, MemberEntry};
+use crate::adapters::{MemberDirectory, MemberEntry};
 use crate::settings::DaemonSettings;
 use crate::sockets::DaemonAddresses;
 
--- a/crates/daemon/src/work/executor.rs
+++ b/crates/daemon/src/work/executor.rs
@@ -20,7 +20,7 @@
 
 use super::backend::{SendFailure, backend_body, refuses_connections};
 use super::{ReplySink, WorkCommand, WorkContext};
-use crate::border::{BackendRequest, ReplyExpectation, ReplyVerdict, RequestSpec};
+use crate::adapters::{BackendRequest, ReplyExpectation, ReplyVerdict, RequestSpec};
 use crate::callers::{StoredReply, is_hop_by_hop_header};
 use crate::inbox::DecisionInput;
 use crate::reply::{AttemptFailure, BodyReceiver, ReplyEnd, ReplyHead, ReplyPart};
--- a/crates/daemon/src/work/thread.rs
+++ b/crates/daemon/src/work/thread.rs
@@ -22,7 +22,7 @@
 use super::backend::BackendPool;
 use super::serving::serve_peers;
 use super::{AttemptTask, BackendDirectory};
-use crate::border::BackendAdapter;
+use crate::adapters::BackendAdapter;
 use crate::inbox::DecisionInput;
 use crate::metrics::EventPort;
 use crate::ring::RingSender;
--- a/crates/engine/src/fleet.rs
+++ b/crates/engine/src/fleet.rs
@@ -21,7 +21,7 @@
     AccountRule, CustomerIndex as TableIndex, FleetContract, FleetTable, RouteRule,
 };
 use sycamorelink_core::{CustomerName, InstanceId, NodeId, RefusalCode};
-use sycamorelink_limits::{BudgetPart, WHOLE_REPEAT};
+use sycamorelink_limits::{BudgetPart, MILLIS_PER_REPEAT};
 use sycamorelink_policy::PoolSettings;
 use sycamorelink_roster::{RosterEvent, topic};
 
@@ -135,7 +135,7 @@
             follow: FollowState::new(first_start, seed),
             contact: ContactState::default(),
             draw: random.random(),
-            threshold: (WHOLE_REPEAT, Duration::ZERO),
+            threshold: (MILLIS_PER_REPEAT, Duration::ZERO),
             random,
         }
     }
@@ -155,7 +155,7 @@
         } else {
             THRESHOLD_LIFETIME
         };
-        let drawn = self.random.random_range(1..=WHOLE_REPEAT);
+        let drawn = self.random.random_range(1..=MILLIS_PER_REPEAT);
         self.threshold = (drawn, now + lifetime);
         drawn
     }
@@ -312,7 +312,7 @@
         let slack = slack.map_or(0, |(contract, _)| u64::from(contract.retry_slack));
         let holders = u64::try_from(holders).unwrap_or(u64::MAX);
         BudgetPart {
-            slack: slack * WHOLE_REPEAT / holders.max(1),
+            slack: slack * MILLIS_PER_REPEAT / holders.max(1),
             threshold: self.fleet.repeat_threshold(now),
         }
     }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -31,7 +31,7 @@
     AccountId, QuotaHolder, QuotaKeeper, QuotaMessage, QuotaSettings, QuotaTerms, ShareUpdate,
     UsageReport,
 };
-pub use retry_budget::{BudgetPart, BudgetSettings, RetryBudget, WHOLE_REPEAT};
+pub use retry_budget::{BudgetPart, BudgetSettings, MILLIS_PER_REPEAT, RetryBudget};
 pub use share::{
     Admission, AskEntry, CustomerIndex, CustomerLimit, CustomerShare, GrantEntry, ShareCommand,
     ShareEvent, ShareKeeper, ShareMember, ShareMessage, ShareNode, ShareSettings,
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -21,7 +21,7 @@
 const TOKEN_PER_PERCENT: u64 = TOKEN / 100;
 
 /// Units of a [`BudgetPart`] per repeat.
-pub const WHOLE_REPEAT: u64 = 1000;
+pub const MILLIS_PER_REPEAT: u64 = 1000;
 
 /// One node's part of a budget that many nodes share, in thousandths of a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     fn default() -> Self {
         Self {
             slack: 0,
-            threshold: WHOLE_REPEAT,
+            threshold: MILLIS_PER_REPEAT,
         }
     }
 }
@@ -182,8 +182,8 @@
         let deposits: u64 = self.deposits.iter().sum();
         let withdrawals = TOKEN * self.withdrawals.len() as u64;
         let BudgetPart { slack, threshold } = self.node_part;
-        let advance_credit = WHOLE_REPEAT.saturating_sub(threshold);
-        let node_share = (slack + advance_credit) * (TOKEN / WHOLE_REPEAT);
+        let advance_credit = MILLIS_PER_REPEAT.saturating_sub(threshold);
+        let node_share = (slack + advance_credit) * (TOKEN / MILLIS_PER_REPEAT);
         (minimum + node_share + deposits).saturating_sub(withdrawals)
     }
 
--- a/crates/limits/tests/retry_budget.rs
+++ b/crates/limits/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sycamorelink_limits::{BudgetPart, BudgetSettings, RetryBudget, WHOLE_REPEAT};
+use sycamorelink_limits::{BudgetPart, BudgetSettings, MILLIS_PER_REPEAT, RetryBudget};
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -68,7 +68,7 @@
         let mut budget = RetryBudget::new(&settings(0, 0));
         budget.set_part(BudgetPart {
             slack: 750,
-            threshold: node * WHOLE_REPEAT / 100,
+            threshold: node * MILLIS_PER_REPEAT / 100,
         });
         for failure in 0..20 {
             sent += u32::from(budget.withdraw(at(failure)));
--- a/crates/ops/src/reload.rs
+++ b/crates/ops/src/reload.rs
@@ -10,7 +10,7 @@
 
 use sycamorelink_core::FindingList;
 use sycamorelink_daemon::DaemonHandle;
-use sycamorelink_daemon::border::DaemonAdapters;
+use sycamorelink_daemon::adapters::DaemonAdapters;
 use sycamorelink_daemon::settings::DaemonSettings;
 use sycamorelink_telemetry::{EventCode, EventFields, emit};
 
--- a/src/bin/sycamorelinkd/main.rs
+++ b/src/bin/sycamorelinkd/main.rs
@@ -5,7 +5,7 @@
 
 use clap::Parser;
 use sycamorelink_core::FindingList;
-use sycamorelink_daemon::border::DaemonAdapters;
+use sycamorelink_daemon::adapters::DaemonAdapters;
 use sycamorelink_daemon::settings::{DaemonSettings, InterfaceProtocol};
 use sycamorelink_ops::serve::serve_daemon;
 use sycamorelink_ops::{ExitKind, ShellContext, ToolSettings, exit_kind};
