--- a/crates/ops/src/burn.rs
+++ b/crates/ops/src/burn.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// Requests data points only for the HTML page, which plots them. They make a reply many times as
-/// long.
+/// Returns the call that requests the report. Only the HTML page plots data points, so only its
+/// call requests them: they make a reply many times as long.
 fn burn_call(output: &BurnOutput) -> ApiCall {
     match output {
         BurnOutput::Page(_) => ApiCall::get("/v1/burn?points=true"),
--- a/crates/ops/src/contract/follow.rs
+++ b/crates/ops/src/contract/follow.rs
@@ -130,8 +130,9 @@
     Ok(())
 }
 
-/// Returns the names of live members that lack the version. A version is in force at a member whose
-/// next contract offset is at least the version.
+/// Returns the names of live members that lack the version. A version is the offset of its record
+/// plus one, so it is in force at a member whose `contract_head`, the next offset to read, is at
+/// least the version. Members with an unknown head are skipped.
 fn members_behind(fleet: &FleetView, version: u64) -> Vec<&str> {
     let behind = |member: &&MemberView| {
         let runs = member.state == "alive" || member.state == "leaving";
--- a/crates/ops/src/dev/fleet.rs
+++ b/crates/ops/src/dev/fleet.rs
@@ -95,7 +95,7 @@
     }
 
     /// Waits until every daemon accepts requests.
-    pub(super) fn wait_ready(&self, clock: &dyn NodeClock) -> anyhow::Result<()> {
+    pub(super) fn wait_until_ready(&self, clock: &dyn NodeClock) -> anyhow::Result<()> {
         let deadline = clock.now() + READY_LIMIT;
         while !self
             .instances
--- a/crates/ops/src/dev/mod.rs
+++ b/crates/ops/src/dev/mod.rs
@@ -1,13 +1,14 @@
 //! The `dev` command: a complete development fleet on the loopback interface, in one process.
 //!
 //! ```text
-//! callers ──HTTP──▶ any of 7 daemons ──▶ 7 backend stand-ins     log stand-in
-//!    │                    ▲    │                 ▲                    ▲
-//!    ▼                    │    └────contracts────┼────────────────────┘
-//!  stats ◀── audit ── runs by key ───────────────┤
-//!    │                    │ operators' API       │ faults
-//!    ▼                    │                      │
-//!  report, screen ◀── snapshot, timeline ◀─ scenario
+//! callers  ──HTTP──▶ any of 7 daemons ──▶ 7 backend stand-ins
+//! daemons  ──contracts──▶ log stand-in
+//! scenario ──faults──▶ backend stand-ins
+//! scenario ──drain──▶ daemon
+//! daemons  ──operators' API──▶ snapshot ──▶ timeline ──▶ screen, report
+//! callers  ──statuses──▶ stats ──▶ audit ◀──runs by key── backend stand-ins
+//!                          │         └──▶ report
+//!                          └──▶ screen, report
 //! ```
 //!
 //! Contracts are published and all displayed data is read through the operators' API, so the screen
--- a/crates/ops/src/dev/session.rs
+++ b/crates/ops/src/dev/session.rs
@@ -63,7 +63,7 @@
         );
     }
     publish_contracts(context, &client)?;
-    fleet.wait_ready(context.clock().as_ref())?;
+    fleet.wait_until_ready(context.clock().as_ref())?;
     wait_until_settled(context, &client, fleet.instances.len())?;
     let session = DevSession::start(context, fleet, client, options)?;
     let report = session.run(context)?;
@@ -336,7 +336,8 @@
     }
 }
 
-/// Returns whether every daemon gives every upstream its full share, so that none is ramping up.
+/// Returns whether every upstream is ready and no daemon gives one reduced work, so that none is
+/// ramping up.
 fn is_warmed_up(snapshot: &FleetSnapshot) -> bool {
     let mut upstreams = snapshot
         .services
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -207,7 +207,7 @@
     table
 }
 
-/// Asks one daemon to drain.
+/// Requests a drain of the configured daemon.
 ///
 /// # Errors
 ///
--- a/crates/ops/src/serve.rs
+++ b/crates/ops/src/serve.rs
@@ -27,8 +27,8 @@
 /// Interval at which the settings file is polled, because it may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Log directive that limits the HTTP server to warnings. Its other lines report only on its threads,
-/// which the numbered events cover.
+/// Log directive that limits the HTTP server to warnings. Its other lines report only on its
+/// threads, which the numbered events cover.
 const HTTP_SERVER_DIRECTIVE: &str = "xitca_server=warn";
 /// Most verbose level for the log lines of libraries.
 const LIBRARY_LEVEL: &str = "info";
--- a/crates/ops/src/settings.rs
+++ b/crates/ops/src/settings.rs
@@ -10,7 +10,8 @@
 
 use crate::exit::ToolFailure;
 
-/// Environment variable with the operators' addresses of daemons, separated by commas.
+/// Environment variable with the addresses at which daemons serve the operators' API, separated by
+/// commas.
 pub const DAEMON_VARIABLE: &str = "SYCAMORELINK_DAEMON";
 /// Environment variable with the operator's token.
 pub const TOKEN_VARIABLE: &str = "SYCAMORELINK_TOKEN";
@@ -20,7 +21,7 @@
 /// Daemon addresses, operator token and call timeout.
 #[derive(Clone)]
 pub struct ToolSettings {
-    /// Operators' addresses of daemons, tried in order until one answers.
+    /// Addresses at which daemons serve the operators' API, tried in order until one answers.
     pub daemons: Vec<SocketAddr>,
     /// The operator's bearer token; `None` sends calls without authorization.
     pub token: Option<Arc<str>>,
@@ -88,15 +89,15 @@
 }
 
 fn parse_daemons(text: &str) -> anyhow::Result<Vec<SocketAddr>> {
-    let names = text.split(',').map(str::trim);
-    names
-        .filter(|name| !name.is_empty())
+    let addresses = text.split(',').map(str::trim);
+    addresses
+        .filter(|address| !address.is_empty())
         .map(parse_daemon)
         .collect()
 }
 
-fn parse_daemon(name: &str) -> anyhow::Result<SocketAddr> {
-    parse_address(name).with_context(|| format!("could not read {DAEMON_VARIABLE}"))
+fn parse_daemon(address: &str) -> anyhow::Result<SocketAddr> {
+    parse_address(address).with_context(|| format!("could not read {DAEMON_VARIABLE}"))
 }
 
 /// Parses an IP address with a port.
--- a/crates/ops/src/trace.rs
+++ b/crates/ops/src/trace.rs
@@ -42,7 +42,8 @@
 struct LogLine {
     /// Timestamp as logged. Its text form sorts chronologically.
     time: String,
-    /// Prefix of the line, or the file name if there is none.
+    /// Last word of the line's prefix, or the file name without its extension if there is no
+    /// prefix.
     source: String,
     code: String,
     fields: Value,
--- a/crates/ops/src/view/change.rs
+++ b/crates/ops/src/view/change.rs
@@ -72,7 +72,7 @@
     pub version: u64,
 }
 
-/// State of a change at the daemon that was asked.
+/// State of a change at the answering daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeState {
@@ -93,9 +93,9 @@
 pub struct ChangeView {
     /// Id of the change.
     pub change: String,
-    /// Name of the customer.
+    /// Name of the customer; `None` if the daemon does not state one.
     pub customer: Option<String>,
-    /// Outcome, such as `accepted` or `rejected`.
+    /// State of the change at the answering daemon.
     pub state: ChangeState,
     /// Version that the change created; `None` unless it was accepted.
     pub version: Option<u64>,
--- a/crates/ops/src/view/fleet.rs
+++ b/crates/ops/src/view/fleet.rs
@@ -28,7 +28,8 @@
     pub state: String,
     /// Whether the answering daemon reaches the member directly.
     pub reachable: bool,
-    /// Next offset of the member's contract book; `None` if unknown.
+    /// Next offset that the member reads for contract changes; `None` if unknown. All earlier
+    /// changes are applied at the member.
     pub contract_head: Option<u64>,
     /// Backend servers of the member.
     pub upstreams: Vec<MemberUpstream>,
--- a/crates/ops/src/view/node.rs
+++ b/crates/ops/src/view/node.rs
@@ -44,7 +44,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ContractStatus {
-    /// Next offset of the contract book. All earlier changes are applied at this daemon.
+    /// Next offset that the daemon reads for contract changes. All earlier changes are applied at
+    /// the daemon.
     pub head: u64,
     /// Number of customers that have a contract.
     pub customers: u64,
--- a/crates/standin/src/backend/settings.rs
+++ b/crates/standin/src/backend/settings.rs
@@ -14,7 +14,7 @@
 pub struct ColdStart {
     /// Multiplier of the service time at the beginning.
     pub factor: f64,
-    /// Time in milliseconds until the service time is normal.
+    /// Time until the service time is normal, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "warm_after_ms")]
     pub warm_after: Duration,
@@ -31,7 +31,7 @@
     pub slots: u16,
     /// Maximum number of requests that wait for a slot; further ones get a 503.
     pub queue_limit: u32,
-    /// Mean service time in milliseconds.
+    /// Mean service time, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "service_time_ms")]
     pub service_time: Duration,
@@ -41,15 +41,15 @@
     pub cold_start: Option<ColdStart>,
     /// Seed of the random service times and of the `fail` fault.
     pub seed: u64,
-    /// Operator address of the daemon that receives the announcements; `None` sends none.
+    /// Operators' address of the daemon that receives the announcements; `None` sends none.
     pub daemon: Option<SocketAddr>,
     /// Slot number under which the server announces itself to the daemon.
     pub daemon_slot: u16,
-    /// Interval between announcements in milliseconds.
+    /// Interval between announcements, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "heartbeat_ms")]
     pub heartbeat: Duration,
-    /// Minimum age, in milliseconds, of the load that `GET /load` reports.
+    /// Minimum age of the load that `GET /load` reports, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "load_lag_ms")]
     pub load_lag: Duration,
--- a/crates/standin/src/log/mod.rs
+++ b/crates/standin/src/log/mod.rs
@@ -33,8 +33,8 @@
         Self::start_with_clock(bind, settings, Arc::new(SystemClock::start())).await
     }
 
-    /// Starts a log service with the given clock, which timestamps records and refills the append
-    /// limit.
+    /// Starts a log service with the given clock, which timestamps records, ages them for retention
+    /// and refills the token bucket of the append rate limit.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/log/settings.rs
+++ b/crates/standin/src/log/settings.rs
@@ -14,7 +14,7 @@
     pub appends_per_second: u32,
     /// Maximum number of records kept per stream.
     pub retain_records: usize,
-    /// Age in milliseconds after which records are dropped.
+    /// Age after which records are dropped, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "retain_age_ms")]
     pub retain_age: Duration,
@@ -22,7 +22,7 @@
     pub record_bytes: usize,
     /// Maximum number of records in one page.
     pub page_records: usize,
-    /// Maximum duration of a long poll in milliseconds.
+    /// Maximum duration of a long poll, serialized in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "wait_limit_ms")]
     pub wait_limit: Duration,
--- a/src/bin/sycamorelink/commands/contract/diff.rs
+++ b/src/bin/sycamorelink/commands/contract/diff.rs
@@ -16,9 +16,9 @@
 }
 
 pub fn exec(context: &mut ShellContext, args: &DiffArgs) -> anyhow::Result<()> {
-    let side = match &args.against {
+    let baseline = match &args.against {
         Some(file) => DiffBaseline::File(file.clone()),
         None => DiffBaseline::Fleet,
     };
-    diff_contracts(context, &args.file, &side)
+    diff_contracts(context, &args.file, &baseline)
 }
--- a/src/bin/sycamorelink/commands/mod.rs
+++ b/src/bin/sycamorelink/commands/mod.rs
@@ -46,7 +46,7 @@
     Completions(completions::CompletionsArgs),
     /// Run a stand-in for the platform's log or for a backend server
     #[command(hide = true)]
-    StandIn(stand_in::StandInArgs),
+    StandIn(stand_in::StandinArgs),
 }
 
 pub fn exec(context: &mut ShellContext, command: TopCommand) -> anyhow::Result<()> {
--- a/src/bin/sycamorelink/commands/stand_in.rs
+++ b/src/bin/sycamorelink/commands/stand_in.rs
@@ -12,13 +12,13 @@
 use sycamorelink_standin::{BackendSettings, LogStandinSettings};
 
 #[derive(Debug, Args)]
-pub struct StandInArgs {
+pub struct StandinArgs {
     #[command(subcommand)]
-    command: StandInCommand,
+    command: StandinCommand,
 }
 
 #[derive(Debug, Subcommand)]
-enum StandInCommand {
+enum StandinCommand {
     /// The platform's log
     Log {
         #[command(flatten)]
@@ -72,9 +72,9 @@
     }
 }
 
-pub fn exec(context: &mut ShellContext, args: &StandInArgs) -> anyhow::Result<()> {
+pub fn exec(context: &mut ShellContext, args: &StandinArgs) -> anyhow::Result<()> {
     match &args.command {
-        StandInCommand::Log {
+        StandinCommand::Log {
             run,
             appends_per_second,
         } => {
@@ -84,7 +84,7 @@
             };
             run_stand_in(context, StandinKind::Log(settings), &run.options())
         }
-        StandInCommand::Backend {
+        StandinCommand::Backend {
             run,
             beside,
             slot,
