--- a/crates/lab/src/capacity/churn.rs
+++ b/crates/lab/src/capacity/churn.rs
@@ -42,7 +42,7 @@
 
 /// Version of the first published contract head; higher than all versions published by earlier
 /// measurements of the same fleet.
-const FIRST_HEAD: u64 = 1_000;
+const FIRST_HEAD_VERSION: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 enum ChurnAction {
@@ -58,7 +58,7 @@
 pub struct DailyChurn {
     due: BTreeMap<(Duration, u64), ChurnAction>,
     sequence: u64,
-    head: u64,
+    head_version: u64,
     /// Number of planned restarts so far.
     pub restarts: usize,
     /// Number of killed nodes so far.
@@ -73,21 +73,21 @@
         let mut churn = Self {
             due: BTreeMap::new(),
             sequence: 0,
-            head: FIRST_HEAD,
+            head_version: FIRST_HEAD_VERSION,
             restarts: 0,
             kills: 0,
         };
         let share = to_f64(rate_nodes) / TARGET_NODES;
         for at in evenly_spaced(fleet.now(), time, RESTARTS * share) {
             let index = fleet.pick_running();
-            churn.add(at, ChurnAction::Drain(index));
+            churn.schedule(at, ChurnAction::Drain(index));
         }
         for at in evenly_spaced(fleet.now(), time, FAILURES * share) {
             let index = fleet.pick_running();
-            churn.add(at, ChurnAction::Kill(index));
+            churn.schedule(at, ChurnAction::Kill(index));
         }
         for at in evenly_spaced(fleet.now(), time, CHANGES * share) {
-            churn.add(at, ChurnAction::Publish);
+            churn.schedule(at, ChurnAction::Publish);
         }
         churn
     }
@@ -108,16 +108,16 @@
         match action {
             ChurnAction::Drain(index) if fleet.is_running(index) => {
                 fleet.drain(index);
-                self.add(now + DRAIN_TIME, ChurnAction::Depart(index));
+                self.schedule(now + DRAIN_TIME, ChurnAction::Depart(index));
             }
             ChurnAction::Depart(index) if fleet.is_running(index) => {
                 fleet.depart(index);
-                self.add(now + START_TIME, ChurnAction::Start(index));
+                self.schedule(now + START_TIME, ChurnAction::Start(index));
                 self.restarts += 1;
             }
             ChurnAction::Kill(index) if fleet.is_running(index) => {
                 fleet.kill(index);
-                self.add(now + REPAIR_TIME, ChurnAction::Start(index));
+                self.schedule(now + REPAIR_TIME, ChurnAction::Start(index));
                 self.kills += 1;
             }
             ChurnAction::Start(index) => self.start(fleet, index),
@@ -126,8 +126,8 @@
             }
             ChurnAction::Publish => {
                 let index = fleet.pick_running();
-                self.head += 1;
-                fleet.publish(index, CONTRACT_HEAD, self.head);
+                self.head_version += 1;
+                fleet.publish(index, CONTRACT_HEAD, self.head_version);
             }
             ChurnAction::Drain(_)
             | ChurnAction::Depart(_)
@@ -140,12 +140,12 @@
         fleet.restart(index);
         let mut at = fleet.now() + WARM_TIME;
         for slot in 0..fleet.upstreams() {
-            self.add(at, ChurnAction::WarmUp(index, slot));
+            self.schedule(at, ChurnAction::WarmUp(index, slot));
             at += WARM_STEP;
         }
     }
 
-    fn add(&mut self, at: Duration, action: ChurnAction) {
+    fn schedule(&mut self, at: Duration, action: ChurnAction) {
         self.sequence += 1;
         self.due.insert((at, self.sequence), action);
     }
--- a/crates/lab/src/capacity/components.rs
+++ b/crates/lab/src/capacity/components.rs
@@ -161,8 +161,8 @@
     Ok(points)
 }
 
-/// Three guards that deliver messages to each other immediately, so that all of them have a seat of
-/// every range.
+/// Three guards that deliver messages to each other immediately, so that each of them has a seat in
+/// every key range.
 struct GuardGroup {
     now: Duration,
     nodes: Vec<GuardNode>,
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -29,15 +29,19 @@
         let size = to_f64(points.len());
         let mean_x = points.iter().map(|point| point.count).sum::<f64>() / size;
         let mean_y = points.iter().map(|point| point.value).sum::<f64>() / size;
-        let spread: f64 = points
+        let x_squares: f64 = points
             .iter()
             .map(|point| (point.count - mean_x).powi(2))
             .sum();
-        let joint: f64 = points
+        let cross_products: f64 = points
             .iter()
             .map(|point| (point.count - mean_x) * (point.value - mean_y))
             .sum();
-        let slope = if spread > 0.0 { joint / spread } else { 0.0 };
+        let slope = if x_squares > 0.0 {
+            cross_products / x_squares
+        } else {
+            0.0
+        };
         let intercept = mean_y - slope * mean_x;
         let line = Self {
             slope,
@@ -45,7 +49,7 @@
             r2: 1.0,
         };
         Self {
-            r2: line.explained(points, mean_y),
+            r2: line.r_squared(points, mean_y),
             ..line
         }
     }
@@ -56,21 +60,25 @@
         self.intercept + self.slope * count
     }
 
-    fn explained(&self, points: &[MeasuredPoint], mean: f64) -> f64 {
-        let total: f64 = points
+    fn r_squared(&self, points: &[MeasuredPoint], mean: f64) -> f64 {
+        let total_squares: f64 = points
             .iter()
             .map(|point| (point.value - mean).powi(2))
             .sum();
-        let rest: f64 = points
+        let residual_squares: f64 = points
             .iter()
             .map(|point| (point.value - self.at(point.count)).powi(2))
             .sum();
-        if total > 0.0 { 1.0 - rest / total } else { 1.0 }
+        if total_squares > 0.0 {
+            1.0 - residual_squares / total_squares
+        } else {
+            1.0
+        }
     }
 }
 
-/// Converts a count to a floating-point number; counts above `u32::MAX` saturate, and none here
-/// comes near that.
+/// Converts a count to a floating-point number; counts above `u32::MAX` saturate, which
+/// no count in these measurements reaches.
 #[must_use]
 pub fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -64,18 +64,19 @@
     facts: MemberFacts,
     running: bool,
     sent: SentCount,
-    wake: WakeTimer,
+    timer: TickTimer,
 }
 
+/// Latest scheduled tick of a node.
 #[derive(Clone, Copy, Debug, Default)]
-struct WakeTimer {
+struct TickTimer {
     at: Duration,
     number: u64,
 }
 
 enum FleetEvent {
-    /// Timer of a node; only the timer with the latest number takes effect.
-    Wake(usize, u64),
+    /// Scheduled tick of a node; only the one with the latest number takes effect.
+    Tick(usize, u64),
     Deliver(usize, SocketAddr, RosterMessage),
 }
 
@@ -243,10 +244,10 @@
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.nodes[index].facts.instance.incarnation.0;
         let facts = member_facts(index, incarnation + 60_000);
-        let FleetNode { sent, wake, .. } = self.nodes[index];
+        let FleetNode { sent, timer, .. } = self.nodes[index];
         self.nodes[index] = self.new_node(facts);
         self.nodes[index].sent = sent;
-        self.nodes[index].wake = wake;
+        self.nodes[index].timer = timer;
         let seeds = (0..2)
             .map(|_| address(self.rng.random_range(0..self.nodes.len())))
             .collect();
@@ -317,7 +318,7 @@
             facts,
             running: true,
             sent: SentCount::default(),
-            wake: WakeTimer::default(),
+            timer: TickTimer::default(),
         }
     }
 
@@ -366,13 +367,13 @@
         for command in commands {
             match command {
                 RosterCommand::Send { to, message } => self.send(index, to, message),
-                other => self.check_watches(index, &other),
+                other => self.record_watched_update(index, &other),
             }
         }
         self.schedule_tick(index);
     }
 
-    fn check_watches(&mut self, index: usize, command: &RosterCommand) {
+    fn record_watched_update(&mut self, index: usize, command: &RosterCommand) {
         let update = match command {
             RosterCommand::Rumour { topic, version, .. } => WatchedUpdate::Topic(*topic, *version),
             RosterCommand::UpstreamChanged { id, facts }
@@ -381,7 +382,7 @@
                 WatchedUpdate::Leaving(id.node)
             }
             RosterCommand::MemberDown { instance, cause } => {
-                self.check_removal(*instance, *cause);
+                self.count_false_removal(*instance, *cause);
                 WatchedUpdate::Down(instance.node)
             }
             _ => return,
@@ -394,7 +395,7 @@
         }
     }
 
-    fn check_removal(&mut self, instance: InstanceId, cause: DownCause) {
+    fn count_false_removal(&mut self, instance: InstanceId, cause: DownCause) {
         let Some(index) = self.indices.get(&instance.node) else {
             return;
         };
@@ -419,9 +420,9 @@
 
     fn process_event(&mut self, event: FleetEvent) {
         match event {
-            FleetEvent::Wake(index, number) => {
+            FleetEvent::Tick(index, number) => {
                 let node = &self.nodes[index];
-                if node.running && node.wake.number == number {
+                if node.running && node.timer.number == number {
                     self.handle(index, RosterEvent::Tick);
                 }
             }
@@ -438,14 +439,14 @@
         let node = &mut self.nodes[index];
         let earliest = self.now + Duration::from_millis(1);
         let at = node.roster.next_wake().max(earliest);
-        let is_scheduled = node.wake.at > self.now;
-        if is_scheduled && node.wake.at <= at {
+        let is_scheduled = node.timer.at > self.now;
+        if is_scheduled && node.timer.at <= at {
             return;
         }
-        node.wake.at = at;
-        node.wake.number += 1;
-        let number = node.wake.number;
-        self.schedule(at, FleetEvent::Wake(index, number));
+        node.timer.at = at;
+        node.timer.number += 1;
+        let number = node.timer.number;
+        self.schedule(at, FleetEvent::Tick(index, number));
     }
 
     fn schedule(&mut self, at: Duration, event: FleetEvent) {
--- a/crates/lab/src/capacity/memory.rs
+++ b/crates/lab/src/capacity/memory.rs
@@ -42,8 +42,8 @@
 /// Sizes of the blocks that fill freed memory, in bytes, largest first.
 const FILL_SIZES: [usize; 4] = [4_096, 512, 96, 24];
 
-/// Growth of resident memory, in bytes, which indicates that the allocator serves blocks of a size
-/// from fresh memory.
+/// Growth of resident memory, in bytes, which indicates that the allocator has no freed blocks of a
+/// size left and takes fresh memory.
 const FILL_GROWTH: u64 = 512 * KIB;
 
 /// Blocks allocated between two readings of resident memory.
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,7 +1,7 @@
 //! Capacity measurements: memory, traffic and processor time of a node as functions of fleet size.
 //!
 //! ```text
-//! CapacityPlan -> roster, contracts, components: memory of one node's state, point by point
+//! CapacityPlan -> roster, contracts, components: memory of one node's state at each count
 //!              -> gossip and mass_events over fleet, with churn: many rosters in virtual time
 //!              -> CapacityReport: fitted lines, values at the target scale, budgets
 //! ```
--- a/crates/lab/src/capacity/plan.rs
+++ b/crates/lab/src/capacity/plan.rs
@@ -166,9 +166,9 @@
     }
 }
 
-const fn memory_row_name(what: &'static str, counted: &'static str) -> RowName {
+const fn memory_row_name(quantity: &'static str, counted: &'static str) -> RowName {
     RowName {
-        what,
+        quantity,
         unit: "MB",
         counted,
     }
@@ -202,12 +202,12 @@
     [
         memory_row_name(memory_name, counted),
         RowName {
-            what: build,
+            quantity: build,
             unit: "s",
             counted,
         },
         RowName {
-            what: change,
+            quantity: change,
             unit: "us",
             counted,
         },
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -54,7 +54,7 @@
     pub fn new(name: RowName, points: Vec<MeasuredPoint>, target: f64) -> Self {
         let line = FittedLine::through(&points);
         Self {
-            name: name.what,
+            name: name.quantity,
             unit: name.unit,
             counted: name.counted,
             points,
@@ -72,7 +72,7 @@
         self
     }
 
-    /// Divides every value and fits the line again, as for megabytes from bytes.
+    /// Divides every value and fits the line again, such as to convert bytes to megabytes.
     #[must_use]
     pub fn divided(mut self, by: f64) -> Self {
         for point in &mut self.points {
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RowName {
     /// Name of the measured quantity.
-    pub what: &'static str,
+    pub quantity: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
     /// Name of the count, such as `nodes`.
@@ -115,8 +115,8 @@
             ("gossip sent, idle", |row| row.idle.bytes_mean),
             ("gossip sent, daily churn", |row| row.churn.bytes_mean),
         ];
-        for (what, value) in traffic {
-            let row = self.node_row(what, "B/s", value);
+        for (quantity, value) in traffic {
+            let row = self.node_row(quantity, "B/s", value);
             self.rows.push(row.budget(TRAFFIC_BUDGET));
         }
         let processor: [NodeQuantity; 2] = [
@@ -125,8 +125,8 @@
                 row.churn.core_percent
             }),
         ];
-        for (what, value) in processor {
-            let row = self.node_row(what, "% core", value);
+        for (quantity, value) in processor {
+            let row = self.node_row(quantity, "% core", value);
             self.rows.push(row.budget(CORE_BUDGET));
         }
         let spread: [NodeQuantity; 3] = [
@@ -134,12 +134,12 @@
             ("leave to 99%", |row| row.leave.p99),
             ("death to 99%", |row| row.death.p99),
         ];
-        for (what, value) in spread {
-            self.rows.push(self.log_nodes_row(what, value));
+        for (quantity, value) in spread {
+            self.rows.push(self.log_nodes_row(quantity, value));
         }
     }
 
-    fn node_row<F>(&self, what: &'static str, unit: &'static str, value: F) -> CapacityRow
+    fn node_row<F>(&self, quantity: &'static str, unit: &'static str, value: F) -> CapacityRow
     where
         F: Fn(&GossipRow) -> f64,
     {
@@ -152,7 +152,7 @@
             })
             .collect();
         let name = RowName {
-            what,
+            quantity,
             unit,
             counted: "nodes",
         };
@@ -161,7 +161,7 @@
 
     /// Fits a quantity against the logarithm of the number of nodes, as propagation time grows with
     /// it.
-    fn log_nodes_row<F>(&self, what: &'static str, value: F) -> CapacityRow
+    fn log_nodes_row<F>(&self, quantity: &'static str, value: F) -> CapacityRow
     where
         F: Fn(&GossipRow) -> f64,
     {
@@ -174,7 +174,7 @@
             })
             .collect();
         let name = RowName {
-            what,
+            quantity,
             unit: "ms",
             counted: "log2(nodes)",
         };
--- a/crates/lab/src/shares/lease_limiter.rs
+++ b/crates/lab/src/shares/lease_limiter.rs
@@ -17,7 +17,7 @@
 /// The only customer.
 const CUSTOMER: CustomerIndex = CustomerIndex(0);
 /// Name of [`CUSTOMER`].
-const NAME: &str = "harbour-mesh";
+const CUSTOMER_NAME: &str = "harbour-mesh";
 /// Number of failure domains.
 pub const DOMAINS: usize = 4;
 /// Time until the local rosters reflect a partition, pause or recovery.
@@ -43,6 +43,7 @@
     paused: Vec<bool>,
     sides: Option<Vec<bool>>,
     inbox: Vec<Vec<(InstanceId, ShareMessage)>>,
+    /// Whether a request at the node has waited or been refused since the node's last tick.
     urgent: Vec<bool>,
     version: u64,
     /// Time at which the local rosters reflect the last change.
@@ -78,7 +79,7 @@
         }
         let members = members(count);
         let limit = CustomerLimit {
-            customer: CustomerName::new(NAME),
+            customer: CustomerName::new(CUSTOMER_NAME),
             rate_millis,
             concurrency,
         };
@@ -228,24 +229,24 @@
         }
     }
 
-    fn in_force(&self, now: Duration) -> u64 {
+    fn rate_in_force(&self, now: Duration) -> u64 {
         let shares = self.nodes.iter().map(ShareNode::share);
         shares.map(|share| share.rate(now, CUSTOMER)).sum()
     }
 
-    fn cut(&mut self, now: Duration, sides: Option<Vec<bool>>) {
+    fn set_partition(&mut self, now: Duration, sides: Option<Vec<bool>>) {
         self.sides = sides;
         self.schedule_roster_change(now);
     }
 
-    fn pause(&mut self, now: Duration, node: usize, paused: bool) {
+    fn set_paused(&mut self, now: Duration, node: usize, paused: bool) {
         self.paused[node] = paused;
         self.schedule_roster_change(now);
     }
 
-    fn keeper(&self) -> usize {
+    fn largest_keeper(&self) -> usize {
         let ring = ShareRing::new(1, &self.members);
-        let customer = name_hash(NAME);
+        let customer = name_hash(CUSTOMER_NAME);
         let mut units: BTreeMap<InstanceId, u32> = BTreeMap::new();
         for unit in 0..UNIT_COUNT {
             let owner = ring.unit_owner(customer, unit);
--- a/crates/lab/src/shares/limiter.rs
+++ b/crates/lab/src/shares/limiter.rs
@@ -76,14 +76,14 @@
     /// Advances the limiter to `now`.
     fn step(&mut self, now: Duration);
     /// Returns the total rate in force, in thousandths of a request per second.
-    fn in_force(&self, now: Duration) -> u64;
+    fn rate_in_force(&self, now: Duration) -> u64;
     /// Partitions the daemons into two sides that cannot reach each other, or heals the partition
     /// when `sides` is `None`.
-    fn cut(&mut self, now: Duration, sides: Option<Vec<bool>>);
+    fn set_partition(&mut self, now: Duration, sides: Option<Vec<bool>>);
     /// Pauses or resumes a daemon.
-    fn pause(&mut self, now: Duration, node: usize, paused: bool);
+    fn set_paused(&mut self, now: Duration, node: usize, paused: bool);
     /// Returns the daemon that keeps the largest part of the contract.
-    fn keeper(&self) -> usize;
+    fn largest_keeper(&self) -> usize;
     /// Returns the messages exchanged so far.
     fn message_count(&self) -> MessageCount;
 }
@@ -162,15 +162,15 @@
 
     fn step(&mut self, _now: Duration) {}
 
-    fn in_force(&self, _now: Duration) -> u64 {
+    fn rate_in_force(&self, _now: Duration) -> u64 {
         self.total_rate
     }
 
-    fn cut(&mut self, _now: Duration, _sides: Option<Vec<bool>>) {}
+    fn set_partition(&mut self, _now: Duration, _sides: Option<Vec<bool>>) {}
 
-    fn pause(&mut self, _now: Duration, _node: usize, _paused: bool) {}
+    fn set_paused(&mut self, _now: Duration, _node: usize, _paused: bool) {}
 
-    fn keeper(&self) -> usize {
+    fn largest_keeper(&self) -> usize {
         0
     }
 
--- a/crates/lab/src/shares/size.rs
+++ b/crates/lab/src/shares/size.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn numbers<I>(values: I) -> u64
+fn varints<I>(values: I) -> u64
 where
     I: IntoIterator<Item = u32>,
 {
@@ -26,7 +26,7 @@
 }
 
 fn ask_size(ask: &AskEntry) -> u64 {
-    let numbers = numbers([
+    let numbers = varints([
         ask.number,
         ask.applied,
         ask.held_rate,
@@ -43,7 +43,7 @@
 }
 
 fn grant_size(grant: &GrantEntry) -> u64 {
-    let numbers = numbers([
+    let numbers = varints([
         grant.number,
         grant.rate,
         grant.slots,
--- a/crates/lab/src/shares/table.rs
+++ b/crates/lab/src/shares/table.rs
@@ -225,7 +225,8 @@
 
     fn write_overloads(&self, text: &mut String) {
         text.push_str(
-            "\n| gate | goodput % of capacity at 3x | p99 ms | recovery s |\n|---|---:|---:|---:|\n",
+            "\n| gate | goodput % of capacity at 3x | p99 ms | recovery s |\n\
+             |---|---:|---:|---:|\n",
         );
         for row in &self.overloads {
             let _ = writeln!(
--- a/crates/lab/src/shares/trial.rs
+++ b/crates/lab/src/shares/trial.rs
@@ -194,7 +194,7 @@
             for node in &arrivals {
                 self.offer(*node);
             }
-            self.max_in_force = self.max_in_force.max(self.limiter.in_force(self.now));
+            self.max_in_force = self.max_in_force.max(self.limiter.rate_in_force(self.now));
         }
         self.row()
     }
@@ -206,26 +206,26 @@
         match self.fault {
             ShareFault::OneLost if begins => self.stop_daemon(self.daemon_count / 2),
             ShareFault::KeeperLost | ShareFault::KeeperPaused if begins => {
-                self.stop_daemon(self.limiter.keeper());
+                self.stop_daemon(self.limiter.largest_keeper());
             }
             ShareFault::KeeperPaused if ends => {
-                let keeper = self.limiter.keeper();
+                let keeper = self.limiter.largest_keeper();
                 self.down[keeper] = false;
-                self.limiter.pause(now, keeper, false);
+                self.limiter.set_paused(now, keeper, false);
             }
             ShareFault::HalfCut | ShareFault::CutOverload if begins => {
                 let sides = (0..self.daemon_count).map(|node| node % 4 < 2).collect();
-                self.limiter.cut(now, Some(sides));
+                self.limiter.set_partition(now, Some(sides));
             }
             ShareFault::RandomCut if begins => {
                 let hash = |node: usize| (node * 2_654_435_761) >> 7;
                 let sides = (0..self.daemon_count)
                     .map(|node| hash(node) % 2 == 0)
                     .collect();
-                self.limiter.cut(now, Some(sides));
+                self.limiter.set_partition(now, Some(sides));
             }
             ShareFault::HalfCut | ShareFault::CutOverload | ShareFault::RandomCut if ends => {
-                self.limiter.cut(now, None);
+                self.limiter.set_partition(now, None);
             }
             _ => {}
         }
@@ -233,7 +233,7 @@
 
     fn stop_daemon(&mut self, node: usize) {
         self.down[node] = true;
-        self.limiter.pause(self.now, node, true);
+        self.limiter.set_paused(self.now, node, true);
     }
 
     fn current_second(&mut self) -> &mut SecondCount {
--- a/crates/lab/src/situations/baselines.rs
+++ b/crates/lab/src/situations/baselines.rs
@@ -1,6 +1,7 @@
 //! Published load-balancing and outlier-ejection algorithms used as baselines.
 //!
-//! None of them exchanges evidence: each daemon uses only its own requests, as published.
+//! None of them exchanges evidence: each daemon uses only its own requests, as published. This
+//! module calls the upstreams hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/lab/src/situations/cost.rs
+++ b/crates/lab/src/situations/cost.rs
@@ -9,8 +9,8 @@
 
 use super::simulation::upstream_id;
 
-/// Requests in one batch. The median batch is reported because others may be disturbed by other
-/// load on the machine.
+/// Requests in one batch. The median batch is reported because other load on the machine distorts
+/// some batches.
 const BATCH: u64 = 1_000;
 
 /// [`BATCH`] as a floating-point number.
--- a/crates/lab/src/situations/plot.rs
+++ b/crates/lab/src/situations/plot.rs
@@ -28,7 +28,8 @@
         let mut page = String::from(
             "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
              <title>Situations</title>\
-             <style>body{font:13px sans-serif;margin:2em}pre{font-size:11px}</style></head><body>\n",
+             <style>body{font:13px sans-serif;margin:2em}pre{font-size:11px}</style>\
+             </head><body>\n",
         );
         for service in self.services() {
             let rows: Vec<&TableRow> = self
--- a/crates/lab/src/situations/simulation.rs
+++ b/crates/lab/src/situations/simulation.rs
@@ -3,9 +3,11 @@
 //!
 //! ```text
 //!   Arrival ─> pick ─> AttemptArrival ─> queue or slot ─> ServiceDone ─> Reply ─> observe
-//!                            └─> refused at once ─────────────────────────┘
-//!   Timeout, Tick, Report ─> Deliver, PhaseUpdate and Reconnect run independently.
+//!                             └─> refused immediately ─────────────────────┘
+//!   Report ─> Deliver
 //! ```
+//!
+//! Timeouts, ticks, phase updates and reconnections occur independently of this sequence.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
