--- a/tests/soak/invariants.rs
+++ b/tests/soak/invariants.rs
@@ -38,7 +38,9 @@
                     check_planned_maintenance(call, reply, &mut findings);
                 }
             }
-            None if call.timed_out => check_stale(call, runs, &nodes[call.daemon.0], &mut findings),
+            None if call.timed_out => {
+                check_timed_out_call(call, runs, &nodes[call.daemon.0], &mut findings);
+            }
             None => check_truncated_call(
                 call,
                 runs,
@@ -136,7 +138,7 @@
 ///
 /// A late start is accepted after a pause: a stopped daemon cannot notice the disconnect and reads
 /// the request when it resumes.
-fn check_stale(
+fn check_timed_out_call(
     call: &ObservedCall,
     runs: &[ObservedRun],
     node: &SoakNode,
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -5,12 +5,12 @@
 //! callers (keep-alive) ────────▶ daemon ──proxy──▶ daemon ──proxy──▶ backend server
 //!                                   │ proxy                              │
 //!                                 store            heartbeats to its daemon
-//!      plan (from the seed): signals, restarts, reloads, configs, links, backend servers, store
 //! ```
 //!
-//! The seed determines the plan of a session, but thread and process scheduling differs between
-//! runs. A seed that failed once stays in `SHORT_SEEDS` with its cause and may need several runs to
-//! reproduce. To run a range of seeds:
+//! The seed determines the plan of a session: pauses, kills, restarts, reloads, new configurations,
+//! link faults, faults of backend servers and store outages. Thread and process scheduling differs
+//! between runs. A seed that failed once stays in `SHORT_SEEDS` with its cause and may need several
+//! runs to reproduce. To run a range of seeds:
 //!
 //! ```text
 //! SOAK_SEEDS=1..=50 cargo test --release --test soak -- --ignored --nocapture
--- a/tests/soak/nodes.rs
+++ b/tests/soak/nodes.rs
@@ -134,7 +134,9 @@
                 "ready": "127.0.0.1:0",
             },
             "log": { "address": self.store_proxy.address.to_string() },
-            "fleet_keys": { "current": { "id": "k1", "secret": "a-secret-of-at-least-32-characters" } },
+            "fleet_keys": {
+                "current": { "id": "k1", "secret": "a-secret-of-at-least-32-characters" },
+            },
             "drain": { "serving": "1500ms", "limit": "4s" },
             "limits": { "gate": { "warm_up": "0s" } },
             "telemetry": { "log": { "format": "json", "level": "debug" } },
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -1,4 +1,5 @@
-//! Invalid input is rejected with a specific error, and the daemon continues to serve.
+//! Tests that invalid input is rejected with a specific error and that the daemon continues to
+//! serve.
 
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
--- a/tests/testsuite/cli/api.rs
+++ b/tests/testsuite/cli/api.rs
@@ -1,4 +1,4 @@
-//! Replies of the operators' API match the description in `docs/api/openapi.json`.
+//! Tests that replies of the operators' API match the description in `docs/api/openapi.json`.
 
 use serde_json::Value;
 use sycamorelink_ops::{ApiCall, DaemonClient, Method, ToolSettings};
--- a/tests/testsuite/cli/trace.rs
+++ b/tests/testsuite/cli/trace.rs
@@ -1,4 +1,7 @@
 //! The `trace` command on log lines from daemons of a loaded fleet.
+//!
+//! An upstream is held off while the daemon in front of its backend server suspects the server of
+//! failing and refuses work for it.
 
 use super::run;
 
--- a/tests/testsuite/fleet/draining.rs
+++ b/tests/testsuite/fleet/draining.rs
@@ -74,6 +74,8 @@
     }
 }
 
+/// Takes a daemon out of the fixture, so that it can be terminated while other threads use the
+/// fixture. A stand-in log process takes its place.
 fn detach_daemon(fleet: &mut FleetFixture, index: usize) -> crate::support::process::TestProcess {
     let placeholder = crate::support::process::TestProcess::start(
         env!("CARGO_BIN_EXE_sycamorelink"),
--- a/tests/testsuite/fleet/faults.rs
+++ b/tests/testsuite/fleet/faults.rs
@@ -75,7 +75,7 @@
         fleet.call(0, &price_check());
     }
     fleet.instances[2].backend.signal("STOP");
-    wait_until("the frozen backend server to lose its share", || {
+    wait_until("the suspended backend server to lose its share", || {
         fleet.call(0, &price_check());
         weight_of(&fleet, 0, "instance-2") < 0.2
     });
@@ -130,12 +130,12 @@
         let reply = fleet.call(round % 4, &poison);
         assert_ne!(reply.status, 200);
     }
-    let started = |instance: &crate::support::fixture::InstanceFixture| {
+    let unfinished_runs = |instance: &crate::support::fixture::InstanceFixture| {
         let total = instance.run_counters()["total"].clone();
         total["started"].as_u64().unwrap_or_default()
             - total["finished"].as_u64().unwrap_or_default()
     };
-    let crashed: u64 = fleet.instances.iter().map(started).sum();
+    let crashed: u64 = fleet.instances.iter().map(unfinished_runs).sum();
     assert!(crashed <= 2, "{crashed} backend servers were crashed");
     wait_until("the backend servers to be back", || {
         fleet.call(0, &price_check()).status == 200
--- a/tests/testsuite/pages.rs
+++ b/tests/testsuite/pages.rs
@@ -1,4 +1,4 @@
-//! The documentation pages agree with the code.
+//! Tests that the documentation pages agree with the code.
 
 use std::collections::BTreeSet;
 use std::fs;
