--- a/crates/contract/src/book/entry.rs
+++ b/crates/contract/src/book/entry.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BookEntry {
-    /// The customer.
+    /// Name of the customer that the entry belongs to.
     pub customer: CustomerName,
     /// Version assigned by the record of the original change; carry records keep it.
     pub version: ContractVersion,
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -105,7 +105,7 @@
     UpstreamFailed = ("upstream-failed", 502),
     /// The reply belonged to another request or was malformed.
     ReplyRejected = ("reply-rejected", 502),
-    /// The deadline passed.
+    /// The deadline passed, or no byte of a reply to the last attempt arrived in time.
     DeadlineExceeded = ("deadline-exceeded", 504),
     /// The caller closed its connection.
     CallerGone = ("caller-gone", 499),
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -64,27 +64,27 @@
     /// The part before the unit is not a whole number.
     #[error("{text:?} is not a whole number with a unit, as in {example:?}")]
     InvalidNumber {
-        /// The rejected text.
+        /// Input text, as given.
         text: String,
-        /// A valid value.
+        /// Example of a valid value, quoted in the message.
         example: &'static str,
     },
     /// The unit is missing or unknown.
     #[error("{text:?} has no unit of {kind}; write one of {units}, as in {example:?}")]
     UnknownUnit {
-        /// The rejected text.
+        /// Input text, as given.
         text: String,
         /// The quantity, `time` or `size`.
         kind: &'static str,
         /// Names of the known units, separated by commas.
         units: String,
-        /// A valid value.
+        /// Example of a valid value, quoted in the message.
         example: &'static str,
     },
     /// The value exceeds 64 bits in the smallest unit.
     #[error("{text:?} is too large")]
     TooLarge {
-        /// The rejected text.
+        /// Input text, as given.
         text: String,
     },
 }
--- a/crates/daemon/src/adapters/source.rs
+++ b/crates/daemon/src/adapters/source.rs
@@ -14,7 +14,7 @@
 /// Result of one read of the source.
 #[derive(Clone, Debug)]
 pub enum SourceUpdate {
-    /// The newest contract.
+    /// Newest contract of the source, decoded.
     Contract(Arc<FleetContract>),
     /// A contract that cannot be decoded. The contract in force stays in force.
     Unreadable {
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -312,7 +312,7 @@
     })
 }
 
-/// A running daemon.
+/// Ports, threads and shared state of a running daemon.
 pub struct DaemonHandle {
     addresses: DaemonAddresses,
     shared: SharedParts,
--- a/crates/daemon/src/operators/publish.rs
+++ b/crates/daemon/src/operators/publish.rs
@@ -17,11 +17,11 @@
 use super::reply::{ApiProblem, json_reply, with_etag};
 use super::server::OperatorContext;
 
-/// How long a call waits for its change to be read back before the reply is "pending".
+/// Maximum time a call waits for its change to be read back; after that the reply is "pending".
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time between two queries for the outcome of a change.
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long the log is searched for a record whose append got no reply.
+/// Maximum time the log is searched for a record whose append got no reply.
 const READ_BACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A contract change that an operator asks for.
--- a/crates/daemon/src/reply.rs
+++ b/crates/daemon/src/reply.rs
@@ -45,7 +45,7 @@
 /// Reason why an attempt has no complete reply.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFailure {
-    /// How the failure counts against the upstream.
+    /// Kind of sample that the failure counts as against the upstream.
     pub kind: SampleKind,
     /// Whether the backend server ran the request.
     pub run: RunState,
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -219,10 +219,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DrainSettings {
-    /// How long requests in flight may take before the daemon stops and cuts them off.
+    /// Maximum time for requests in flight before the daemon stops and cuts them off.
     #[serde_as(as = "UnitDuration")]
     pub limit: Duration,
-    /// How long the daemon still accepts callers' requests after the drain began.
+    /// Time after the start of the drain for which the daemon still accepts callers' requests.
     #[serde_as(as = "UnitDuration")]
     pub serving: Duration,
 }
--- a/crates/daemon/src/work/attempt.rs
+++ b/crates/daemon/src/work/attempt.rs
@@ -44,7 +44,7 @@
     pub patience: Option<Duration>,
     /// Kind of the work, for the statistics of run times.
     pub kind: u64,
-    /// How the work counts towards the limit on repeats.
+    /// Kind of arrival that the work counts as towards the limit on repeats.
     pub arrival: ArrivalKind,
 }
 
--- a/crates/daemon/tests/telemetry/metrics.rs
+++ b/crates/daemon/tests/telemetry/metrics.rs
@@ -12,7 +12,7 @@
 use crate::http::call;
 use crate::node::{NodeFixture, wait_event, wait_for};
 
-/// How long the caller waits before it gives up: longer than the latency objective of the sample's
+/// Time the caller waits before it gives up: longer than the latency objective of the sample's
 /// documents service, one second, and far below its deadline.
 const CALLER_WAIT: Duration = Duration::from_millis(1500);
 
--- a/crates/engine/src/command.rs
+++ b/crates/engine/src/command.rs
@@ -103,12 +103,12 @@
     },
     /// Append a record to the guard stream of the platform's log.
     AppendGuard {
-        /// The encoded record.
+        /// Record in the encoding of the guard stream.
         bytes: Vec<u8>,
     },
     /// Append a record to the stream of contract changes.
     AppendContract {
-        /// The encoded record.
+        /// Record in the encoding of the contract stream.
         bytes: Vec<u8>,
     },
     /// Read one record of the contract stream and report it with `NodeEvent::ContractReadBack`.
@@ -179,6 +179,6 @@
     pub patience: Option<Duration>,
     /// Hash of the route, by which run times are learned.
     pub kind: u64,
-    /// How the attempt counts towards the bound on repeats.
+    /// Kind of arrival that the attempt counts as towards the bound on repeats.
     pub arrival: ArrivalKind,
 }
--- a/crates/engine/src/completion.rs
+++ b/crates/engine/src/completion.rs
@@ -19,7 +19,7 @@
 /// Lowest HTTP status that counts as a server error.
 const SERVER_ERROR: u16 = 500;
 
-/// How a request ended.
+/// Final result of a request at the node that received it.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEnd {
     /// A reply with this status was forwarded to the caller.
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -119,7 +119,7 @@
     ContractReadBack {
         /// Offset of the record.
         offset: u64,
-        /// The encoded record.
+        /// Record in the encoding of the contract stream.
         bytes: Arc<[u8]>,
     },
     /// The source returned its newest fleet contract.
@@ -153,7 +153,7 @@
 pub struct LogEntry {
     /// Offset of the record in its stream.
     pub offset: u64,
-    /// The encoded record.
+    /// Record in the encoding of its stream.
     pub bytes: Arc<[u8]>,
 }
 
@@ -247,11 +247,11 @@
     pub patience: Option<Duration>,
     /// Hash of the route, by which run times are learned.
     pub kind: u64,
-    /// How the work counts towards the bound on repeats.
+    /// Kind of arrival that the work counts as towards the bound on repeats.
     pub arrival: ArrivalKind,
 }
 
-/// How an arrival at a backend server counts towards the bound on repeats of its service.
+/// Kind of an arrival at a backend server, for the bound on repeats of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ArrivalKind {
@@ -269,7 +269,7 @@
 pub struct WorkReport {
     /// Id of the work.
     pub work: WorkId,
-    /// How the work ended.
+    /// End of the work at the backend server, as the executor saw it.
     pub end: WorkEnd,
     /// HTTP status of a complete reply; `None` otherwise.
     pub status: Option<u16>,
--- a/crates/engine/src/fleet.rs
+++ b/crates/engine/src/fleet.rs
@@ -78,7 +78,7 @@
 /// at each failure, every node would soon draw a low one.
 const THRESHOLD_LIFETIME: Duration = REPEAT_WINDOW;
 
-/// How the contracts of a fleet are organized.
+/// Scope of the contracts in a fleet: one for each customer or one for all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ContractMode {
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -101,12 +101,12 @@
     Pool {
         /// Service of the pool.
         service: ServiceName,
-        /// The change.
+        /// Finding reported by the pool.
         finding: PoolFinding,
     },
     /// A note of the at-most-once guard.
     Guard(GuardNote),
-    /// A member joined.
+    /// Instance of a member that joined.
     MemberUp(InstanceId),
     /// A member left or was found dead.
     MemberDown {
@@ -180,7 +180,7 @@
         id: UpstreamId,
         /// Service of the request.
         service: ServiceName,
-        /// How the work ended.
+        /// End of the work at the backend server, as the executor saw it.
         end: WorkEnd,
         /// HTTP status of a complete reply; `None` otherwise.
         status: Option<u16>,
@@ -197,7 +197,7 @@
         service: ServiceName,
         /// Whether work is rejected from now on.
         suspect: bool,
-        /// How the run ended that caused the change; `None` if time passed caused it.
+        /// Result of the run that caused the change; `None` if time passed caused it.
         kind: Option<SampleKind>,
         /// Odds in nats that the upstream fails part of its requests.
         odds: f64,
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -85,7 +85,7 @@
     /// Number of ended attempts that may have reached a backend server, including those that the
     /// server declined.
     pub arrivals: u16,
-    /// How the first arrival at a backend server counts towards the bound on repeats.
+    /// Kind of the first arrival at a backend server, for the bound on repeats.
     pub first_arrival: ArrivalKind,
     /// Number of attempts that an executor refused because of the bound on repeats.
     pub repeats_refused: u16,
--- a/crates/engine/src/settings.rs
+++ b/crates/engine/src/settings.rs
@@ -25,7 +25,7 @@
     pub contracts: ContractMode,
     /// Whether the whole fleet starts for the first time, so that there are no callers yet.
     pub first_start: bool,
-    /// How long a leaving node still accepts callers' requests; after that they are refused.
+    /// Time for which a leaving node still accepts callers' requests; after that they are refused.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "leave_serving_ms")]
     pub leave_serving: Duration,
@@ -46,11 +46,11 @@
     /// Maximum body size of a keyed request, in bytes. The body is read completely, to be compared
     /// on a resend.
     pub keyed_body: u64,
-    /// How long an announcement of a backend server is valid, in milliseconds.
+    /// Validity of an announcement of a backend server, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "announcement_ms")]
     pub announcement: Duration,
-    /// How long the platform's log retains records, in milliseconds. State is carried forward well
+    /// Retention time of the platform's log, in milliseconds. State is carried forward well
     /// before.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "log_retention_ms")]
--- a/crates/engine/tests/session/world.rs
+++ b/crates/engine/tests/session/world.rs
@@ -49,7 +49,7 @@
 /// Behaviour of a node's backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendScript {
-    /// How work ends.
+    /// End of all work while the backend server is not crashed.
     pub end: WorkEnd,
     /// HTTP status of its replies.
     pub status: u16,
--- a/crates/guard/src/client.rs
+++ b/crates/guard/src/client.rs
@@ -23,7 +23,7 @@
 use crate::message::SeatVerdict;
 use crate::request::{ClientRequest, RequestPhase, RequestStep};
 
-/// How long a dispatched request is kept after its deadline if the engine does not settle it.
+/// Time a dispatched request is kept after its deadline if the engine does not settle it.
 const DISPATCH_RETENTION: Duration = Duration::from_mins(1);
 
 /// Unfinished requests of this ingress.
--- a/crates/guard/src/settings.rs
+++ b/crates/guard/src/settings.rs
@@ -32,7 +32,7 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "resend_ms")]
     pub resend_after: Duration,
-    /// How long a seat may be suspected before the other seats replace it, in milliseconds.
+    /// Time a seat may be suspected before the other seats replace it, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "strike_ms")]
     pub strike_after: Duration,
@@ -40,15 +40,15 @@
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "exchange_ms")]
     pub exchange_every: Duration,
-    /// How long a seat keeps a key, in milliseconds. Older keys are never run.
+    /// Time a seat keeps a key, in milliseconds. Older keys are never run.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "keep_ms")]
     pub keep_for: Duration,
-    /// How far a key's time may be ahead of the node's clock, in milliseconds.
+    /// Maximum lead of a key's time over the node's clock, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "ahead_ms")]
     pub ahead_limit: Duration,
-    /// How far the clocks of two nodes may differ, in milliseconds. Used when a range is founded
+    /// Maximum difference of two nodes' clocks, in milliseconds. Used when a range is founded
     /// again after a loss, and to refuse tickets that expired while the executor was paused.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "skew_ms")]
--- a/crates/guard/tests/testsuite/engine.rs
+++ b/crates/guard/tests/testsuite/engine.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::{CallerSend, FakeFleet, FleetEvent, FleetPacket, IngressState, WorkResult, ms};
 
-/// How long an ingress waits for the executor's result.
+/// Maximum time an ingress waits for the executor's result.
 const DISPATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum number of redirects of one request.
 const MAX_REDIRECTS: u32 = 2;
--- a/crates/lab/src/shares/lease_limiter.rs
+++ b/crates/lab/src/shares/lease_limiter.rs
@@ -14,7 +14,7 @@
 use super::limiter::{LimiterDecision, MessageCount, ShareLimiter};
 use super::size::message_size;
 
-/// The only customer.
+/// Index of the only customer in the simulation.
 const CUSTOMER: CustomerIndex = CustomerIndex(0);
 /// Name of [`CUSTOMER`].
 const CUSTOMER_NAME: &str = "harbour-mesh";
--- a/crates/limits/src/crash/mod.rs
+++ b/crates/limits/src/crash/mod.rs
@@ -154,7 +154,7 @@
         /// Every request that ran on the backend server.
         running: Vec<CrashSignature>,
     },
-    /// A message arrived.
+    /// A crash message of an instance arrived.
     Received {
         /// Sender.
         from: InstanceId,
--- a/crates/limits/src/share/mod.rs
+++ b/crates/limits/src/share/mod.rs
@@ -141,7 +141,7 @@
     /// clock has advanced further. All leases are dropped, and the node has no rights until
     /// [`Self::Anchored`].
     Resumed,
-    /// A message arrived.
+    /// A share message of an instance arrived.
     Received {
         /// Sender.
         from: InstanceId,
--- a/crates/log/src/follow.rs
+++ b/crates/log/src/follow.rs
@@ -80,7 +80,7 @@
         /// End of the stream as reported by the log.
         next: u64,
     },
-    /// The read failed.
+    /// The log could not be read.
     Outage {
         /// Duration of the outage so far.
         outage_duration: Duration,
--- a/crates/ops/src/stand_in.rs
+++ b/crates/ops/src/stand_in.rs
@@ -16,7 +16,7 @@
 pub enum StandinKind {
     /// The platform's log.
     Log(LogStandinSettings),
-    /// A backend server.
+    /// Backend server that the tool runs in place of a real one.
     Backend(BackendSettings),
 }
 
--- a/crates/policy/src/finding.rs
+++ b/crates/policy/src/finding.rs
@@ -36,7 +36,7 @@
 pub enum PoolFinding {
     /// The score of an upstream rose above ordinary noise.
     Suspected {
-        /// The upstream.
+        /// Upstream whose score rose.
         id: UpstreamId,
         /// The kind with the highest score.
         cause: EjectionCause,
@@ -45,7 +45,7 @@
     },
     /// An upstream has lost at least nine tenths of its weight, as far as the floor allows.
     Shifted {
-        /// The upstream.
+        /// Upstream that lost the weight.
         id: UpstreamId,
         /// The kind with the highest score.
         cause: EjectionCause,
@@ -54,7 +54,7 @@
     },
     /// An upstream was ejected.
     Ejected {
-        /// The upstream.
+        /// Upstream that was ejected.
         id: UpstreamId,
         /// Cause of the ejection.
         cause: EjectionCause,
@@ -63,12 +63,12 @@
     },
     /// An upstream has its full weight back.
     Readmitted {
-        /// The upstream.
+        /// Upstream that has its full weight back.
         id: UpstreamId,
     },
     /// An upstream is due for ejection, but the floor keeps it in service.
     FloorHeld {
-        /// The upstream.
+        /// Upstream that the floor keeps in service.
         id: UpstreamId,
         /// Cause for which the upstream is due for ejection.
         cause: EjectionCause,
@@ -92,7 +92,7 @@
     /// connection. If only the new one answers, the node closes the old one and calls
     /// [`crate::ServicePool::connection_replaced`].
     ConnectionSuspect {
-        /// The upstream.
+        /// Upstream at the other end of the connection.
         id: UpstreamId,
         /// Age of the oldest request in flight there.
         oldest: Duration,
--- a/crates/policy/src/record.rs
+++ b/crates/policy/src/record.rs
@@ -129,7 +129,7 @@
     pub(crate) shifted: bool,
     /// When the trial began in which a shifted upstream regains its weight step by step.
     pub(crate) trial: Option<Duration>,
-    /// How long a shifted upstream has to be quiet before its next trial, or how long an ejected
+    /// Time a shifted upstream has to be quiet before its next trial, or time for which an ejected
     /// one stays ejected.
     pub(crate) hold: Duration,
     /// Earlier shifts and ejections that still count; each doubles `hold`.
--- a/crates/policy/src/scoring.rs
+++ b/crates/policy/src/scoring.rs
@@ -15,7 +15,7 @@
 /// requests in flight are lost together, which is no more evidence than one loss.
 const LOSS_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long an upstream counts as full after a refusal.
+/// Time for which an upstream counts as full after a refusal.
 const REFUSAL_HOLD: Duration = Duration::from_millis(50);
 
 /// Weight of one attempt in the running share of refused attempts.
--- a/crates/policy/src/tick.rs
+++ b/crates/policy/src/tick.rs
@@ -31,7 +31,7 @@
 /// Minimum interval between two requests to probe the same connection.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a shared cause is assumed to last after it was last observed.
+/// Time for which a shared cause is assumed to last after it was last observed.
 const SHARED_HOLD: Duration = Duration::from_secs(5);
 
 /// Age up to which ejections are undone when the cause turns out to be shared.
--- a/crates/roster/src/event.rs
+++ b/crates/roster/src/event.rs
@@ -15,7 +15,7 @@
     Tick,
     /// Gossip addresses of the seeds from the settings.
     Seeds(Vec<SocketAddr>),
-    /// A datagram arrived.
+    /// A datagram arrived and its payload was decoded.
     Datagram {
         /// Source address.
         from: SocketAddr,
--- a/crates/telemetry/src/burn/classify.rs
+++ b/crates/telemetry/src/burn/classify.rs
@@ -9,7 +9,7 @@
 /// Lowest HTTP status that counts as a failure of the backend server.
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// How a request ended for its caller.
+/// End of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// A complete reply of a backend server with this HTTP status.
--- a/crates/telemetry/src/event/entry.rs
+++ b/crates/telemetry/src/event/entry.rs
@@ -15,9 +15,9 @@
     pub code: EventCode,
     /// Whether no code raises the event yet. Its number and meaning are reserved.
     pub reserved: bool,
-    /// What the event means, in full sentences.
+    /// Meaning of the event, in full sentences.
     pub meaning: &'static str,
-    /// What operators should do, in full sentences.
+    /// Action for operators, in full sentences.
     pub action: &'static str,
 }
 
--- a/crates/telemetry/src/event/refusal.rs
+++ b/crates/telemetry/src/event/refusal.rs
@@ -12,13 +12,13 @@
 pub struct RefusalEntry {
     /// Code in the answer to the caller.
     pub code: RefusalCode,
-    /// What the refusal means, in full sentences.
+    /// Meaning of the refusal, in full sentences.
     pub meaning: &'static str,
     /// Run states that the answer may contain.
     pub run_states: &'static [RunState],
-    /// What the caller should do.
+    /// Action for the caller.
     pub caller: &'static str,
-    /// What operators should do.
+    /// Action for operators.
     pub operator: &'static str,
     /// Related events.
     pub events: &'static [EventCode],
--- a/crates/telemetry/src/metric/name.rs
+++ b/crates/telemetry/src/metric/name.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// How a receiver aggregates the values of a metric.
+/// Aggregation that a receiver applies to the values of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MetricKind {
     /// Count since the last flush.
--- a/crates/telemetry/src/metric/sink.rs
+++ b/crates/telemetry/src/metric/sink.rs
@@ -16,7 +16,7 @@
 pub struct MetricSample<'a> {
     /// Metric name without the prefix; parts of a timer have a suffix such as `.p99`.
     pub name: &'a str,
-    /// How the receiver aggregates the value. A timer is sent as a counter and a gauge per
+    /// Aggregation by the receiver. A timer is sent as a counter and a gauge per
     /// percentile.
     pub kind: MetricKind,
     /// Tags of the series.
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -61,7 +61,7 @@
     /// upstream.
     #[error("connection went silent")]
     ConnectionSilent,
-    /// The connection broke.
+    /// The connection to the peer broke; the text describes the error.
     #[error("connection lost: {0}")]
     ConnectionLost(String),
     /// This side dropped the exchange, for example the body before its end.
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -41,7 +41,7 @@
     pub timed_out: bool,
 }
 
-/// A complete response.
+/// Complete response of a daemon as its caller observed it.
 #[derive(Clone, Debug)]
 pub struct ObservedReply {
     pub status: u16,
--- a/tests/testsuite/support/http.rs
+++ b/tests/testsuite/support/http.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// A complete reply.
+/// Complete HTTP reply: status, headers and decoded body.
 #[derive(Clone, Debug)]
 pub struct TestReply {
     /// HTTP status code.
